--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -75,10 +75,10 @@
     let patience = options.patience_ms.map(Duration::from_millis);
     placement::Settings {
         headroom: options.headroom.unwrap_or(settings.headroom),
-        patience: patience.unwrap_or(settings.patience),
-        warm_tries: options.tries.unwrap_or(settings.warm_tries),
-        tries: options.tries.unwrap_or(settings.tries),
-        topologies: options.topologies.unwrap_or(settings.topologies),
+        warm_queue_timeout: patience.unwrap_or(settings.warm_queue_timeout),
+        max_warm_candidates: options.tries.unwrap_or(settings.max_warm_candidates),
+        max_candidates: options.tries.unwrap_or(settings.max_candidates),
+        max_past_topologies: options.topologies.unwrap_or(settings.max_past_topologies),
         ..settings
     }
 }
--- a/crates/bench/src/policy/choice.rs
+++ b/crates/bench/src/policy/choice.rs
@@ -1,6 +1,6 @@
 //! How an entry router that decides alone chooses an engine.
 
-use placement::{Bound, Topology, Total};
+use placement::{Bound, Topology, TotalLoad};
 use units::chat;
 
 use crate::random::Random;
@@ -92,7 +92,7 @@
     fn choose(&self, view: &View<'_>, chat: chat::Key, _: &mut Random) -> Option<usize> {
         let members = view.topology.members();
         let index = |id| members.binary_search_by(|other| other.id.cmp(id)).ok();
-        let total = Total {
+        let total = TotalLoad {
             requests: view.own.iter().map(|own| u64::from(*own)).sum(),
             weight: view.topology.eligible().len() as u64,
         };
--- a/crates/bench/src/policy/owned.rs
+++ b/crates/bench/src/policy/owned.rs
@@ -2,7 +2,7 @@
 //!
 //! The entry router follows its [`placement::Plan`]; the owner of the engine
 //! decides with [`admission::Server`], [`placement::Bound`] and
-//! [`placement::Warmth`].
+//! [`placement::CacheIndex`].
 
 mod offer;
 mod owner;
@@ -12,8 +12,8 @@
     time::Duration,
 };
 
-use placement::{Bound, History, Plan, Topology, Total, Warmth, plan, warmth};
-use recovery::{Budget, Ejection};
+use placement::{Bound, CacheIndex, History, Plan, Topology, TotalLoad, cache, plan};
+use recovery::{OutlierDetector, RetryBudget};
 use units::{availability, backend, host, request, time::Instant, workspace};
 use verdict::{Code, Refusal, Verdict};
 
@@ -55,7 +55,7 @@
 /// What a router told of its engines.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Told {
-    total: Total,
+    total: TotalLoad,
     at: Instant,
 }
 
@@ -64,7 +64,7 @@
 pub struct CacheEvent {
     number: u64,
     chat: units::chat::Key,
-    event: warmth::Event,
+    event: cache::Event,
 }
 
 /// What the owner of one engine keeps.
@@ -73,7 +73,7 @@
     owner: usize,
     admission: admission::Server,
     bounded: admission::Bound,
-    warmth: Warmth,
+    warmth: CacheIndex,
     reports: u64,
     events: u64,
     pending: Vec<CacheEvent>,
@@ -99,8 +99,8 @@
     history: History,
     /// The loads that it heard of, by router.
     heard: Vec<Told>,
-    budget: Budget,
-    ejection: Ejection,
+    budget: RetryBudget,
+    ejection: OutlierDetector,
     engines: Vec<usize>,
 }
 
@@ -140,7 +140,7 @@
             owner: *owner,
             admission: admission::Server::new(settings.admission.clone(), Instant::ZERO),
             bounded: admission::Bound::default(),
-            warmth: Warmth::new(settings.placement.clone()),
+            warmth: CacheIndex::new(settings.placement.clone()),
             reports: 0,
             events: 0,
             pending: Vec::new(),
@@ -152,7 +152,7 @@
         let routers = (0..core.deployment.routers).map(|router| Router {
             history: History::new(settings.placement.clone(), core.known(router).clone()),
             heard: vec![Told::default(); core.deployment.routers],
-            budget: Budget::new(settings.recovery.clone(), Instant::ZERO),
+            budget: RetryBudget::new(settings.recovery.clone(), Instant::ZERO),
             ejection: ejection(&settings.recovery, core.known(router)),
             engines: (0..owners.len())
                 .filter(|engine| owners[*engine] == router)
@@ -182,8 +182,8 @@
         .collect()
 }
 
-fn ejection(settings: &recovery::Settings, topology: &Topology) -> Ejection {
-    let mut ejection = Ejection::new(settings.clone());
+fn ejection(settings: &recovery::Settings, topology: &Topology) -> OutlierDetector {
+    let mut ejection = OutlierDetector::new(settings.clone());
     ejection.set_servers(pool(topology));
     ejection
 }
@@ -235,7 +235,7 @@
         self.plans.insert(request, plan);
         let workspace = &self.workspaces[usize::from(arrival.workspace)];
         let router = &mut self.routers[usize::from(arrival.router)];
-        router.budget.request(workspace, now);
+        router.budget.record_request(workspace, now);
         self.offer_next(core, request, now);
     }
 
@@ -256,7 +256,9 @@
         failures.push(failure.engine);
         let entry = usize::from(core.arrivals[request].router);
         let router = &mut self.routers[entry];
-        router.ejection.failed(&core.names[failure.engine], now);
+        router
+            .ejection
+            .record_failure(&core.names[failure.engine], now);
         let workspace = &self.workspaces[usize::from(core.arrivals[request].workspace)];
         let code = Code::BackendFailed;
         let asked = recovery::Failure {
@@ -270,7 +272,7 @@
                 Verdict::MayHaveRun => Refusal::may_have_run(code, "failed"),
             },
             idempotent: true,
-            answered: false,
+            response_started: false,
             attempts: core.stats.requests[request].sent,
             refusals: 0,
             candidates: 1,
@@ -296,10 +298,10 @@
         self.sent.remove(&attempt);
         let entry = usize::from(core.arrivals[Core::<Event>::request(attempt)].router);
         let server = &core.names[engine];
-        self.routers[entry].ejection.succeeded(server, now);
+        self.routers[entry].ejection.record_success(server, now);
         let owned = &mut self.owned[engine];
         let tokens = run.job.prompt + run.job.output;
-        owned.warmth.served(run.job.chat, tokens, now);
+        owned.warmth.record_served(run.job.chat, tokens, now);
         let outcome = admission::Outcome::Completed {
             first_token_at: run.first_token_at,
             ended_at: now,
--- a/crates/bench/src/policy/owned/offer.rs
+++ b/crates/bench/src/policy/owned/offer.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use placement::{Answer, Offer, Room, plan};
+use placement::{Capacity, Decision, Offer, plan};
 use units::{cost::Cost, request, time::Instant};
 
 use super::{Chosen, Event, TIMEOUT};
@@ -58,7 +58,7 @@
         let actions = self.rebound(engine, now);
         self.act(core, engine, actions, now);
         let answer = self.answer(core, engine, request, candidate.terms, now);
-        if answer == Answer::TurnDown {
+        if answer == Decision::Decline {
             self.deny(core, request, engine, now);
             return;
         }
@@ -70,7 +70,7 @@
         match offered.decision {
             admission::Decision::Admitted => self.send(core, attempt, engine, now),
             admission::Decision::Queued => {
-                if let Answer::TakeUntil(instant) = answer {
+                if let Decision::AcceptUntil(instant) = answer {
                     core.push(instant, Event::Impatient(attempt, engine));
                 }
             }
@@ -89,17 +89,17 @@
         request: usize,
         terms: plan::Terms,
         now: Instant,
-    ) -> Answer {
+    ) -> Decision {
         let owned = &self.owned[engine];
         let topology = self.routers[owned.owner].history.current();
         if !topology.is_eligible(&core.names[engine]) || now < owned.away_until {
-            return Answer::TurnDown;
+            return Decision::Decline;
         }
         let snapshot = owned.admission.snapshot(now);
         let offer = Offer {
             terms,
-            knowledge: owned.warmth.look(core.arrivals[request].chat, now),
-            room: Room {
+            cache_status: owned.warmth.status(core.arrivals[request].chat, now),
+            capacity: Capacity {
                 load: snapshot.in_flight + snapshot.foreign,
                 limit: snapshot.limit,
                 queued: snapshot.queued,
@@ -107,7 +107,7 @@
             weight: 1,
             total: self.total(owned.owner),
         };
-        offer.answer(&self.settings.placement, &self.bound, now)
+        offer.decide(&self.settings.placement, &self.bound, now)
     }
 
     /// The wait of an attempt is over: if it still waits, it goes elsewhere.
@@ -136,7 +136,7 @@
         now: Instant,
     ) -> admission::Ticket {
         let arrival = core.arrivals[request];
-        let cached = self.owned[engine].warmth.cached(arrival.chat, now);
+        let cached = self.owned[engine].warmth.cached_tokens(arrival.chat, now);
         let prefill = arrival.prompt.saturating_sub(cached.unwrap_or(0));
         admission::Ticket {
             attempt: core.attempt(request),
--- a/crates/bench/src/policy/owned/owner.rs
+++ b/crates/bench/src/policy/owned/owner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use placement::{Total, topology, warmth};
+use placement::{TotalLoad, cache, topology};
 use units::time::Instant;
 
 use super::{CacheEvent, Chosen, Closed, Event, Told};
@@ -32,10 +32,10 @@
     }
 
     /// The load of the pool as `router` knows it.
-    pub(super) fn total(&self, router: usize) -> Total {
+    pub(super) fn total(&self, router: usize) -> TotalLoad {
         let heard = self.routers[router].heard.iter().enumerate();
         let others = heard.filter(|(other, _)| *other != router);
-        let others: Total = others.map(|(_, told)| told.total).sum();
+        let others: TotalLoad = others.map(|(_, told)| told.total).sum();
         others + self.own_total(router, others.mean())
     }
 
@@ -48,14 +48,14 @@
         }
     }
 
-    fn own_total(&self, router: usize, mean: f64) -> Total {
+    fn own_total(&self, router: usize, mean: f64) -> TotalLoad {
         let topology = self.routers[router].history.current();
         let engines = self.routers[router].engines.iter();
         engines
             .filter(|engine| topology.members()[**engine].state == topology::State::Eligible)
             .map(|engine| {
                 let own = self.owned[*engine].admission.handover();
-                Total::counted(own.in_flight, 1, own.limit, mean)
+                TotalLoad::contribution(own.in_flight, 1, own.limit, mean)
             })
             .sum()
     }
@@ -83,7 +83,7 @@
             owned.pending.push(CacheEvent {
                 number: owned.events,
                 chat,
-                event: warmth::Event::Evicted,
+                event: cache::Event::Evicted,
             });
         }
         if now < core.until() {
@@ -120,8 +120,8 @@
         now: Instant,
     ) {
         let owned = &mut self.owned[engine];
-        let boot = warmth::Boot(report.boot);
-        owned.warmth.booted(boot);
+        let boot = cache::BootId(report.boot);
+        owned.warmth.observe_boot(boot);
         owned.boot = report.boot;
         for event in events {
             let CacheEvent {
@@ -129,7 +129,7 @@
                 chat,
                 event,
             } = event;
-            owned.warmth.event(boot, number, chat, event, now);
+            owned.warmth.apply_event(boot, number, chat, event, now);
         }
         let actions = owned.admission.report(report, now);
         self.act(core, engine, actions, now);
--- a/crates/gateway/src/deaths.rs
+++ b/crates/gateway/src/deaths.rs
@@ -44,7 +44,7 @@
 impl Default for Deaths {
     fn default() -> Self {
         let settings = recovery::Settings {
-            strikes: STRIKES,
+            refuse_at_strikes: STRIKES,
             ..recovery::Settings::default()
         };
         Self {
@@ -85,7 +85,7 @@
 
     /// A request ran to its end, so it does not crash servers.
     pub fn completed(&mut self, fingerprint: Fingerprint) {
-        self.suspects.completed(fingerprint);
+        self.suspects.record_completion(fingerprint);
     }
 
     /// The start `born` of a server is over. Returns how many requests it counts against.
@@ -100,7 +100,7 @@
                 fingerprint: known.fingerprint,
                 crash,
             };
-            if let Some(strike) = self.suspects.struck(strike, known.began_at, now) {
+            if let Some(strike) = self.suspects.record_crash(strike, known.began_at, now) {
                 self.told.push((strike, now + TOLD_FOR));
                 count += 1;
             }
@@ -111,7 +111,7 @@
     /// Takes in what another router tells.
     pub fn learn(&mut self, strikes: &[Strike], now: Instant) {
         for &strike in strikes {
-            if self.suspects.learn(strike, now) {
+            if self.suspects.apply_strike(strike, now) {
                 self.told.push((strike, now + TOLD_FOR));
             }
         }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -10,7 +10,7 @@
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr, time::Duration};
 
-use recovery::Ejection;
+use recovery::OutlierDetector;
 use smallvec::SmallVec;
 use units::{availability, backend, chat, cost::Cost, host, time::Instant};
 
@@ -133,7 +133,7 @@
     bounds: Bounds,
     service: route::Service,
     servers: BTreeMap<backend::Server, Server>,
-    ejection: Ejection,
+    ejection: OutlierDetector,
     ways: zone::Ways,
 }
 
@@ -141,8 +141,8 @@
     /// A pool without servers, seen from `zone`.
     pub fn new(zone: availability::Zone, bounds: Bounds) -> Self {
         let settings = recovery::Settings {
-            ejection: EJECTION,
-            max_ejection: MAX_EJECTION,
+            base_ejection_time: EJECTION,
+            max_ejection_time: MAX_EJECTION,
             ..recovery::Settings::default()
         };
         Self {
@@ -153,7 +153,7 @@
                 cache_tokens: 0,
             },
             servers: BTreeMap::new(),
-            ejection: Ejection::new(settings),
+            ejection: OutlierDetector::new(settings),
             ways: zone::Ways::default(),
         }
     }
@@ -220,7 +220,7 @@
             let servers = self.servers.values().filter(|server| !server.is_leaving());
             servers.filter(|server| !demand.tried.contains(server.name()))
         };
-        let is_panicking = self.ejection.is_panicking(now);
+        let is_panicking = self.ejection.is_in_panic_mode(now);
         let sound = |server: &&Server| {
             server.is_reachable(now)
                 && !self.ways.is_away(server.zone(), now)
@@ -381,8 +381,8 @@
     ) -> Option<Standing> {
         let before = self.standing(name, now);
         match outcome {
-            Outcome::Completed => self.ejection.succeeded(name, now),
-            Outcome::Failed | Outcome::Broken => self.ejection.failed(name, now),
+            Outcome::Completed => self.ejection.record_success(name, now),
+            Outcome::Failed | Outcome::Broken => self.ejection.record_failure(name, now),
             // What all routers saw decides on these; a cut would eject whole zones.
             Outcome::Refused
             | Outcome::Unreachable
--- a/crates/gateway/src/pool/cost.rs
+++ b/crates/gateway/src/pool/cost.rs
@@ -63,7 +63,7 @@
 
     fn rank(&self, server: &Server) -> Rank {
         let hash = server.name_hash();
-        (Reverse(score::pair(self.anchor, hash)), hash)
+        (Reverse(score::pair_hash(self.anchor, hash)), hash)
     }
 
     fn insert(&mut self, rank: Rank) {
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
-use placement::Warmth;
+use placement::CacheIndex;
 use units::{availability, backend, chat, cost::Cost, time::Instant};
 use xxhash_rust::xxh3;
 
@@ -80,9 +80,9 @@
     running: u32,
     elsewhere: u32,
     pending: Cost,
-    warmth: Warmth,
+    warmth: CacheIndex,
     /// What it has read for other routers, by the hashes of the parts.
-    told: Warmth,
+    told: CacheIndex,
     fence: Fence,
     misses: u32,
     away_until: Instant,
@@ -99,9 +99,9 @@
     /// A server without work.
     pub fn new(entry: roster::Entry) -> Self {
         let settings = placement::Settings {
-            chats_per_server: MAX_PARTS,
-            warm_tokens: 1,
-            warm_for: WARM_FOR,
+            max_chats_per_server: MAX_PARTS,
+            min_cached_tokens: 1,
+            cache_ttl: WARM_FOR,
             ..placement::Settings::default()
         };
         Self {
@@ -112,8 +112,8 @@
             running: 0,
             elsewhere: 0,
             pending: Cost(0),
-            warmth: Warmth::new(settings.clone()),
-            told: Warmth::new(settings),
+            warmth: CacheIndex::new(settings.clone()),
+            told: CacheIndex::new(settings),
             fence: Fence::default(),
             misses: 0,
             away_until: Instant::ZERO,
@@ -307,19 +307,20 @@
     /// Whether it is known to have read a part, for any router.
     pub fn has_read(&self, part: &Part, now: Instant) -> bool {
         let hash = chat::Key(u64::from(reads::hash(part.key)));
-        self.warmth.cached(part.key, now).is_some() || self.told.cached(hash, now).is_some()
+        self.warmth.cached_tokens(part.key, now).is_some()
+            || self.told.cached_tokens(hash, now).is_some()
     }
 
     /// It has read a part for another router.
     pub fn heard(&mut self, read: Read, now: Instant) {
         let hash = chat::Key(u64::from(read.part));
-        self.told.served(hash, read.tokens, now);
+        self.told.record_served(hash, read.tokens, now);
     }
 
     /// The parts of a prompt that it has read by now.
     pub fn remember(&mut self, parts: &[Part], now: Instant) {
         for part in parts {
-            self.warmth.served(part.key, part.tokens, now);
+            self.warmth.record_served(part.key, part.tokens, now);
         }
     }
 
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -146,7 +146,7 @@
     let mut servers: Vec<_> = entries.iter().map(|entry| entry.server.clone()).collect();
     servers.sort_by_cached_key(|server| {
         let hash = xxh3::xxh3_64(server.as_str().as_bytes());
-        Reverse(score::pair(chat::Key(anchor), hash))
+        Reverse(score::pair_hash(chat::Key(anchor), hash))
     });
     servers
 }
--- a/crates/placement/benches/memory.rs
+++ b/crates/placement/benches/memory.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, hint};
 
-use placement::{Settings, Topology, Warmth, topology};
+use placement::{CacheIndex, Settings, Topology, topology};
 use units::{chat, time::Instant};
 
 const ENGINES: usize = 40;
@@ -11,7 +11,7 @@
 const SERVERS: usize = 1_000;
 
 /// The resident memory of the process, in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").expect("Linux has it");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let value = line.and_then(|line| line.split_whitespace().nth(1));
@@ -29,18 +29,18 @@
 }
 
 fn main() {
-    let before = resident();
-    let memories: Vec<Warmth> = (0..ENGINES as u64)
+    let before = resident_bytes();
+    let indexes: Vec<CacheIndex> = (0..ENGINES as u64)
         .map(|engine| {
-            let mut memory = Warmth::new(Settings::default());
+            let mut index = CacheIndex::new(Settings::default());
             for number in 0..CHATS {
                 let key = (engine * CHATS + number).wrapping_mul(0x9e37_79b9_7f4a_7c15);
-                memory.served(chat::Key(key), 1000, Instant::from_millis(number));
+                index.record_served(chat::Key(key), 1000, Instant::from_millis(number));
             }
-            memory
+            index
         })
         .collect();
-    let after = resident();
+    let after = resident_bytes();
     report("memory_per_chat", after - before, ENGINES as u64 * CHATS);
     let topologies: Vec<Topology> = (0..TOPOLOGIES)
         .map(|_| {
@@ -55,11 +55,11 @@
             Topology::new(members.collect())
         })
         .collect();
-    let with_topologies = resident();
+    let with_topologies = resident_bytes();
     report(
         "memory_per_server",
         with_topologies - after,
         (TOPOLOGIES * SERVERS) as u64,
     );
-    hint::black_box((memories, topologies));
+    hint::black_box((indexes, topologies));
 }
--- a/crates/placement/benches/place.rs
+++ b/crates/placement/benches/place.rs
@@ -4,7 +4,8 @@
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
 use placement::{
-    Bound, History, Offer, Plan, Room, Settings, Topology, Total, Warmth, plan, topology, warmth,
+    Bound, CacheIndex, Capacity, History, Offer, Plan, Settings, Topology, TotalLoad, cache, plan,
+    topology,
 };
 use units::{chat, time::Instant};
 
@@ -59,14 +60,14 @@
     group.finish();
 }
 
-fn answer(criterion: &mut Criterion) {
+fn decide(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("answer");
     for chats in [1_000, 16_384] {
         let settings = Settings::default();
         let bound = Bound::new(settings.clone());
-        let mut memory = Warmth::new(settings.clone());
+        let mut index = CacheIndex::new(settings.clone());
         for number in 0..chats {
-            memory.served(chat(number), 1000, Instant::from_millis(number));
+            index.record_served(chat(number), 1000, Instant::from_millis(number));
         }
         let mut number = 0;
         group.bench_function(BenchmarkId::new("chats", chats), |bencher| {
@@ -75,30 +76,30 @@
                 let now = Instant::from_millis(chats);
                 let offer = Offer {
                     terms: plan::Terms::Warm,
-                    knowledge: memory.look(chat(number), now),
-                    room: Room {
+                    cache_status: index.status(chat(number), now),
+                    capacity: Capacity {
                         load: 20,
                         limit: 30,
                         queued: 0,
                     },
                     weight: 1,
-                    total: Total {
+                    total: TotalLoad {
                         requests: 9_000,
                         weight: 455,
                     },
                 };
-                hint::black_box(offer.answer(&settings, &bound, now))
+                hint::black_box(offer.decide(&settings, &bound, now))
             });
         });
         group.bench_function(BenchmarkId::new("served", chats), |bencher| {
             bencher.iter(|| {
                 number += 1;
-                memory.served(chat(number), 1000, Instant::from_millis(chats + number));
+                index.record_served(chat(number), 1000, Instant::from_millis(chats + number));
             });
         });
     }
     group.finish();
-    let event = warmth::Event::Stored { tokens: 1 };
+    let event = cache::Event::Stored { tokens: 1 };
     hint::black_box(event);
 }
 
@@ -108,6 +109,6 @@
         .warm_up_time(Duration::from_millis(200))
         .measurement_time(Duration::from_millis(600))
         .sample_size(20);
-    targets = rank, plan, answer
+    targets = rank, plan, decide
 }
 criterion_main!(benches);
--- a/crates/placement/src/warmth.rs
+++ b/crates/placement/src/cache.rs
@@ -8,7 +8,7 @@
 
 /// The identity of one run of an engine; it changes at a restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Boot(pub u64);
+pub struct BootId(pub u64);
 
 /// What a cache event says.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,14 +24,14 @@
 
 /// What the owner knows of a chat in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Knowledge {
+pub enum CacheStatus {
     /// The cache holds this many tokens of it.
     Cached(u32),
     /// The engine has served it, but an event that is missing may have said
     /// that it was evicted.
     Unknown,
     /// The engine has not served it lately, or has evicted it.
-    Absent,
+    NotCached,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -42,17 +42,17 @@
 
 /// The chats served lately by one engine, in bounded memory.
 #[derive(Clone, Debug, Default)]
-pub struct Warmth {
+pub struct CacheIndex {
     settings: Settings,
     chats: BTreeMap<chat::Key, Record>,
-    by_use: BTreeSet<(time::Instant, chat::Key)>,
-    boot: Option<Boot>,
+    by_last_use: BTreeSet<(time::Instant, chat::Key)>,
+    boot: Option<BootId>,
     sequence: u64,
     /// What was served up to this instant may have been evicted unheard.
-    doubtful_until: Option<time::Instant>,
+    uncertain_until: Option<time::Instant>,
 }
 
-impl Warmth {
+impl CacheIndex {
     /// A memory without chats.
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -62,16 +62,16 @@
     }
 
     /// Notes that the engine served `chat`, and has `tokens` of it cached.
-    pub fn served(&mut self, chat: chat::Key, tokens: u32, now: time::Instant) {
-        self.forget(chat);
+    pub fn record_served(&mut self, chat: chat::Key, tokens: u32, now: time::Instant) {
+        self.remove_chat(chat);
         let record = Record {
             tokens,
             used_at: now,
         };
         self.chats.insert(chat, record);
-        self.by_use.insert((now, chat));
-        while self.chats.len() > self.settings.chats_per_server {
-            let Some((_, oldest)) = self.by_use.pop_first() else {
+        self.by_last_use.insert((now, chat));
+        while self.chats.len() > self.settings.max_chats_per_server {
+            let Some((_, oldest)) = self.by_last_use.pop_first() else {
                 break;
             };
             self.chats.remove(&oldest);
@@ -79,28 +79,28 @@
     }
 
     /// What is known of `chat`.
-    pub fn look(&self, chat: chat::Key, now: time::Instant) -> Knowledge {
+    pub fn status(&self, chat: chat::Key, now: time::Instant) -> CacheStatus {
         let Some(record) = self.chats.get(&chat) else {
-            return Knowledge::Absent;
+            return CacheStatus::NotCached;
         };
-        let expired = record.used_at + self.settings.warm_for <= now;
-        if expired || record.tokens < self.settings.warm_tokens {
-            return Knowledge::Absent;
+        let expired = record.used_at + self.settings.cache_ttl <= now;
+        if expired || record.tokens < self.settings.min_cached_tokens {
+            return CacheStatus::NotCached;
         }
         if self
-            .doubtful_until
+            .uncertain_until
             .is_some_and(|until| record.used_at <= until)
         {
-            return Knowledge::Unknown;
+            return CacheStatus::Unknown;
         }
-        Knowledge::Cached(record.tokens)
+        CacheStatus::Cached(record.tokens)
     }
 
     /// Cached tokens of `chat`; `None` when it is unknown or not cached.
-    pub fn cached(&self, chat: chat::Key, now: time::Instant) -> Option<u32> {
-        match self.look(chat, now) {
-            Knowledge::Cached(tokens) => Some(tokens),
-            Knowledge::Unknown | Knowledge::Absent => None,
+    pub fn cached_tokens(&self, chat: chat::Key, now: time::Instant) -> Option<u32> {
+        match self.status(chat, now) {
+            CacheStatus::Cached(tokens) => Some(tokens),
+            CacheStatus::Unknown | CacheStatus::NotCached => None,
         }
     }
 
@@ -109,32 +109,32 @@
     /// Events come late: one of an earlier run or an earlier sequence number
     /// says nothing. After a gap, the events that are missing may have evicted
     /// any chat, so all chats served until now become unknown.
-    pub fn event(
+    pub fn apply_event(
         &mut self,
-        boot: Boot,
+        boot: BootId,
         sequence: u64,
         chat: chat::Key,
         event: Event,
         now: time::Instant,
     ) {
-        self.booted(boot);
+        self.observe_boot(boot);
         if sequence <= self.sequence {
             return;
         }
         if sequence != self.sequence + 1 {
-            self.doubtful_until = Some(now);
+            self.uncertain_until = Some(now);
         }
         self.sequence = sequence;
         match event {
-            Event::Stored { tokens } => self.served(chat, tokens, now),
-            Event::Evicted => self.forget(chat),
+            Event::Stored { tokens } => self.record_served(chat, tokens, now),
+            Event::Evicted => self.remove_chat(chat),
         }
     }
 
     /// Notes the run of the engine that a load report names. A new run has an
     /// empty cache, and what was served before any run was known may have been
     /// served by an earlier one.
-    pub fn booted(&mut self, boot: Boot) {
+    pub fn observe_boot(&mut self, boot: BootId) {
         if self.boot == Some(boot) {
             return;
         }
@@ -153,15 +153,15 @@
         self.chats.is_empty()
     }
 
-    fn forget(&mut self, chat: chat::Key) {
+    fn remove_chat(&mut self, chat: chat::Key) {
         if let Some(record) = self.chats.remove(&chat) {
-            self.by_use.remove(&(record.used_at, chat));
+            self.by_last_use.remove(&(record.used_at, chat));
         }
     }
 
     fn clear(&mut self) {
         self.chats.clear();
-        self.by_use.clear();
-        self.doubtful_until = None;
+        self.by_last_use.clear();
+        self.uncertain_until = None;
     }
 }
--- a/crates/placement/src/history.rs
+++ b/crates/placement/src/history.rs
@@ -9,7 +9,7 @@
 
 /// A topology that is no longer in force.
 #[derive(Clone, Debug)]
-struct Past {
+struct PastTopology {
     topology: Arc<Topology>,
     replaced_at: time::Instant,
 }
@@ -20,7 +20,7 @@
     settings: Settings,
     current: Arc<Topology>,
     /// Newest first.
-    past: VecDeque<Past>,
+    past: VecDeque<PastTopology>,
 }
 
 /// The earlier homes of a chat, latest first.
@@ -48,12 +48,12 @@
             return;
         }
         let old = std::mem::replace(&mut self.current, topology);
-        self.past.push_front(Past {
+        self.past.push_front(PastTopology {
             topology: old,
             replaced_at: now,
         });
-        self.past.truncate(self.settings.topologies);
-        self.forget(now);
+        self.past.truncate(self.settings.max_past_topologies);
+        self.prune(now);
     }
 
     /// The servers, other than its present home, that were the home of `chat`
@@ -64,7 +64,7 @@
             return homes;
         };
         for past in &self.past {
-            if now >= past.replaced_at + self.stay(chat) {
+            if now >= past.replaced_at + self.return_delay(chat) {
                 break;
             }
             let Some(earlier) = past.topology.home(chat) else {
@@ -79,16 +79,16 @@
     }
 
     /// How long `chat` may stay at an earlier home after a change.
-    fn stay(&self, chat: chat::Key) -> std::time::Duration {
+    fn return_delay(&self, chat: chat::Key) -> std::time::Duration {
         // The hash is mixed again so that the chats of one server are spread
         // over the whole window.
-        let mixed = crate::score::pair(chat, 0);
-        let share = f64::from((mixed >> 32) as u32) / f64::from(u32::MAX);
-        self.settings.return_window.mul_f64(share)
+        let rehashed = crate::score::pair_hash(chat, 0);
+        let fraction = f64::from((rehashed >> 32) as u32) / f64::from(u32::MAX);
+        self.settings.return_window.mul_f64(fraction)
     }
 
     /// Drops the topologies whose return window is over.
-    fn forget(&mut self, now: time::Instant) {
+    fn prune(&mut self, now: time::Instant) {
         let window = self.settings.return_window;
         self.past.retain(|past| now < past.replaced_at + window);
     }
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -4,14 +4,14 @@
 
 /// The load of several servers together.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Total {
+pub struct TotalLoad {
     /// Requests in flight.
     pub requests: u64,
     /// The weights of the servers that they run on.
     pub weight: u64,
 }
 
-impl Total {
+impl TotalLoad {
     /// The load of one server.
     pub fn new(requests: u32, weight: u32) -> Self {
         Self {
@@ -26,9 +26,9 @@
     /// it cannot take more, and its low load would keep the bound of all others
     /// down. A pool with a few cold servers would refuse work for which the
     /// warm ones have room, and its load could not even grow back after a start.
-    pub fn counted(requests: u32, weight: u32, limit: u32, mean: f64) -> Self {
-        let held_back = f64::from(limit) < mean * f64::from(weight.max(1));
-        if held_back {
+    pub fn contribution(requests: u32, weight: u32, limit: u32, mean: f64) -> Self {
+        let limited_below_mean = f64::from(limit) < mean * f64::from(weight.max(1));
+        if limited_below_mean {
             return Self::default();
         }
         Self::new(requests, weight)
@@ -40,7 +40,7 @@
     }
 }
 
-impl ops::Add for Total {
+impl ops::Add for TotalLoad {
     type Output = Self;
 
     fn add(self, other: Self) -> Self {
@@ -51,13 +51,13 @@
     }
 }
 
-impl ops::AddAssign for Total {
+impl ops::AddAssign for TotalLoad {
     fn add_assign(&mut self, other: Self) {
         *self = *self + other;
     }
 }
 
-impl iter::Sum for Total {
+impl iter::Sum for TotalLoad {
     fn sum<I: Iterator<Item = Self>>(totals: I) -> Self {
         totals.fold(Self::default(), ops::Add::add)
     }
--- a/crates/placement/src/answer.rs
+++ b/crates/placement/src/offer.rs
@@ -2,23 +2,23 @@
 
 use units::time;
 
-use crate::{bound::Bound, load::Total, plan::Terms, settings::Settings, warmth::Knowledge};
+use crate::{bound::Bound, cache::CacheStatus, load::TotalLoad, plan::Terms, settings::Settings};
 
 /// What the owner does with an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Decision {
     /// It hands the request to admission, where it may wait until its deadline.
-    Take,
+    Accept,
     /// It hands the request to admission and takes it back if it still waits
     /// at this instant, so that the next candidate gets it.
-    TakeUntil(time::Instant),
+    AcceptUntil(time::Instant),
     /// It turns the request down at once. The request has not run.
-    TurnDown,
+    Decline,
 }
 
 /// The room that a server has, by its owner's admission.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Room {
+pub struct Capacity {
     /// Requests in flight, those of others that the server reports included.
     pub load: u32,
     /// The most requests allowed at present, by concurrency limit and bound.
@@ -27,8 +27,8 @@
     pub queued: u32,
 }
 
-impl Room {
-    fn is_free(self, limit: u32) -> bool {
+impl Capacity {
+    fn is_available(self, limit: u32) -> bool {
         self.queued == 0 && self.load < limit
     }
 }
@@ -39,13 +39,13 @@
     /// The terms.
     pub terms: Terms,
     /// What is known of the chat on this server.
-    pub knowledge: Knowledge,
+    pub cache_status: CacheStatus,
     /// The server's room.
-    pub room: Room,
+    pub capacity: Capacity,
     /// The server's weight.
     pub weight: u32,
     /// The load of the pool.
-    pub total: Total,
+    pub total: TotalLoad,
 }
 
 impl Offer {
@@ -55,18 +55,22 @@
     /// to be computed anew elsewhere. One that is certainly not cached here gets
     /// only the room up to the mean: it loses nothing elsewhere, and the room
     /// above stays free for those that do.
-    pub fn answer(&self, settings: &Settings, bound: &Bound, now: time::Instant) -> Answer {
-        let cold = bound.cold_limit(self.weight, self.total);
-        let limit = match self.knowledge {
-            Knowledge::Cached(_) | Knowledge::Unknown => self.room.limit,
-            Knowledge::Absent => self.room.limit.min(cold),
+    pub fn decide(&self, settings: &Settings, bound: &Bound, now: time::Instant) -> Decision {
+        let uncached = bound.uncached_limit(self.weight, self.total);
+        let limit = match self.cache_status {
+            CacheStatus::Cached(_) | CacheStatus::Unknown => self.capacity.limit,
+            CacheStatus::NotCached => self.capacity.limit.min(uncached),
         };
-        match (self.terms, self.knowledge) {
-            (Terms::Queued, _) => Answer::Take,
-            (Terms::Warm, Knowledge::Cached(_)) => Answer::TakeUntil(now + settings.patience),
-            (Terms::Warm, Knowledge::Absent) => Answer::TurnDown,
-            (Terms::Warm | Terms::Bounded, _) if self.room.is_free(limit) => Answer::Take,
-            (Terms::Warm | Terms::Bounded, _) => Answer::TurnDown,
+        match (self.terms, self.cache_status) {
+            (Terms::Queued, _) => Decision::Accept,
+            (Terms::Warm, CacheStatus::Cached(_)) => {
+                Decision::AcceptUntil(now + settings.warm_queue_timeout)
+            }
+            (Terms::Warm, CacheStatus::NotCached) => Decision::Decline,
+            (Terms::Warm | Terms::Bounded, _) if self.capacity.is_available(limit) => {
+                Decision::Accept
+            }
+            (Terms::Warm | Terms::Bounded, _) => Decision::Decline,
         }
     }
 }
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -9,7 +9,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Terms {
     /// Only if the owner remembers the chat as cached there. The request may
-    /// wait for room as long as [`Settings::patience`] says.
+    /// wait for room as long as [`Settings::warm_queue_timeout`] says.
     Warm,
     /// If the bound admits it at once.
     Bounded,
@@ -52,31 +52,38 @@
         chat: chat::Key,
         now: time::Instant,
     ) -> Self {
-        let most = settings.tries.max(settings.warm_tries).max(1);
-        let ranked = history.current().rank(chat, most);
+        let count = settings
+            .max_candidates
+            .max(settings.max_warm_candidates)
+            .max(1);
+        let ranked = history.current().rank(chat, count);
         let servers = ranked.iter().map(|member| &member.id);
         let mut plan = Self {
             candidates: SmallVec::new(),
             next: 0,
         };
-        for server in servers.clone().take(settings.warm_tries) {
-            plan.add(server, Terms::Warm);
+        for server in servers.clone().take(settings.max_warm_candidates) {
+            plan.add_candidate(server, Terms::Warm);
         }
         for server in &history.earlier_homes(chat, now) {
-            if !plan.candidates.iter().any(|known| known.server == *server) {
-                plan.add(server, Terms::Warm);
+            if !plan
+                .candidates
+                .iter()
+                .any(|existing| existing.server == *server)
+            {
+                plan.add_candidate(server, Terms::Warm);
             }
         }
-        for server in servers.clone().take(settings.tries) {
-            plan.add(server, Terms::Bounded);
+        for server in servers.clone().take(settings.max_candidates) {
+            plan.add_candidate(server, Terms::Bounded);
         }
-        for server in servers.take(settings.tries) {
-            plan.add(server, Terms::Queued);
+        for server in servers.take(settings.max_candidates) {
+            plan.add_candidate(server, Terms::Queued);
         }
         plan
     }
 
-    fn add(&mut self, server: &backend::Server, terms: Terms) {
+    fn add_candidate(&mut self, server: &backend::Server, terms: Terms) {
         self.candidates.push(Candidate {
             server: server.clone(),
             terms,
--- a/crates/placement/src/score.rs
+++ b/crates/placement/src/score.rs
@@ -9,13 +9,13 @@
 use xxhash_rust::xxh3;
 
 /// The odd terms of the series of the inverse hyperbolic tangent.
-const TERMS: [f64; 6] = [1.0, 1.0 / 3.0, 1.0 / 5.0, 1.0 / 7.0, 1.0 / 9.0, 1.0 / 11.0];
+const ATANH_COEFFICIENTS: [f64; 6] = [1.0, 1.0 / 3.0, 1.0 / 5.0, 1.0 / 7.0, 1.0 / 9.0, 1.0 / 11.0];
 
 /// The number of hashes, 2^64.
-const SPAN: f64 = 18_446_744_073_709_551_616.0;
+const HASH_COUNT: f64 = 18_446_744_073_709_551_616.0;
 
 /// The hash of one chat with one server, whose name has the hash `server`.
-pub fn pair(chat: chat::Key, server: u64) -> u64 {
+pub fn pair_hash(chat: chat::Key, server: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&chat.0.to_le_bytes());
     bytes[8..].copy_from_slice(&server.to_le_bytes());
@@ -34,12 +34,12 @@
 fn logarithm(hash: u64) -> f64 {
     let value = hash.saturating_add(1);
     let zeros = value.leading_zeros();
-    let mantissa = (value << zeros) as f64 / SPAN;
+    let mantissa = (value << zeros) as f64 / HASH_COUNT;
     let ratio = (mantissa - 1.0) / (mantissa + 1.0);
     let square = ratio * ratio;
-    let series = TERMS
+    let series = ATANH_COEFFICIENTS
         .iter()
         .rev()
-        .fold(0.0, |sum, term| sum * square + term);
+        .fold(0.0, |sum, coefficient| sum * square + coefficient);
     2.0 * ratio * series - f64::from(zeros) * std::f64::consts::LN_2
 }
--- a/crates/placement/src/topology.rs
+++ b/crates/placement/src/topology.rs
@@ -33,7 +33,7 @@
 
 /// What the rank of one eligible server is computed from.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct RankEntry {
     hash: u64,
     member: u32,
 }
@@ -44,8 +44,8 @@
 #[derive(Clone, Debug)]
 pub struct Topology {
     members: Vec<Member>,
-    eligible: Vec<Entry>,
-    uniform: bool,
+    eligible: Vec<RankEntry>,
+    has_equal_weights: bool,
 }
 
 impl Topology {
@@ -53,22 +53,22 @@
     pub fn new(mut members: Vec<Member>) -> Self {
         members.sort_by(|a, b| a.id.cmp(&b.id));
         members.dedup_by(|a, b| a.id == b.id);
-        let eligible: Vec<Entry> = (0..)
+        let eligible: Vec<RankEntry> = (0..)
             .zip(&members)
             .filter(|(_, member)| member.state == State::Eligible)
-            .map(|(index, member)| Entry {
+            .map(|(index, member)| RankEntry {
                 hash: xxh3::xxh3_64(member.id.as_str().as_bytes()),
                 member: index,
             })
             .collect();
-        let weight = |entry: &Entry| members[entry.member as usize].weight.max(1);
-        let uniform = eligible
+        let weight = |entry: &RankEntry| members[entry.member as usize].weight.max(1);
+        let has_equal_weights = eligible
             .windows(2)
             .all(|pair| weight(&pair[0]) == weight(&pair[1]));
         Self {
             members,
             eligible,
-            uniform,
+            has_equal_weights,
         }
     }
 
@@ -100,12 +100,12 @@
     pub fn rank(&self, chat: chat::Key, n: usize) -> Rank<'_> {
         // Servers of equal weight are compared by their hashes alone. The
         // score falls as the hash grows, so both ways give the same order.
-        if self.uniform {
-            self.select(n, |entry| !score::pair(chat, entry.hash))
+        if self.has_equal_weights {
+            self.select(n, |entry| !score::pair_hash(chat, entry.hash))
         } else {
             self.select(n, |entry| {
                 let weight = self.members[entry.member as usize].weight;
-                score::weighted(score::pair(chat, entry.hash), weight)
+                score::weighted(score::pair_hash(chat, entry.hash), weight)
             })
         }
     }
@@ -116,7 +116,7 @@
     }
 
     /// The `n` eligible servers with the lowest `score`, lowest first.
-    fn select<S: PartialOrd + Copy>(&self, n: usize, score: impl Fn(&Entry) -> S) -> Rank<'_> {
+    fn select<S: PartialOrd + Copy>(&self, n: usize, score: impl Fn(&RankEntry) -> S) -> Rank<'_> {
         let mut best: SmallVec<[(S, u32); 9]> = SmallVec::new();
         for entry in &self.eligible {
             let score = score(entry);
--- a/crates/placement/tests/bound.rs
+++ b/crates/placement/tests/bound.rs
@@ -2,12 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use placement::{Answer, Bound, Offer, Room, Settings, Total, plan::Terms, warmth::Knowledge};
+use placement::{
+    Bound, Capacity, Decision, Offer, Settings, TotalLoad, cache::CacheStatus, plan::Terms,
+};
 use proptest::{prelude::*, test_runner};
 use units::{cost::Cost, request, time::Instant};
 
 /// The mean from which on the bound is promised.
-const LEAST_MEAN: f64 = 4.0;
+const MIN_MEAN: f64 = 4.0;
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -59,9 +61,11 @@
         owners.map(|owner| owner.handover().in_flight).sum()
     }
 
-    fn total(&self) -> Total {
+    fn total(&self) -> TotalLoad {
         let engines = 0..self.admissions.len();
-        engines.map(|engine| Total::new(self.load(engine), 1)).sum()
+        engines
+            .map(|engine| TotalLoad::new(self.load(engine), 1))
+            .sum()
     }
 
     /// What an engine reports: all that it runs, whoever admitted it.
@@ -81,7 +85,7 @@
     }
 
     /// Another router takes the engine to be its own before the first one stops.
-    fn second_owner(&mut self, engine: usize) {
+    fn add_second_owner(&mut self, engine: usize) {
         if self.admissions[engine].len() > 1 {
             return;
         }
@@ -93,7 +97,12 @@
     }
 
     /// Offers a request. Returns the load of the engine and the mean after it, if taken.
-    fn offer(&mut self, engine: usize, owner: usize, knowledge: Knowledge) -> Option<(u32, f64)> {
+    fn offer(
+        &mut self,
+        engine: usize,
+        owner: usize,
+        cache_status: CacheStatus,
+    ) -> Option<(u32, f64)> {
         let owner = owner % self.admissions[engine].len();
         let total = self.total();
         let limit = self.bound.limit(1, total);
@@ -107,8 +116,8 @@
         let snapshot = admission.snapshot(now);
         let offer = Offer {
             terms: Terms::Bounded,
-            knowledge,
-            room: Room {
+            cache_status: cache_status,
+            capacity: Capacity {
                 load: snapshot.in_flight + snapshot.foreign,
                 limit: snapshot.limit,
                 queued: snapshot.queued,
@@ -116,7 +125,7 @@
             weight: 1,
             total,
         };
-        if offer.answer(&self.settings, &self.bound, now) == Answer::TurnDown {
+        if offer.decide(&self.settings, &self.bound, now) == Decision::Decline {
             return None;
         }
         self.attempts += 1;
@@ -161,7 +170,7 @@
 enum Step {
     Offer(usize, usize, bool),
     Finish(usize),
-    SecondOwner(usize),
+    AddSecondOwner(usize),
     Report(usize),
 }
 
@@ -171,7 +180,7 @@
     prop_oneof![
         12 => (0..ENGINES, 0..2_usize, any::<bool>()).prop_map(|(e, o, c)| Step::Offer(e, o, c)),
         4 => (0..40_usize).prop_map(Step::Finish),
-        1 => (0..ENGINES).prop_map(Step::SecondOwner),
+        1 => (0..ENGINES).prop_map(Step::AddSecondOwner),
         4 => (0..ENGINES).prop_map(Step::Report),
     ]
 }
@@ -184,7 +193,7 @@
     // of its callers wait while others idle. The first owner sees its own
     // requests and what the engine reports; the second one only a small share.
     #[test]
-    fn no_admission_fills_an_engine_beyond_the_bound(
+    fn admission_never_exceeds_the_load_bound(
         steps in prop::collection::vec(step(), 50..400),
     ) {
         let mut pool = Pool::new(ENGINES);
@@ -192,20 +201,20 @@
             pool.now = pool.now + std::time::Duration::from_millis(5);
             match step {
                 Step::Offer(engine, owner, cached) => {
-                    let knowledge = if cached { Knowledge::Cached(900) } else { Knowledge::Absent };
+                    let cache_status = if cached { CacheStatus::Cached(900) } else { CacheStatus::NotCached };
                     // Each owner hears the engine's report before it decides here;
                     // the lag of reports is admission's own test.
                     pool.report(engine);
-                    let Some((load, mean)) = pool.offer(engine, owner, knowledge) else {
+                    let Some((load, mean)) = pool.offer(engine, owner, cache_status) else {
                         continue;
                     };
-                    if mean >= LEAST_MEAN {
-                        let most = Settings::default().load_bound * mean;
-                        prop_assert!(f64::from(load) <= most + 1e-9, "load {load}, mean {mean}");
+                    if mean >= MIN_MEAN {
+                        let max_load = Settings::default().load_bound * mean;
+                        prop_assert!(f64::from(load) <= max_load + 1e-9, "load {load}, mean {mean}");
                     }
                 }
                 Step::Finish(index) => pool.finish(index),
-                Step::SecondOwner(engine) => pool.second_owner(engine),
+                Step::AddSecondOwner(engine) => pool.add_second_owner(engine),
                 Step::Report(engine) => pool.report(engine),
             }
         }
@@ -215,14 +224,14 @@
     // meet would refuse all work though every engine has room, and callers
     // would be turned away for good.
     #[test]
-    fn some_server_always_has_room_under_the_bound(
-        base in 0..200_u32, more in prop::collection::vec(0..2_u32, 1..50),
+    fn least_loaded_server_is_always_below_the_bound(
+        base in 0..200_u32, extra in prop::collection::vec(0..2_u32, 1..50),
     ) {
-        let loads: Vec<u32> = more.iter().map(|more| base + more).collect();
+        let loads: Vec<u32> = extra.iter().map(|extra| base + extra).collect();
         let bound = Bound::new(Settings::default());
-        let total: Total = loads.iter().map(|load| Total::new(*load, 1)).sum();
-        let least = loads.iter().min().copied().unwrap_or(0);
-        prop_assert!(bound.admits(least, None, 1, total));
+        let total: TotalLoad = loads.iter().map(|load| TotalLoad::new(*load, 1)).sum();
+        let min_load = loads.iter().min().copied().unwrap_or(0);
+        prop_assert!(bound.admits(min_load, None, 1, total));
     }
 }
 
@@ -231,18 +240,18 @@
 // everybody would refuse callers. The first build of the benchmark stayed at a
 // mean of 1.67 and refused 86% for this reason.
 #[test]
-fn cold_servers_do_not_pull_the_bound_down() {
+fn cold_servers_do_not_lower_the_bound() {
     let warm = 8 * 20;
     let mean = 20.0;
-    let counted: Total = (0..12)
+    let counted: TotalLoad = (0..12)
         .map(|engine| {
             let (load, limit) = if engine < 4 { (1, 1) } else { (20, 64) };
-            Total::counted(load, 1, limit, mean)
+            TotalLoad::contribution(load, 1, limit, mean)
         })
         .sum();
     assert_eq!(
         counted,
-        Total {
+        TotalLoad {
             requests: warm,
             weight: 8
         }
@@ -250,5 +259,5 @@
     let bound = Bound::new(Settings::default());
     assert!(bound.admits(20, None, 1, counted));
     // All have just started: their own limits are all that bounds them.
-    assert!(bound.admits(20, None, 1, Total::default()));
+    assert!(bound.admits(20, None, 1, TotalLoad::default()));
 }
--- a/crates/placement/tests/memory.rs
+++ b/crates/placement/tests/cache.rs
@@ -2,11 +2,11 @@
 
 use std::time::Duration;
 
-use placement::{History, Settings, Topology, Warmth, topology, warmth};
+use placement::{CacheIndex, History, Settings, Topology, cache, topology};
 use proptest::{prelude::*, test_runner};
 use units::{chat, time::Instant};
 
-const BOOT: warmth::Boot = warmth::Boot(1);
+const BOOT: cache::BootId = cache::BootId(1);
 
 fn config() -> ProptestConfig {
     ProptestConfig {
@@ -52,63 +52,63 @@
     // cached. So after a gap nothing older counts as cached until the engine
     // has served it again.
     #[test]
-    fn a_gap_in_the_cache_events_never_counts_as_cached(
+    fn chats_served_before_an_event_gap_are_not_cached(
         steps in prop::collection::vec(step(), 1..80),
     ) {
-        let mut memory = Warmth::new(Settings::default());
-        let (mut boot, mut number, mut now) = (BOOT, 0, 0);
+        let mut index = CacheIndex::new(Settings::default());
+        let (mut boot, mut sequence, mut now) = (BOOT, 0, 0);
         // What may be known for certain: the last word on each chat since the last gap.
-        let mut certain = [None; 6];
-        let mut heard = false;
+        let mut certain_tokens = [None; 6];
+        let mut has_received = false;
         let mut gap = false;
         for step in steps {
             now += 1;
             match step {
                 Step::Served(chat, tokens) => {
-                    memory.served(chat::Key(chat), tokens, at(now));
-                    certain[chat as usize] = Some(tokens);
+                    index.record_served(chat::Key(chat), tokens, at(now));
+                    certain_tokens[chat as usize] = Some(tokens);
                 }
                 Step::Stored(chat, tokens) => {
-                    number += 1;
-                    let event = warmth::Event::Stored { tokens };
-                    memory.event(boot, number, chat::Key(chat), event, at(now));
+                    sequence += 1;
+                    let event = cache::Event::Stored { tokens };
+                    index.apply_event(boot, sequence, chat::Key(chat), event, at(now));
                     if gap {
-                        certain = [None; 6];
+                        certain_tokens = [None; 6];
                     }
-                    certain[chat as usize] = Some(tokens);
-                    (heard, gap) = (true, false);
+                    certain_tokens[chat as usize] = Some(tokens);
+                    (has_received, gap) = (true, false);
                 }
                 Step::Evicted(chat) => {
-                    number += 1;
-                    memory.event(boot, number, chat::Key(chat), warmth::Event::Evicted, at(now));
+                    sequence += 1;
+                    index.apply_event(boot, sequence, chat::Key(chat), cache::Event::Evicted, at(now));
                     if gap {
-                        certain = [None; 6];
+                        certain_tokens = [None; 6];
                     }
-                    certain[chat as usize] = None;
-                    (heard, gap) = (true, false);
+                    certain_tokens[chat as usize] = None;
+                    (has_received, gap) = (true, false);
                 }
                 Step::Lost => {
-                    number += 1;
+                    sequence += 1;
                     gap = true;
                 }
                 Step::Late => {
-                    let event = warmth::Event::Stored { tokens: 5000 };
-                    memory.event(boot, number.min(1), chat::Key(0), event, at(now));
-                    if number == 0 || !heard {
+                    let event = cache::Event::Stored { tokens: 5000 };
+                    index.apply_event(boot, sequence.min(1), chat::Key(0), event, at(now));
+                    if sequence == 0 || !has_received {
                         return Ok(());
                     }
                 }
                 Step::Restarted => {
-                    boot = warmth::Boot(boot.0 + 1);
-                    memory.booted(boot);
-                    certain = [None; 6];
-                    (number, heard, gap) = (0, false, false);
+                    boot = cache::BootId(boot.0 + 1);
+                    index.observe_boot(boot);
+                    certain_tokens = [None; 6];
+                    (sequence, has_received, gap) = (0, false, false);
                 }
             }
             for chat in 0..6_u64 {
-                let known = memory.cached(chat::Key(chat), at(now));
-                let expected = certain[chat as usize];
-                prop_assert!(known.is_none() || known == expected, "chat {chat}: {known:?}, {expected:?}");
+                let cached = index.cached_tokens(chat::Key(chat), at(now));
+                let expected = certain_tokens[chat as usize];
+                prop_assert!(cached.is_none() || cached == expected, "chat {chat}: {cached:?}, {expected:?}");
             }
         }
     }
@@ -117,29 +117,29 @@
 // Millions of chats return, and a router remembers those of its engines. Without
 // a limit its memory would grow until the host kills it and all its streams.
 #[test]
-fn memory_is_bounded_and_keeps_the_latest() {
+fn index_is_bounded_and_keeps_the_latest_chats() {
     let settings = Settings {
-        chats_per_server: 100,
+        max_chats_per_server: 100,
         ..Settings::default()
     };
-    let mut memory = Warmth::new(settings);
+    let mut index = CacheIndex::new(settings);
     for number in 0..10_000 {
-        memory.served(chat::Key(number), 1000, at(number));
-        assert!(memory.len() <= 100);
+        index.record_served(chat::Key(number), 1000, at(number));
+        assert!(index.len() <= 100);
     }
-    let remembered = |chat| memory.cached(chat::Key(chat), at(10_000)).is_some();
+    let remembered = |chat| index.cached_tokens(chat::Key(chat), at(10_000)).is_some();
     assert!((9_900..10_000).all(remembered));
     assert!(!(0..9_900).any(remembered));
 }
 
-fn topology(out: bool) -> Topology {
+fn topology(exclude_zone: bool) -> Topology {
     let members = (0..12).map(|number| topology::Member {
         id: format!("engine-{number}").parse().expect("a valid name"),
         zone: format!("zone-{}", number % 3)
             .parse()
             .expect("a valid name"),
         weight: 1,
-        state: if out && number % 3 == 1 {
+        state: if exclude_zone && number % 3 == 1 {
             topology::State::Excluded
         } else {
             topology::State::Eligible
@@ -152,7 +152,7 @@
 // engines would compute thousands of prompts in one wave, and the first tokens
 // of all callers would be late. Each chat has its own instant within the window.
 #[test]
-fn chats_of_a_returning_zone_go_home_one_by_one() {
+fn chats_of_a_returning_zone_return_gradually() {
     let settings = Settings {
         return_window: Duration::from_secs(300),
         ..Settings::default()
@@ -161,33 +161,33 @@
     history.replace(topology(true), at(0));
     history.replace(topology(false), at(60_000));
     let chats = || (0..6_000_u64).map(|n| chat::Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-    let away = |now: u64| {
+    let chats_away = |now: u64| {
         let staying = chats().filter(|chat| !history.earlier_homes(*chat, at(now)).is_empty());
         staying.count()
     };
-    let moved = away(60_000);
+    let moved = chats_away(60_000);
     let share = moved as f64 / 6_000.0;
     assert!(
         (0.30..0.37).contains(&share),
         "a third of the chats has an earlier home: {share}"
     );
-    let mut before = moved;
+    let mut previously_away = moved;
     for now in (75_000..=360_000).step_by(15_000) {
-        let left = away(now);
-        let returned = (before - left) as f64 / moved as f64;
+        let still_away = chats_away(now);
+        let returned = (previously_away - still_away) as f64 / moved as f64;
         assert!(
             returned < 0.08,
             "{returned} of the chats return within 15 seconds"
         );
-        before = left;
+        previously_away = still_away;
     }
-    assert_eq!(before, 0);
+    assert_eq!(previously_away, 0);
 }
 
 // A zone goes out while chats still stay at an earlier home in it. The entry
 // must not send them there: the zone is about to be switched off.
 #[test]
-fn an_earlier_home_that_is_out_is_not_asked() {
+fn excluded_earlier_homes_are_not_candidates() {
     let mut history = History::new(Settings::default(), topology(false));
     history.replace(topology(true), at(0));
     for number in 0..5_000_u64 {
--- a/crates/placement/tests/rank.rs
+++ b/crates/placement/tests/rank.rs
@@ -36,9 +36,9 @@
     ranked.iter().map(|member| member.id.to_string()).collect()
 }
 
-fn mixed() -> impl Strategy<Value = Vec<topology::Member>> {
-    let one = (1..4_u32, any::<bool>());
-    prop::collection::vec(one, 1..60).prop_map(|list| {
+fn mixed_members() -> impl Strategy<Value = Vec<topology::Member>> {
+    let member_spec = (1..4_u32, any::<bool>());
+    prop::collection::vec(member_spec, 1..60).prop_map(|list| {
         let member = |(number, (weight, eligible)): (usize, (u32, bool))| {
             let state = if eligible {
                 topology::State::Eligible
@@ -58,21 +58,21 @@
     // If the order mattered, a chat would go to two engines and be computed on
     // both, and its caller would wait for the second prefill.
     #[test]
-    fn routers_agree_whatever_the_order_they_heard_in(
-        (told, shuffled) in mixed().prop_flat_map(|list| {
+    fn rank_is_independent_of_member_order_and_duplicates(
+        (original, shuffled) in mixed_members().prop_flat_map(|list| {
             let twice: Vec<_> = list.iter().chain(&list).cloned().collect();
             (Just(list), Just(twice).prop_shuffle())
         }),
         chat in any::<u64>(),
     ) {
-        let (one, other) = (Topology::new(told), Topology::new(shuffled));
-        prop_assert_eq!(names(&one, chat, 4), names(&other, chat, 4));
+        let (member_spec, other) = (Topology::new(original), Topology::new(shuffled));
+        prop_assert_eq!(names(&member_spec, chat, 4), names(&other, chat, 4));
     }
 
     // A zone is taken out or a server is drained. A request that still reached
     // it would be cut off when the operators switch it off.
     #[test]
-    fn excluded_servers_are_never_ranked(list in mixed(), chat in any::<u64>()) {
+    fn excluded_servers_are_never_ranked(list in mixed_members(), chat in any::<u64>()) {
         let topology = Topology::new(list);
         for ranked in topology.rank(chat::Key(chat), 100) {
             prop_assert_eq!(ranked.state, topology::State::Eligible);
@@ -83,16 +83,16 @@
     // Servers join, leave and flap all day. If that moved chats between the
     // servers that stayed, each change would empty all caches at once.
     #[test]
-    fn a_server_that_leaves_moves_only_its_own_chats(
-        list in mixed(), gone in any::<prop::sample::Index>(), chat in any::<u64>(),
+    fn removing_a_server_moves_only_its_own_chats(
+        list in mixed_members(), removed in any::<prop::sample::Index>(), chat in any::<u64>(),
     ) {
-        let gone = gone.index(list.len());
+        let removed = removed.index(list.len());
         let before = Topology::new(list.clone());
-        let mut rest = list;
-        let left = rest.remove(gone).id.to_string();
-        let after = Topology::new(rest);
+        let mut remaining = list;
+        let removed_name = remaining.remove(removed).id.to_string();
+        let after = Topology::new(remaining);
         let mut expected = names(&before, chat, 100);
-        expected.retain(|name| *name != left);
+        expected.retain(|name| *name != removed_name);
         prop_assert_eq!(names(&after, chat, 100), expected);
     }
 }
@@ -100,7 +100,7 @@
 // Operators give a large server twice the weight of a small one. With equal
 // shares the small ones would be full while the large ones idle.
 #[test]
-fn chats_are_shared_by_weight() {
+fn chats_are_distributed_by_weight() {
     let mut list = members(10);
     for large in &mut list[..5] {
         large.weight = 3;
@@ -121,13 +121,13 @@
 // by hash and unequal ones by score; if the two disagreed, this one server would
 // move the chats of all others.
 #[test]
-fn a_first_server_of_another_weight_moves_no_chat_between_the_others() {
+fn adding_a_server_of_another_weight_moves_no_other_chat() {
     let equal = Topology::new(members(50));
     let mut list = members(50);
     list.push(member(99, 2, topology::State::Eligible));
-    let mixed = Topology::new(list);
+    let with_other_weight = Topology::new(list);
     for chat in 0..5_000_u64 {
-        let mut ranked = names(&mixed, chat, 51);
+        let mut ranked = names(&with_other_weight, chat, 51);
         ranked.retain(|name| name != "engine-99");
         assert_eq!(ranked, names(&equal, chat, 50), "chat {chat}");
     }
--- a/crates/recovery/benches/recovery.rs
+++ b/crates/recovery/benches/recovery.rs
@@ -3,7 +3,7 @@
 use std::hint;
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use recovery::{Budget, Crash, Ejection, Settings, Strike, Suspects};
+use recovery::{Crash, OutlierDetector, RetryBudget, Settings, Strike, Suspects};
 use units::{backend::Server, request::Fingerprint, time::Instant, workspace};
 
 fn strike(number: u64) -> Strike {
@@ -19,7 +19,7 @@
         let now = Instant::from_millis(1);
         let mut suspects = Suspects::new(Settings::default());
         for number in 0..strikes {
-            suspects.learn(strike(number), now);
+            suspects.apply_strike(strike(number), now);
         }
         let mut number = 0;
         group.bench_function(BenchmarkId::new("standing", strikes), |bencher| {
@@ -32,14 +32,14 @@
         group.bench_function(BenchmarkId::new("learn", strikes), |bencher| {
             bencher.iter(|| {
                 number += 1;
-                suspects.learn(strike(number), now)
+                suspects.apply_strike(strike(number), now)
             });
         });
     }
     group.finish();
 }
 
-fn ejection(criterion: &mut Criterion) {
+fn outlier(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("ejection");
     for servers in [12, 100, 455] {
         let name = |number: usize| {
@@ -48,15 +48,15 @@
                 .expect("a name")
         };
         let zone = |number: usize| format!("zone-{}", number % 3).parse().expect("a name");
-        let mut ejection = Ejection::new(Settings::default());
-        ejection.set_servers((0..servers).map(|number| (name(number), zone(number))));
+        let mut detector = OutlierDetector::new(Settings::default());
+        detector.set_servers((0..servers).map(|number| (name(number), zone(number))));
         let now = Instant::from_millis(1);
         let server = name(servers / 2);
         group.bench_function(BenchmarkId::new("succeeded", servers), |bencher| {
-            bencher.iter(|| ejection.succeeded(hint::black_box(&server), now));
+            bencher.iter(|| detector.record_success(hint::black_box(&server), now));
         });
         group.bench_function(BenchmarkId::new("usable", servers), |bencher| {
-            bencher.iter(|| ejection.usable(hint::black_box(now)));
+            bencher.iter(|| detector.usable(hint::black_box(now)));
         });
     }
     group.finish();
@@ -68,18 +68,18 @@
         let name = |number: usize| format!("workspace-{number}").parse().expect("a name");
         let names: Vec<workspace::Id> = (0..workspaces).map(name).collect();
         let now = Instant::from_millis(1);
-        let mut budget = Budget::new(Settings::default(), now);
+        let mut budget = RetryBudget::new(Settings::default(), now);
         let mut number = 0;
         group.bench_function(BenchmarkId::new("request", workspaces), |bencher| {
             bencher.iter(|| {
                 number = (number + 1) % workspaces;
-                budget.request(&names[number], now);
-                budget.take(&names[number], now)
+                budget.record_request(&names[number], now);
+                budget.try_withdraw(&names[number], now)
             });
         });
     }
     group.finish();
 }
 
-criterion_group!(benches, suspects, ejection, budget);
+criterion_group!(benches, suspects, outlier, budget);
 criterion_main!(benches);
--- a/crates/recovery/examples/recovery_memory.rs
+++ b/crates/recovery/examples/recovery_memory.rs
@@ -2,11 +2,11 @@
 
 use std::{fs, hint};
 
-use recovery::{Budget, Connection, Crash, Ejection, Settings, Strike, Suspects};
+use recovery::{Connection, Crash, OutlierDetector, RetryBudget, Settings, Strike, Suspects};
 use units::{request::Fingerprint, time::Instant};
 
 /// Resident memory of the process in bytes.
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let status = fs::read_to_string("/proc/self/status").expect("a proc file system");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
@@ -20,30 +20,30 @@
         max_suspects: usize::MAX,
         ..Settings::default()
     };
-    let before = resident();
+    let before = resident_bytes();
     let mut suspects = Suspects::new(settings.clone());
     for number in 0..count {
         let strike = Strike {
             fingerprint: Fingerprint(number),
             crash: Crash(number / 10),
         };
-        suspects.learn(strike, now);
+        suspects.apply_strike(strike, now);
     }
-    println!("strike_bytes={}", (resident() - before) / count);
-    let before = resident();
-    let mut budget = Budget::new(settings.clone(), now);
+    println!("strike_bytes={}", (resident_bytes() - before) / count);
+    let before = resident_bytes();
+    let mut budget = RetryBudget::new(settings.clone(), now);
     for number in 0..count {
         let workspace = format!("workspace-{number}").parse().expect("a valid name");
-        budget.request(&workspace, now);
+        budget.record_request(&workspace, now);
     }
-    println!("workspace_bytes={}", (resident() - before) / count);
-    let before = resident();
-    let mut ejection = Ejection::new(settings);
-    ejection.set_servers((0..count).map(|number| {
+    println!("workspace_bytes={}", (resident_bytes() - before) / count);
+    let before = resident_bytes();
+    let mut detector = OutlierDetector::new(settings);
+    detector.set_servers((0..count).map(|number| {
         let server = format!("server-{number}").parse().expect("a valid name");
         (server, "zone-a".parse().expect("a valid name"))
     }));
-    println!("server_bytes={}", (resident() - before) / count);
+    println!("server_bytes={}", (resident_bytes() - before) / count);
     println!("connection_bytes={}", std::mem::size_of::<Connection>());
-    hint::black_box((suspects, budget, ejection));
+    hint::black_box((suspects, budget, detector));
 }
--- a/crates/recovery/src/budget.rs
+++ b/crates/recovery/src/budget.rs
@@ -7,7 +7,7 @@
 use crate::Settings;
 
 /// What one retry costs.
-const RETRY: u32 = 1000;
+const RETRY_COST: u32 = 1000;
 
 /// The retries that have been paid for, in thousandths.
 #[derive(Clone, Copy, Debug)]
@@ -18,11 +18,11 @@
 
 impl Account {
     fn deposit(&mut self, settings: &Settings, now: Instant) {
-        let most = settings.retry_burst.saturating_mul(RETRY);
+        let max_balance = settings.retry_burst.saturating_mul(RETRY_COST);
         self.balance = self
             .balance
             .saturating_add(settings.retry_permille)
-            .min(most);
+            .min(max_balance);
         self.used_at = now;
     }
 }
@@ -35,18 +35,18 @@
 /// what the others paid in; the router's own account bounds the sum, since
 /// otherwise the floors of many small workspaces add up.
 #[derive(Clone, Debug)]
-pub struct Budget {
+pub struct RetryBudget {
     settings: Settings,
     router: Account,
     workspaces: BTreeMap<workspace::Id, Account>,
     swept_at: Instant,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A budget that only the floor has been paid into.
     pub fn new(settings: Settings, now: Instant) -> Self {
         let router = Account {
-            balance: settings.retry_floor.saturating_mul(RETRY),
+            balance: settings.initial_retries.saturating_mul(RETRY_COST),
             used_at: now,
         };
         Self {
@@ -58,7 +58,7 @@
     }
 
     /// A request of `workspace` was sent for the first time.
-    pub fn request(&mut self, workspace: &workspace::Id, now: Instant) {
+    pub fn record_request(&mut self, workspace: &workspace::Id, now: Instant) {
         self.sweep(now);
         self.router.deposit(&self.settings, now);
         if let Some(account) = self.workspaces.get_mut(workspace) {
@@ -66,7 +66,7 @@
             return;
         }
         let mut account = Account {
-            balance: self.settings.retry_floor.saturating_mul(RETRY),
+            balance: self.settings.initial_retries.saturating_mul(RETRY_COST),
             used_at: now,
         };
         account.deposit(&self.settings, now);
@@ -74,16 +74,16 @@
     }
 
     /// Pays for a retry of `workspace`, if it can.
-    pub fn take(&mut self, workspace: &workspace::Id, now: Instant) -> bool {
+    pub fn try_withdraw(&mut self, workspace: &workspace::Id, now: Instant) -> bool {
         let Some(account) = self.workspaces.get_mut(workspace) else {
             return false;
         };
-        if account.balance < RETRY || self.router.balance < RETRY {
+        if account.balance < RETRY_COST || self.router.balance < RETRY_COST {
             return false;
         }
-        account.balance -= RETRY;
+        account.balance -= RETRY_COST;
         account.used_at = now;
-        self.router.balance -= RETRY;
+        self.router.balance -= RETRY_COST;
         true
     }
 
@@ -99,12 +99,12 @@
 
     /// Forgets idle workspaces once in a window.
     fn sweep(&mut self, now: Instant) {
-        let window = self.settings.retry_window;
-        if now.since(self.swept_at) < window {
+        let idle_timeout = self.settings.workspace_idle_timeout;
+        if now.since(self.swept_at) < idle_timeout {
             return;
         }
         self.swept_at = now;
         self.workspaces
-            .retain(|_, account| now.since(account.used_at) < window);
+            .retain(|_, account| now.since(account.used_at) < idle_timeout);
     }
 }
--- a/crates/recovery/src/connection.rs
+++ b/crates/recovery/src/connection.rs
@@ -6,11 +6,11 @@
 
 /// What a probe over a fresh connection to the same server found.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Probe {
+pub enum ProbeResult {
     /// The server has produced more of the answer than arrived here.
     Ahead,
     /// The server runs the attempt and has produced no more than arrived here.
-    Level,
+    CaughtUp,
     /// The server answers but knows nothing of the attempt, or cannot say.
     Unknown,
     /// No fresh connection came about, or it went unanswered.
@@ -19,14 +19,14 @@
 
 /// What is to be done about a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Advice {
+pub enum Action {
     /// Nothing.
     Wait,
     /// Ask the same server about the attempt over a fresh connection.
     Probe,
     /// Close this connection only, and resume the answer over the fresh one
     /// where the server can; the attempt may have run.
-    Drop,
+    CloseConnection,
     /// Treat the server as failed.
     ServerFailed,
 }
@@ -54,27 +54,27 @@
     settings: Settings,
     state: State,
     /// Probes since the last progress that found the attempt running.
-    quiet_probes: u32,
+    probes_without_progress: u32,
 }
 
 impl Connection {
     /// A connection on which a request was sent just now.
     pub fn new(settings: Settings, now: Instant) -> Self {
-        let state = State::Open(now + settings.progress);
+        let state = State::Open(now + settings.progress_timeout);
         Self {
             settings,
             state,
-            quiet_probes: 0,
+            probes_without_progress: 0,
         }
     }
 
     /// Bytes of the answer arrived.
-    pub fn progressed(&mut self, now: Instant) {
+    pub fn record_progress(&mut self, now: Instant) {
         if self.state == State::Closed {
             return;
         }
-        self.quiet_probes = 0;
-        self.state = State::Open(now + self.settings.progress);
+        self.probes_without_progress = 0;
+        self.state = State::Open(now + self.settings.progress_timeout);
     }
 
     /// When [`Self::tick`] has something to say.
@@ -86,38 +86,41 @@
     }
 
     /// Lets time pass.
-    pub fn tick(&mut self, now: Instant) -> Advice {
+    pub fn tick(&mut self, now: Instant) -> Action {
         match self.state {
-            State::Open(due) if now >= due => {
-                self.state = State::Probing(now + self.settings.probe);
-                Advice::Probe
+            State::Open(deadline) if now >= deadline => {
+                self.state = State::Probing(now + self.settings.probe_timeout);
+                Action::Probe
             }
-            State::Probing(due) if now >= due => self.probed(Probe::Failed, now),
-            State::Open(_) | State::Probing(_) | State::Closed => Advice::Wait,
+            State::Probing(deadline) if now >= deadline => {
+                self.record_probe(ProbeResult::Failed, now)
+            }
+            State::Open(_) | State::Probing(_) | State::Closed => Action::Wait,
         }
     }
 
     /// A probe was answered. Answers that come after progress or after the
     /// connection was given up are ignored.
-    pub fn probed(&mut self, probe: Probe, now: Instant) -> Advice {
+    pub fn record_probe(&mut self, result: ProbeResult, now: Instant) -> Action {
         let State::Probing(_) = self.state else {
-            return Advice::Wait;
+            return Action::Wait;
         };
-        match probe {
-            Probe::Level => {
+        match result {
+            ProbeResult::CaughtUp => {
                 // The request is slow: ask again, each time later.
-                self.quiet_probes = self.quiet_probes.saturating_add(1).min(5);
-                let patience = self.settings.progress * (1 << self.quiet_probes);
-                self.state = State::Open(now + patience);
-                Advice::Wait
+                self.probes_without_progress =
+                    self.probes_without_progress.saturating_add(1).min(5);
+                let timeout = self.settings.progress_timeout * (1 << self.probes_without_progress);
+                self.state = State::Open(now + timeout);
+                Action::Wait
             }
-            Probe::Ahead | Probe::Unknown => {
+            ProbeResult::Ahead | ProbeResult::Unknown => {
                 self.state = State::Closed;
-                Advice::Drop
+                Action::CloseConnection
             }
-            Probe::Failed => {
+            ProbeResult::Failed => {
                 self.state = State::Closed;
-                Advice::ServerFailed
+                Action::ServerFailed
             }
         }
     }
--- a/crates/recovery/src/ejection.rs
+++ b/crates/recovery/src/outlier.rs
@@ -15,7 +15,7 @@
     ejections: u32,
     ejected_until: Instant,
     /// When one ejection less counts, if the server stays healthy.
-    forgiven_at: Instant,
+    ejections_decay_at: Instant,
 }
 
 impl Record {
@@ -25,7 +25,7 @@
             failures: 0,
             ejections: 0,
             ejected_until: Instant::ZERO,
-            forgiven_at: Instant::ZERO,
+            ejections_decay_at: Instant::ZERO,
         }
     }
 
@@ -44,12 +44,12 @@
 /// all are used: all of the pool as it was set, so that servers that are out
 /// or drained stay without work.
 #[derive(Clone, Debug)]
-pub struct Ejection {
+pub struct OutlierDetector {
     settings: Settings,
     records: BTreeMap<backend::Server, Record>,
 }
 
-impl Ejection {
+impl OutlierDetector {
     /// A pool without servers.
     pub fn new(settings: Settings) -> Self {
         Self {
@@ -78,35 +78,36 @@
     ///
     /// While it is ejected that tells nothing new: the request began before.
     /// While all are used in spite of their failures, it ends the ejection.
-    pub fn succeeded(&mut self, server: &backend::Server, now: Instant) {
+    pub fn record_success(&mut self, server: &backend::Server, now: Instant) {
         let failing = self.records.get(server);
         let failing = failing.is_some_and(|record| record.is_failing(now));
-        if failing && !self.is_panicking(now) {
+        if failing && !self.is_in_panic_mode(now) {
             return;
         }
         let settings = &self.settings;
         let Some(record) = self.records.get_mut(server) else {
             return;
         };
-        let returned = record.ejections > 0;
+        let was_ejected = record.ejections > 0;
         record.failures = record.failures.saturating_sub(1);
         record.ejected_until = record.ejected_until.min(now);
-        if returned && now >= record.forgiven_at {
+        if was_ejected && now >= record.ejections_decay_at {
             record.ejections -= 1;
-            record.forgiven_at = now + length(record.ejections, settings);
+            record.ejections_decay_at = now + ejection_time(record.ejections, settings);
         }
-        if returned {
+        if was_ejected {
             let zone = record.zone.clone();
-            self.zone_returned(&zone, now);
+            self.end_zone_ejections(&zone, now);
         }
     }
 
     /// A request failed on `server`, or no connection to it came about.
-    pub fn failed(&mut self, server: &backend::Server, now: Instant) {
+    pub fn record_failure(&mut self, server: &backend::Server, now: Instant) {
         let Some(record) = self.records.get(server) else {
             return;
         };
-        let is_tolerant = record.ejections == 0 && !self.is_zone_failing(&record.zone, now);
+        let is_failure_tolerated =
+            record.ejections == 0 && !self.is_zone_failing(&record.zone, now);
         let settings = &self.settings;
         let Some(record) = self.records.get_mut(server) else {
             return;
@@ -114,9 +115,11 @@
         if record.is_failing(now) {
             return;
         }
-        let worth = settings.successes.max(1);
-        record.failures = record.failures.saturating_add(worth);
-        if is_tolerant && record.failures < settings.failures.saturating_mul(worth) {
+        let failure_weight = settings.successes_per_failure.max(1);
+        record.failures = record.failures.saturating_add(failure_weight);
+        if is_failure_tolerated
+            && record.failures < settings.ejection_failures.saturating_mul(failure_weight)
+        {
             return;
         }
         self.eject(server, now);
@@ -131,23 +134,23 @@
         if record.is_failing(now) {
             return;
         }
-        let length = length(record.ejections, settings);
+        let ejection_time = ejection_time(record.ejections, settings);
         record.ejections = record.ejections.saturating_add(1);
         record.failures = 0;
-        record.ejected_until = now + length;
-        record.forgiven_at = record.ejected_until + length;
+        record.ejected_until = now + ejection_time;
+        record.ejections_decay_at = record.ejected_until + ejection_time;
     }
 
     /// Whether so many servers fail that all are used.
-    pub fn is_panicking(&self, now: Instant) -> bool {
+    pub fn is_in_panic_mode(&self, now: Instant) -> bool {
         let failing = self.records.values();
         let failing = failing.filter(|record| record.is_failing(now)).count();
-        failing > self.most_ejected()
+        failing > self.max_ejected()
     }
 
     /// The most servers that are ejected at a time.
-    pub fn most_ejected(&self) -> usize {
-        self.records.len() * self.settings.max_ejected_permille as usize / 1000
+    pub fn max_ejected(&self) -> usize {
+        self.records.len() * self.settings.max_ejection_permille as usize / 1000
     }
 
     /// Whether `server` counts as failing, whether it is left out or not.
@@ -159,12 +162,12 @@
     /// Whether `server` is left out at present.
     pub fn is_ejected(&self, server: &backend::Server, now: Instant) -> bool {
         let record = self.records.get(server);
-        record.is_some_and(|record| record.is_failing(now)) && !self.is_panicking(now)
+        record.is_some_and(|record| record.is_failing(now)) && !self.is_in_panic_mode(now)
     }
 
     /// Servers that are left out at present, with the end of their ejection.
     pub fn ejected(&self, now: Instant) -> Vec<(backend::Server, Instant)> {
-        if self.is_panicking(now) {
+        if self.is_in_panic_mode(now) {
             return Vec::new();
         }
         let ejected = self.records.iter();
@@ -176,7 +179,7 @@
 
     /// Servers that get work at present.
     pub fn usable(&self, now: Instant) -> Vec<backend::Server> {
-        let panicking = self.is_panicking(now);
+        let panicking = self.is_in_panic_mode(now);
         let usable = self.records.iter();
         let usable = usable.filter(|(_, record)| panicking || !record.is_failing(now));
         usable.map(|(server, _)| server.clone()).collect()
@@ -194,7 +197,7 @@
     ///
     /// After a long cut their deadlines lie minutes ahead. Without this a zone
     /// that is back would stay without work for as long.
-    fn zone_returned(&mut self, zone: &availability::Zone, now: Instant) {
+    fn end_zone_ejections(&mut self, zone: &availability::Zone, now: Instant) {
         if !self.is_zone_failing(zone, now) {
             return;
         }
@@ -207,10 +210,10 @@
 }
 
 /// How long the ejection after `ejections` earlier ones lasts.
-fn length(ejections: u32, settings: &Settings) -> Duration {
+fn ejection_time(ejections: u32, settings: &Settings) -> Duration {
     let factor = 1_u32.checked_shl(ejections).unwrap_or(u32::MAX);
     settings
-        .ejection
+        .base_ejection_time
         .saturating_mul(factor)
-        .min(settings.max_ejection)
+        .min(settings.max_ejection_time)
 }
--- a/crates/recovery/src/retry.rs
+++ b/crates/recovery/src/retry.rs
@@ -3,7 +3,7 @@
 use units::{time::Instant, workspace};
 use verdict::{Code, Refusal, Verdict};
 
-use crate::{Budget, Settings};
+use crate::{RetryBudget, Settings};
 
 /// What an attempt failed of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,7 +28,7 @@
     /// Whether the request may run twice.
     pub idempotent: bool,
     /// Whether part of an answer has reached the caller.
-    pub answered: bool,
+    pub response_started: bool,
     /// Attempts that have reached for a backend server, this one included.
     pub attempts: u32,
     /// Refusals by owners, this one included.
@@ -57,17 +57,17 @@
     pub fn decide(
         failure: Failure<'_>,
         settings: &Settings,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
         now: Instant,
     ) -> Self {
         let Err(code) = Self::allowed(&failure, settings, budget, now) else {
             return Self::Next;
         };
-        let helps = !is_final(failure.refusal.code) && !failure.answered;
-        let later = helps.then(|| now + settings.retry_after);
+        let is_retry_useful = !is_final(failure.refusal.code) && !failure.response_started;
+        let default_retry_at = is_retry_useful.then(|| now + settings.retry_after);
         Self::GiveUp(Refusal {
             code,
-            retry_at: failure.refusal.retry_at.or(later),
+            retry_at: failure.refusal.retry_at.or(default_retry_at),
             ..failure.refusal
         })
     }
@@ -76,25 +76,25 @@
     fn allowed(
         failure: &Failure<'_>,
         settings: &Settings,
-        budget: &mut Budget,
+        budget: &mut RetryBudget,
         now: Instant,
     ) -> Result<(), Code> {
         let code = failure.refusal.code;
         let may_run_twice = failure.idempotent || failure.refusal.verdict == Verdict::NotRun;
-        if failure.answered || !may_run_twice || is_final(code) || failure.candidates == 0 {
+        if failure.response_started || !may_run_twice || is_final(code) || failure.candidates == 0 {
             return Err(code);
         }
         if now >= failure.deadline {
             return Err(Code::Deadline);
         }
         if failure.cause == Cause::Refused {
-            let left = failure.refusals < settings.max_refusals;
-            return if left { Ok(()) } else { Err(code) };
+            let is_below_limit = failure.refusals < settings.max_refusals;
+            return if is_below_limit { Ok(()) } else { Err(code) };
         }
         if failure.attempts >= settings.max_attempts {
             return Err(code);
         }
-        if !budget.take(failure.workspace, now) {
+        if !budget.try_withdraw(failure.workspace, now) {
             return Err(Code::RetryBudget);
         }
         Ok(())
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -8,27 +8,27 @@
     /// Retries for each thousand requests of a workspace, and of the router.
     pub retry_permille: u32,
     /// Retries that a workspace may make before its requests have paid for them.
-    pub retry_floor: u32,
+    pub initial_retries: u32,
     /// The most retries that can be saved up.
     pub retry_burst: u32,
     /// A workspace without requests for this long is forgotten.
-    pub retry_window: Duration,
+    pub workspace_idle_timeout: Duration,
     /// The most attempts that may reach a backend server for one request.
     pub max_attempts: u32,
     /// The most refusals by owners before a request is given up.
     pub max_refusals: u32,
-    /// Failures that eject a server, each made up for by `successes` successes.
-    pub failures: u32,
-    /// See `failures`.
-    pub successes: u32,
+    /// Failures that eject a server, each made up for by `successes_per_failure` successes.
+    pub ejection_failures: u32,
+    /// See `ejection_failures`.
+    pub successes_per_failure: u32,
     /// How long the first ejection lasts; each further one lasts twice as long.
-    pub ejection: Duration,
+    pub base_ejection_time: Duration,
     /// How long the longest ejection lasts.
-    pub max_ejection: Duration,
+    pub max_ejection_time: Duration,
     /// The largest share of a pool that is ejected, in thousandths.
-    pub max_ejected_permille: u32,
+    pub max_ejection_permille: u32,
     /// Strikes at which a request is refused.
-    pub strikes: usize,
+    pub refuse_at_strikes: usize,
     /// How long a strike counts.
     pub strike_expiry: Duration,
     /// The most fingerprints with strikes that are remembered.
@@ -38,32 +38,32 @@
     /// When a caller may come back whose request failed.
     pub retry_after: Duration,
     /// How long a connection may make no progress before it is probed.
-    pub progress: Duration,
+    pub progress_timeout: Duration,
     /// How long a probe may take.
-    pub probe: Duration,
+    pub probe_timeout: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             retry_permille: 100,
-            retry_floor: 1,
+            initial_retries: 1,
             retry_burst: 20,
-            retry_window: Duration::from_secs(60),
+            workspace_idle_timeout: Duration::from_secs(60),
             max_attempts: 2,
             max_refusals: 3,
-            failures: 3,
-            successes: 3,
-            ejection: Duration::from_secs(5),
-            max_ejection: Duration::from_secs(300),
-            max_ejected_permille: 500,
-            strikes: 2,
+            ejection_failures: 3,
+            successes_per_failure: 3,
+            base_ejection_time: Duration::from_secs(5),
+            max_ejection_time: Duration::from_secs(300),
+            max_ejection_permille: 500,
+            refuse_at_strikes: 2,
             strike_expiry: Duration::from_secs(600),
             max_suspects: 4096,
             max_isolated: 64,
             retry_after: Duration::from_secs(1),
-            progress: Duration::from_secs(2),
-            probe: Duration::from_secs(1),
+            progress_timeout: Duration::from_secs(2),
+            probe_timeout: Duration::from_secs(1),
         }
     }
 }
--- a/crates/recovery/src/suspects.rs
+++ b/crates/recovery/src/suspects.rs
@@ -59,11 +59,11 @@
 }
 
 impl Record {
-    fn is_known(&self, crash: Crash) -> bool {
+    fn contains(&self, crash: Crash) -> bool {
         self.crashes.contains(&crash) || self.lifted.contains(&crash)
     }
 
-    fn lift(&mut self, crash: Crash) {
+    fn lift_crash(&mut self, crash: Crash) {
         self.crashes.retain(|other| *other != crash);
         if !self.lifted.contains(&crash) && self.lifted.len() < MAX_CRASHES {
             self.lifted.push(crash);
@@ -83,7 +83,7 @@
 /// When a zone loses power, every request in it gets a strike. Run one at a
 /// time, they would block each other for minutes; so beyond a set number they
 /// run side by side. A body that many callers send was in flight on several of
-/// the servers at once, and that counts as one strike: see [`Self::struck`].
+/// the servers at once, and that counts as one strike: see [`Self::record_crash`].
 ///
 /// Strikes and their lifting are sets of named deaths, so that duplicates and
 /// any order of arrival lead to the same standing on every router.
@@ -107,27 +107,32 @@
         }
     }
 
-    /// A server died with an attempt in flight that began at `began_at`.
+    /// A server died with an attempt in flight that began at `started_at`.
     /// Returns the strike to pass on, if there is one.
     ///
     /// An attempt that began before an earlier death was known was not a repeat
     /// after that death. Both may have died of the same outage, so that this
     /// one proves nothing further.
-    pub fn struck(&mut self, strike: Strike, began_at: Instant, now: Instant) -> Option<Strike> {
-        let earlier = self.records.get(&strike.fingerprint);
+    pub fn record_crash(
+        &mut self,
+        strike: Strike,
+        started_at: Instant,
+        now: Instant,
+    ) -> Option<Strike> {
+        let existing = self.records.get(&strike.fingerprint);
         let overlaps =
-            |record: &Record| !record.crashes.is_empty() && began_at <= record.noticed_at;
-        if earlier.is_some_and(overlaps) {
+            |record: &Record| !record.crashes.is_empty() && started_at <= record.noticed_at;
+        if existing.is_some_and(overlaps) {
             return None;
         }
-        self.learn(strike, now).then_some(strike)
+        self.apply_strike(strike, now).then_some(strike)
     }
 
     /// Takes in a strike of this or another router. Returns whether it was news.
-    pub fn learn(&mut self, strike: Strike, now: Instant) -> bool {
+    pub fn apply_strike(&mut self, strike: Strike, now: Instant) -> bool {
         self.expire(now);
-        self.change(strike.fingerprint, now, |record| {
-            if record.is_known(strike.crash) || record.crashes.len() >= MAX_CRASHES {
+        self.update(strike.fingerprint, now, |record| {
+            if record.contains(strike.crash) || record.crashes.len() >= MAX_CRASHES {
                 return false;
             }
             record.crashes.push(strike.crash);
@@ -138,28 +143,28 @@
 
     /// The request completed, so that it does not crash servers. Returns the
     /// strikes that are lifted, to pass on.
-    pub fn completed(&mut self, fingerprint: request::Fingerprint) -> Vec<Strike> {
-        let Some(mut record) = self.take(fingerprint) else {
+    pub fn record_completion(&mut self, fingerprint: request::Fingerprint) -> Vec<Strike> {
+        let Some(mut record) = self.remove_record(fingerprint) else {
             return Vec::new();
         };
         let mut lifted = Vec::new();
         // Two strikes are final: the answer came from a run that began before.
-        if record.crashes.len() < self.settings.strikes {
+        if record.crashes.len() < self.settings.refuse_at_strikes {
             for crash in record.crashes.clone() {
-                record.lift(crash);
+                record.lift_crash(crash);
                 lifted.push(Strike { fingerprint, crash });
             }
         }
-        self.put(fingerprint, record);
+        self.insert_record(fingerprint, record);
         lifted
     }
 
     /// A strike is lifted, here or by another router. It stays lifted if it is
     /// learned later.
-    pub fn lift(&mut self, strike: Strike, now: Instant) {
+    pub fn lift_strike(&mut self, strike: Strike, now: Instant) {
         self.expire(now);
-        self.change(strike.fingerprint, now, |record| {
-            record.lift(strike.crash);
+        self.update(strike.fingerprint, now, |record| {
+            record.lift_crash(strike.crash);
             true
         });
     }
@@ -172,8 +177,8 @@
             .map_or(0, |record| record.crashes.len());
         if strikes == 0 {
             Standing::Clear
-        } else if strikes < self.settings.strikes {
-            self.isolated()
+        } else if strikes < self.settings.refuse_at_strikes {
+            self.standing_with_strike()
         } else {
             Standing::Refused(Refusal::not_run(
                 Code::Suspect,
@@ -183,7 +188,7 @@
     }
 
     /// How a request with a strike runs.
-    fn isolated(&self) -> Standing {
+    fn standing_with_strike(&self) -> Standing {
         if self.suspected > self.settings.max_isolated {
             Standing::Clear
         } else {
@@ -212,43 +217,43 @@
     /// Forgets strikes that no longer count.
     pub fn expire(&mut self, now: Instant) {
         while self.expiry.first().is_some_and(|&(at, _)| at <= now) {
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
     /// Changes the record of a request. If `change` returns true, the record
     /// expires anew from now on.
-    fn change(
+    fn update(
         &mut self,
         fingerprint: request::Fingerprint,
         now: Instant,
-        change: impl FnOnce(&mut Record) -> bool,
+        update: impl FnOnce(&mut Record) -> bool,
     ) -> bool {
         let expires_at = now + self.settings.strike_expiry;
-        let mut record = self.take(fingerprint).unwrap_or(Record {
+        let mut record = self.remove_record(fingerprint).unwrap_or(Record {
             crashes: SmallVec::new(),
             lifted: SmallVec::new(),
             noticed_at: now,
             expires_at,
         });
-        let changed = change(&mut record);
+        let changed = update(&mut record);
         if changed {
             record.expires_at = expires_at;
         }
-        self.put(fingerprint, record);
+        self.insert_record(fingerprint, record);
         while self.records.len() > self.settings.max_suspects {
-            self.forget_oldest();
+            self.evict_oldest();
         }
         changed
     }
 
-    fn put(&mut self, fingerprint: request::Fingerprint, record: Record) {
+    fn insert_record(&mut self, fingerprint: request::Fingerprint, record: Record) {
         self.suspected += usize::from(self.is_suspected(&record));
         self.expiry.insert((record.expires_at, fingerprint));
         self.records.insert(fingerprint, record);
     }
 
-    fn take(&mut self, fingerprint: request::Fingerprint) -> Option<Record> {
+    fn remove_record(&mut self, fingerprint: request::Fingerprint) -> Option<Record> {
         let record = self.records.remove(&fingerprint)?;
         self.suspected -= usize::from(self.is_suspected(&record));
         self.expiry.remove(&(record.expires_at, fingerprint));
@@ -256,12 +261,12 @@
     }
 
     fn is_suspected(&self, record: &Record) -> bool {
-        !record.crashes.is_empty() && record.crashes.len() < self.settings.strikes
+        !record.crashes.is_empty() && record.crashes.len() < self.settings.refuse_at_strikes
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         if let Some(&(_, fingerprint)) = self.expiry.first() {
-            self.take(fingerprint);
+            self.remove_record(fingerprint);
         }
     }
 }
--- a/crates/recovery/tests/failures/connection.rs
+++ b/crates/recovery/tests/failures/connection.rs
@@ -1,6 +1,6 @@
 //! Connections that go silent, and servers that do.
 
-use recovery::{Advice, Connection, Probe, Settings};
+use recovery::{Action, Connection, ProbeResult, Settings};
 use units::time::Instant;
 use yare::parameterized;
 
@@ -9,10 +9,10 @@
 enum Event {
     Bytes(u64),
     Tick(u64),
-    Answer(u64, Probe),
+    ProbeDone(u64, ProbeResult),
 }
 
-use Event::{Answer, Bytes, Tick};
+use Event::{Bytes, ProbeDone, Tick};
 
 // Something between the two ends loses track of a connection, and nothing
 // arrives on it any more, while the server is well. Users wait for ever. Taken
@@ -21,49 +21,51 @@
 // that are answered late or not at all.
 #[parameterized(
     silent_connection = {
-        &[Bytes(500), Tick(2000), Tick(2600), Answer(2700, Probe::Ahead), Tick(9000)],
-        &[Advice::Wait, Advice::Probe, Advice::Drop, Advice::Wait],
+        &[Bytes(500), Tick(2000), Tick(2600), ProbeDone(2700, ProbeResult::Ahead), Tick(9000)],
+        &[Action::Wait, Action::Probe, Action::CloseConnection, Action::Wait],
     },
-    server_knows_nothing_of_it = {
-        &[Tick(2000), Answer(2100, Probe::Unknown)],
-        &[Advice::Probe, Advice::Drop],
+    attempt_unknown_to_server = {
+        &[Tick(2000), ProbeDone(2100, ProbeResult::Unknown)],
+        &[Action::Probe, Action::CloseConnection],
     },
     dead_server = {
-        &[Tick(2000), Answer(2400, Probe::Failed), Tick(9000)],
-        &[Advice::Probe, Advice::ServerFailed, Advice::Wait],
+        &[Tick(2000), ProbeDone(2400, ProbeResult::Failed), Tick(9000)],
+        &[Action::Probe, Action::ServerFailed, Action::Wait],
     },
-    dead_server_without_an_answer = {
-        &[Tick(2000), Tick(2900), Tick(3000), Answer(3100, Probe::Level)],
-        &[Advice::Probe, Advice::Wait, Advice::ServerFailed, Advice::Wait],
+    dead_server_with_probe_timeout = {
+        &[Tick(2000), Tick(2900), Tick(3000), ProbeDone(3100, ProbeResult::CaughtUp)],
+        &[Action::Probe, Action::Wait, Action::ServerFailed, Action::Wait],
     },
     slow_request = {
         &[
-            Tick(2000), Answer(2100, Probe::Level), Tick(6000), Tick(6100),
-            Answer(6200, Probe::Level), Tick(14_000), Tick(14_200), Bytes(14_300), Tick(14_400),
+            Tick(2000), ProbeDone(2100, ProbeResult::CaughtUp), Tick(6000), Tick(6100),
+            ProbeDone(6200, ProbeResult::CaughtUp), Tick(14_000), Tick(14_200), Bytes(14_300), Tick(14_400),
         ],
         &[
-            Advice::Probe, Advice::Wait, Advice::Wait, Advice::Probe,
-            Advice::Wait, Advice::Wait, Advice::Probe, Advice::Wait,
+            Action::Probe, Action::Wait, Action::Wait, Action::Probe,
+            Action::Wait, Action::Wait, Action::Probe, Action::Wait,
         ],
     },
-    bytes_overtake_the_probe = {
-        &[Tick(2000), Bytes(2050), Answer(2100, Probe::Ahead), Tick(4000), Tick(4050)],
-        &[Advice::Probe, Advice::Wait, Advice::Wait, Advice::Probe],
+    bytes_arrive_before_the_probe_result = {
+        &[Tick(2000), Bytes(2050), ProbeDone(2100, ProbeResult::Ahead), Tick(4000), Tick(4050)],
+        &[Action::Probe, Action::Wait, Action::Wait, Action::Probe],
     },
-    bytes_after_the_end = {
-        &[Tick(2000), Answer(2100, Probe::Ahead), Bytes(2200), Tick(9000)],
-        &[Advice::Probe, Advice::Drop, Advice::Wait],
+    bytes_after_close = {
+        &[Tick(2000), ProbeDone(2100, ProbeResult::Ahead), Bytes(2200), Tick(9000)],
+        &[Action::Probe, Action::CloseConnection, Action::Wait],
     },
 )]
-fn a_silent_connection_is_told_from_a_dead_server(events: &[Event], expected: &[Advice]) {
+fn silent_connections_are_distinguished_from_dead_servers(events: &[Event], expected: &[Action]) {
     let mut connection = Connection::new(Settings::default(), Instant::ZERO);
-    let mut advice = Vec::new();
+    let mut actions = Vec::new();
     for event in events {
         match *event {
-            Bytes(at) => connection.progressed(Instant::from_millis(at)),
-            Tick(at) => advice.push(connection.tick(Instant::from_millis(at))),
-            Answer(at, probe) => advice.push(connection.probed(probe, Instant::from_millis(at))),
+            Bytes(at) => connection.record_progress(Instant::from_millis(at)),
+            Tick(at) => actions.push(connection.tick(Instant::from_millis(at))),
+            ProbeDone(at, result) => {
+                actions.push(connection.record_probe(result, Instant::from_millis(at)))
+            }
         }
     }
-    assert_eq!(advice, expected);
+    assert_eq!(actions, expected);
 }
--- a/crates/recovery/tests/failures/crashes.rs
+++ b/crates/recovery/tests/failures/crashes.rs
@@ -19,9 +19,9 @@
 struct Job {
     fingerprint: Fingerprint,
     attempts: u32,
-    left: u64,
+    remaining_steps: u64,
     suspect: bool,
-    began_at: Instant,
+    started_at: Instant,
 }
 
 impl Job {
@@ -38,7 +38,7 @@
 }
 
 #[derive(Debug, Default)]
-struct Seen {
+struct Summary {
     finished: u64,
     /// Innocent requests that were in flight at a death.
     hit: u64,
@@ -52,21 +52,21 @@
 
 /// Runs a pool of engines for a while. Each poisonous request is sent again and
 /// again by its caller.
-fn run(poisons: u64, share: f64, seed: u64) -> Seen {
+fn run(poisons: u64, resend_probability: f64, seed: u64) -> Summary {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut suspects = Suspects::new(Settings::default());
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
-    let mut seen = Seen::default();
+    let mut summary = Summary::default();
     let mut waiting: Vec<Job> = Vec::new();
     let mut next = 0;
     for step in 0..1200 {
         let now = Instant::from_millis(step * STEP_MS);
-        let job = |fingerprint, left| Job {
+        let job = |fingerprint, remaining_steps| Job {
             fingerprint,
             attempts: 0,
-            left,
+            remaining_steps,
             suspect: false,
-            began_at: now,
+            started_at: now,
         };
         while rng.random::<f64>() < 0.6 {
             next += 1;
@@ -74,9 +74,12 @@
         }
         for poison in 0..poisons {
             let fingerprint = Fingerprint(POISON + poison);
-            let is_running = engines.iter().any(|engine| runs(engine, fingerprint));
-            let waits = waiting.iter().any(|job| job.fingerprint == fingerprint);
-            if step > 100 && !is_running && !waits && rng.random::<f64>() < share {
+            let is_running = engines
+                .iter()
+                .any(|engine| is_running_on(engine, fingerprint));
+            let is_waiting = waiting.iter().any(|job| job.fingerprint == fingerprint);
+            if step > 100 && !is_running && !is_waiting && rng.random::<f64>() < resend_probability
+            {
                 waiting.push(job(fingerprint, 3 + rng.random_range(0..8)));
             }
         }
@@ -85,20 +88,22 @@
                 Standing::Clear => false,
                 Standing::Suspect => true,
                 Standing::Refused(_) => {
-                    seen.refused += u64::from(!job.is_poison());
+                    summary.refused += u64::from(!job.is_poison());
                     continue;
                 }
             };
             let start = rng.random_range(0..ENGINES);
-            let place = (0..ENGINES).map(|n| (start + n) % ENGINES).find(|&engine| {
+            let target = (0..ENGINES).map(|n| (start + n) % ENGINES).find(|&engine| {
                 let engine = &engines[engine];
-                let alone = !engine.running.iter().any(|other| other.suspect);
-                engine.down_until <= step && engine.running.len() < BATCH && (alone || !job.suspect)
+                let has_no_suspect = !engine.running.iter().any(|other| other.suspect);
+                engine.down_until <= step
+                    && engine.running.len() < BATCH
+                    && (has_no_suspect || !job.suspect)
             });
-            match place {
+            match target {
                 Some(engine) => engines[engine].running.push(Job {
                     attempts: job.attempts + 1,
-                    began_at: now,
+                    started_at: now,
                     ..job
                 }),
                 None => waiting.push(job),
@@ -106,14 +111,14 @@
         }
         for (number, engine) in engines.iter_mut().enumerate() {
             for job in &mut engine.running {
-                job.left -= 1;
+                job.remaining_steps -= 1;
             }
-            let killer = engine
+            let culprit = engine
                 .running
                 .iter()
-                .find(|job| job.left == 0 && job.is_poison());
-            if let Some(killer) = killer.copied() {
-                *seen.deaths.entry(killer.fingerprint).or_default() += 1;
+                .find(|job| job.remaining_steps == 0 && job.is_poison());
+            if let Some(culprit) = culprit.copied() {
+                *summary.deaths.entry(culprit.fingerprint).or_default() += 1;
                 let crash = Crash::new(
                     &format!("e{number}").parse().expect("a valid name"),
                     engine.boot,
@@ -123,32 +128,32 @@
                         fingerprint: job.fingerprint,
                         crash,
                     };
-                    suspects.struck(strike, job.began_at, now);
+                    suspects.record_crash(strike, job.started_at, now);
                 }
                 engine.boot += 1;
                 engine.down_until = step + RESTART_STEPS;
                 for job in engine.running.drain(..).filter(|job| !job.is_poison()) {
-                    seen.hit += u64::from(job.attempts == 1);
+                    summary.hit += u64::from(job.attempts == 1);
                     match job.attempts < ATTEMPTS {
                         true => waiting.push(Job {
-                            left: 10 + job.fingerprint.0 % 40,
+                            remaining_steps: 10 + job.fingerprint.0 % 40,
                             ..job
                         }),
-                        false => seen.lost += 1,
+                        false => summary.lost += 1,
                     }
                 }
             }
-            for job in engine.running.iter().filter(|job| job.left == 0) {
-                suspects.completed(job.fingerprint);
-                seen.finished += 1;
+            for job in engine.running.iter().filter(|job| job.remaining_steps == 0) {
+                suspects.record_completion(job.fingerprint);
+                summary.finished += 1;
             }
-            engine.running.retain(|job| job.left > 0);
+            engine.running.retain(|job| job.remaining_steps > 0);
         }
     }
-    seen
+    summary
 }
 
-fn runs(engine: &Engine, fingerprint: Fingerprint) -> bool {
+fn is_running_on(engine: &Engine, fingerprint: Fingerprint) -> bool {
     engine
         .running
         .iter()
@@ -165,19 +170,23 @@
     three_over_time = { 3, 0.02, 0.05 },
     three_at_once = { 3, 1.0, 0.05 },
 )]
-fn innocent_neighbours_finish(poisons: u64, share: f64, bound: f64) {
+fn harmless_requests_finish_beside_poison_requests(
+    poisons: u64,
+    resend_probability: f64,
+    bound: f64,
+) {
     let (mut finished, mut hit, mut given_up) = (0, 0, 0);
     for seed in 0..40 {
-        let seen = run(poisons, share, seed);
-        for (poison, deaths) in &seen.deaths {
+        let summary = run(poisons, resend_probability, seed);
+        for (poison, deaths) in &summary.deaths {
             assert!(
                 *deaths <= 2,
                 "seed {seed}: {poison} crashed {deaths} engines"
             );
         }
-        finished += seen.finished;
-        hit += seen.hit;
-        given_up += seen.refused + seen.lost;
+        finished += summary.finished;
+        hit += summary.hit;
+        given_up += summary.refused + summary.lost;
     }
     println!("poisons={poisons} finished={finished} innocents_hit={hit} given_up={given_up}");
     let share = given_up as f64 / hit as f64;
--- a/crates/recovery/tests/failures/main.rs
+++ b/crates/recovery/tests/failures/main.rs
@@ -2,6 +2,6 @@
 
 mod connection;
 mod crashes;
-mod ejection;
+mod outlier;
 mod retry;
 mod strikes;
--- a/crates/recovery/tests/failures/ejection.rs
+++ b/crates/recovery/tests/failures/outlier.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use proptest::{prelude::*, test_runner::RngSeed};
-use recovery::{Ejection, Settings};
+use recovery::{OutlierDetector, Settings};
 use units::{availability::Zone, backend::Server, time::Instant};
 
 fn server(number: usize) -> Server {
@@ -25,16 +25,16 @@
 
 #[derive(Clone, Debug)]
 enum Event {
-    Fails(usize),
-    Succeeds(usize),
-    Sets(BTreeSet<usize>),
+    Failure(usize),
+    Success(usize),
+    SetServers(BTreeSet<usize>),
 }
 
 fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
-        20 => (0..12_usize).prop_map(Event::Fails),
-        6 => (0..12_usize).prop_map(Event::Succeeds),
-        1 => prop::collection::btree_set(0..12_usize, 0..12).prop_map(Event::Sets),
+        20 => (0..12_usize).prop_map(Event::Failure),
+        6 => (0..12_usize).prop_map(Event::Success),
+        1 => prop::collection::btree_set(0..12_usize, 0..12).prop_map(Event::SetServers),
     ]
 }
 
@@ -50,32 +50,32 @@
     // take zones out. Ejecting too many would push the whole load onto the few
     // left; using all in a panic must not mean those that are drained or out.
     #[test]
-    fn no_more_than_the_set_share_is_ejected(
+    fn ejected_share_never_exceeds_the_maximum(
         events in prop::collection::vec((event(), 0..3000_u64), 1..200),
     ) {
-        let mut ejection = Ejection::new(Settings::default());
-        let mut set: BTreeSet<usize> = (0..12).collect();
-        ejection.set_servers(pool(set.clone()));
+        let mut detector = OutlierDetector::new(Settings::default());
+        let mut configured: BTreeSet<usize> = (0..12).collect();
+        detector.set_servers(pool(configured.clone()));
         let mut now = Instant::from_millis(1);
         for (event, delay) in events {
             now = now + Duration::from_millis(delay);
             match event {
-                Event::Fails(number) => ejection.failed(&server(number), now),
-                Event::Succeeds(number) => ejection.succeeded(&server(number), now),
-                Event::Sets(numbers) => {
-                    set = numbers;
-                    ejection.set_servers(pool(set.clone()));
+                Event::Failure(number) => detector.record_failure(&server(number), now),
+                Event::Success(number) => detector.record_success(&server(number), now),
+                Event::SetServers(numbers) => {
+                    configured = numbers;
+                    detector.set_servers(pool(configured.clone()));
                 }
             }
-            let usable: BTreeSet<Server> = ejection.usable(now).into_iter().collect();
-            let ejected = ejection.ejected(now);
-            let all: BTreeSet<Server> = set.iter().map(|number| server(*number)).collect();
+            let usable: BTreeSet<Server> = detector.usable(now).into_iter().collect();
+            let ejected = detector.ejected(now);
+            let all: BTreeSet<Server> = configured.iter().map(|number| server(*number)).collect();
             prop_assert!(usable.is_subset(&all), "work for a server that is out");
             prop_assert!(ejected.len() * 2 <= all.len(), "{} of {} ejected", ejected.len(), all.len());
             prop_assert_eq!(usable.len() + ejected.len(), all.len());
             prop_assert!(all.is_empty() || !usable.is_empty());
             for (server, until) in ejected {
-                prop_assert!(until > now && until <= now + Settings::default().max_ejection);
+                prop_assert!(until > now && until <= now + Settings::default().max_ejection_time);
                 prop_assert!(!usable.contains(&server));
             }
         }
@@ -85,19 +85,19 @@
 // A server comes up for a second and dies again, all day long. Each time it is
 // back, some requests are lost on it; they must become rare.
 #[test]
-fn a_flapping_server_is_tried_ever_more_rarely() {
-    let mut ejection = Ejection::new(Settings::default());
-    ejection.set_servers(pool(0..12));
+fn ejections_of_a_flapping_server_grow_longer() {
+    let mut detector = OutlierDetector::new(Settings::default());
+    detector.set_servers(pool(0..12));
     let mut lost = 0;
     for second in 0..3600 {
         let now = Instant::from_millis(second * 1000);
-        if ejection.is_ejected(&server(0), now) {
+        if detector.is_ejected(&server(0), now) {
             continue;
         }
         match second % 2 {
-            0 => ejection.succeeded(&server(0), now),
+            0 => detector.record_success(&server(0), now),
             _ => {
-                ejection.failed(&server(0), now);
+                detector.record_failure(&server(0), now);
                 lost += 1;
             }
         }
@@ -111,35 +111,39 @@
 // time they were tried, so that they would be left out for minutes more, and
 // the rest would carry the whole load meanwhile.
 #[test]
-fn a_zone_that_returns_is_used_at_once() {
-    let mut ejection = Ejection::new(Settings::default());
-    ejection.set_servers(pool(0..12));
+fn a_returning_zone_is_used_at_once() {
+    let mut detector = OutlierDetector::new(Settings::default());
+    detector.set_servers(pool(0..12));
     let zone = [0, 3, 6, 9];
     let mut now = Instant::ZERO;
     while now < Instant::from_millis(600_000) {
         // They are cut off one after the other, so their deadlines differ.
         for number in zone {
             if now >= Instant::from_millis(10_000 * number as u64) {
-                ejection.failed(&server(number), now);
+                detector.record_failure(&server(number), now);
             }
         }
         now = now + Duration::from_millis(100);
     }
     assert_eq!(
-        ejection.ejected(now).len(),
+        detector.ejected(now).len(),
         zone.len(),
         "a whole zone may be left out"
     );
-    let (_, back) = ejection
+    let (_, first_return) = detector
         .ejected(now)
         .into_iter()
         .min_by_key(|(_, until)| *until)
         .expect("some");
-    ejection.succeeded(&server(0), back);
+    detector.record_success(&server(0), first_return);
     let first = zone
         .map(server)
         .into_iter()
-        .find(|server| !ejection.is_ejected(server, back));
-    ejection.succeeded(&first.expect("one is tried"), back);
-    assert_eq!(ejection.usable(back).len(), 12, "the zone is not used");
+        .find(|server| !detector.is_ejected(server, first_return));
+    detector.record_success(&first.expect("one is tried"), first_return);
+    assert_eq!(
+        detector.usable(first_return).len(),
+        12,
+        "the zone is not used"
+    );
 }
--- a/crates/recovery/tests/failures/retry.rs
+++ b/crates/recovery/tests/failures/retry.rs
@@ -5,7 +5,7 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
-use recovery::{Budget, Cause, Ejection, Failure, Retry, Settings};
+use recovery::{Cause, Failure, OutlierDetector, Retry, RetryBudget, Settings};
 use units::{backend::Server, time::Instant, workspace::Id};
 use verdict::{Code, Refusal, Verdict};
 use yare::parameterized;
@@ -33,36 +33,36 @@
     // sent it again, two trucks would come and both would be billed. And a
     // caller that already has part of an answer must not get another's start.
     #[test]
-    fn nothing_that_may_have_run_is_repeated(
+    fn requests_that_may_have_run_are_not_repeated(
         may_have_run in any::<bool>(),
         idempotent in any::<bool>(),
-        answered in any::<bool>(),
+        response_started in any::<bool>(),
         cause in prop::sample::select(vec![Cause::Refused, Cause::Unreachable, Cause::Failed]),
         code in prop::sample::select(vec![Code::Busy, Code::BackendFailed, Code::BadAnswer, Code::Suspect]),
         attempts in 0..4_u32,
         candidates in 0..3_usize,
-        left in 0..3_u64,
+        remaining_ms in 0..3_u64,
     ) {
         let now = Instant::from_millis(1000);
         let settings = Settings::default();
-        let mut budget = Budget::new(settings.clone(), now);
-        budget.request(&name(1), now);
+        let mut budget = RetryBudget::new(settings.clone(), now);
+        budget.record_request(&name(1), now);
         let verdict = if may_have_run { Verdict::MayHaveRun } else { Verdict::NotRun };
         let failure = Failure {
             workspace: &name(1),
             cause,
             refusal: refusal(verdict, code),
             idempotent,
-            answered,
+            response_started,
             attempts,
             refusals: attempts,
             candidates,
-            deadline: now + Duration::from_millis(left),
+            deadline: now + Duration::from_millis(remaining_ms),
         };
         match Retry::decide(failure, &settings, &mut budget, now) {
             Retry::Next => {
                 prop_assert!(idempotent || !may_have_run, "a second run");
-                prop_assert!(!answered && candidates > 0 && left > 0 && code != Code::Suspect);
+                prop_assert!(!response_started && candidates > 0 && remaining_ms > 0 && code != Code::Suspect);
                 prop_assert!(cause == Cause::Refused || attempts < settings.max_attempts);
             }
             Retry::GiveUp(refusal) => prop_assert_eq!(refusal.verdict, verdict),
@@ -72,36 +72,37 @@
 
 /// Runs requests of many workspaces against a pool of which a third fails.
 /// Returns attempts for each request, and the share of requests that failed.
-fn amplification(workspaces: u64, unreachable: bool, ejects: bool) -> (f64, f64) {
+fn retry_amplification(workspaces: u64, unreachable: bool, ejects: bool) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let settings = Settings::default();
-    let mut budget = Budget::new(settings.clone(), Instant::ZERO);
-    let mut ejection = Ejection::new(settings.clone());
+    let mut budget = RetryBudget::new(settings.clone(), Instant::ZERO);
+    let mut detector = OutlierDetector::new(settings.clone());
     let zone = |number: u64| format!("z{}", number % 3).parse().expect("a valid name");
     let server = |number: u64| {
         format!("s{number}")
             .parse::<Server>()
             .expect("a valid name")
     };
-    ejection.set_servers((0..12).map(|number| (server(number), zone(number))));
+    detector.set_servers((0..12).map(|number| (server(number), zone(number))));
     let (requests, mut sent, mut failed) = (20_000_u64, 0, 0);
     for request in 0..requests {
         let now = Instant::from_millis(request * 10);
         let workspace = name(rng.random_range(0..workspaces));
-        budget.request(&workspace, now);
-        let usable = ejection.usable(now);
+        budget.record_request(&workspace, now);
+        let usable = detector.usable(now);
         let mut attempts = 0;
         loop {
             attempts += 1;
             sent += 1;
-            let chosen = &usable[rng.random_range(0..usable.len())];
-            let fails = (0..4).any(|number| *chosen == server(number)) && rng.random::<f64>() < 0.9;
+            let server_tried = &usable[rng.random_range(0..usable.len())];
+            let fails =
+                (0..4).any(|number| *server_tried == server(number)) && rng.random::<f64>() < 0.9;
             if !fails {
-                ejection.succeeded(chosen, now);
+                detector.record_success(server_tried, now);
                 break;
             }
             if ejects {
-                ejection.failed(chosen, now);
+                detector.record_failure(server_tried, now);
             }
             let (cause, verdict) = match unreachable {
                 true => (Cause::Unreachable, Verdict::NotRun),
@@ -112,7 +113,7 @@
                 cause,
                 refusal: refusal(verdict, Code::BackendFailed),
                 idempotent: true,
-                answered: false,
+                response_started: false,
                 attempts,
                 refusals: 0,
                 candidates: 11,
@@ -140,8 +141,8 @@
     without_ejection = { 10, false, false },
     many_without_ejection = { 970, true, false },
 )]
-fn retries_stay_a_small_share_of_the_load(workspaces: u64, unreachable: bool, ejects: bool) {
-    let (attempts, failed) = amplification(workspaces, unreachable, ejects);
+fn retries_stay_a_bounded_share_of_the_load(workspaces: u64, unreachable: bool, ejects: bool) {
+    let (attempts, failed) = retry_amplification(workspaces, unreachable, ejects);
     println!(
         "workspaces={workspaces} unreachable={unreachable} ejects={ejects} \
          retry_amplification={attempts:.4} failed={failed:.4}"
@@ -153,19 +154,24 @@
 // The retries of one workspace that only ever fails use up what the others
 // have paid in, and theirs fail although theirs are few.
 #[test]
-fn one_workspace_does_not_spend_the_retries_of_others() {
+fn workspaces_cannot_spend_each_others_retry_budget() {
     let now = Instant::from_millis(1);
-    let mut budget = Budget::new(Settings::default(), now);
+    let mut budget = RetryBudget::new(Settings::default(), now);
     for _ in 0..100 {
-        budget.request(&name(1), now);
-        budget.request(&name(2), now);
+        budget.record_request(&name(1), now);
+        budget.record_request(&name(2), now);
     }
-    let taken = (0..1000).filter(|_| budget.take(&name(1), now)).count();
+    let taken = (0..1000)
+        .filter(|_| budget.try_withdraw(&name(1), now))
+        .count();
     assert!(taken <= 11, "{taken} retries for 100 requests");
-    assert!(budget.take(&name(2), now), "nothing left for the other");
+    assert!(
+        budget.try_withdraw(&name(2), now),
+        "nothing left for the other"
+    );
     // Idle workspaces are forgotten.
     for minute in 1..4 {
-        budget.request(&name(3), now + Duration::from_secs(61 * minute));
+        budget.record_request(&name(3), now + Duration::from_secs(61 * minute));
     }
     assert_eq!(budget.len(), 1);
 }
--- a/crates/recovery/tests/failures/strikes.rs
+++ b/crates/recovery/tests/failures/strikes.rs
@@ -29,7 +29,7 @@
     // innocent request would be refused for good; if one router counted less
     // than another, the guilty one would go on crashing engines there.
     #[test]
-    fn all_routers_count_the_same_strikes(
+    fn strike_counts_are_independent_of_message_order(
         deaths in prop::collection::vec((0..4_u64, 0..3_u64), 1..8),
         lifted in prop::collection::vec(any::<prop::sample::Index>(), 0..3),
         orders in prop::collection::vec(any::<u64>(), 2..4),
@@ -45,14 +45,14 @@
         for order in orders {
             let mut router = suspects();
             let mut messages = messages.clone();
-            messages.sort_by_key(|(lifts, strike)| {
+            messages.sort_by_key(|(is_lift, strike)| {
                 let Strike { fingerprint, crash } = strike;
-                (fingerprint.0 * 31 + crash.0 * 7 + u64::from(*lifts) * 3 + 1).wrapping_mul(order | 1)
+                (fingerprint.0 * 31 + crash.0 * 7 + u64::from(*is_lift) * 3 + 1).wrapping_mul(order | 1)
             });
-            for (step, (lifts, strike)) in messages.iter().enumerate() {
-                match lifts {
-                    true => router.lift(*strike, at(step)),
-                    false => drop(router.learn(*strike, at(step))),
+            for (step, (is_lift, strike)) in messages.iter().enumerate() {
+                match is_lift {
+                    true => router.lift_strike(*strike, at(step)),
+                    false => drop(router.apply_strike(*strike, at(step))),
                 }
             }
             for request in 0..4 {
@@ -88,7 +88,7 @@
 // lookup that all dispatchers send was in flight on several of the engines;
 // taken for repeats, it would be refused to everybody from then on.
 #[test]
-fn an_outage_leaves_no_request_behind() {
+fn requests_in_flight_at_a_zone_outage_are_not_refused() {
     let mut router = suspects();
     let start = Instant::from_millis(1000);
     let lookup = Fingerprint(9999);
@@ -98,7 +98,7 @@
             .map(|n| Fingerprint(engine * 100 + n))
             .chain([lookup]);
         for fingerprint in requests {
-            router.struck(
+            router.record_crash(
                 Strike {
                     fingerprint,
                     crash: Crash(engine),
@@ -113,7 +113,7 @@
         assert_eq!(router.standing(request, now), Standing::Clear, "{request}");
     }
     // A repeat that dies counts all the same.
-    router.struck(
+    router.record_crash(
         Strike {
             fingerprint: lookup,
             crash: Crash(9),
@@ -128,7 +128,7 @@
 // routers remember of them must not grow without end, and old strikes must not
 // hold against a request whose engine was mended long ago.
 #[test]
-fn strikes_expire_and_their_memory_is_bounded() {
+fn strikes_expire_and_are_bounded_in_number() {
     let settings = Settings {
         max_suspects: 100,
         ..Settings::default()
@@ -139,7 +139,7 @@
             fingerprint: Fingerprint(request),
             crash: Crash(request / 10),
         };
-        router.learn(strike, at(0) + Duration::from_secs(request));
+        router.apply_strike(strike, at(0) + Duration::from_secs(request));
         assert!(router.len() <= 100);
     }
     router.expire(at(0) + Duration::from_secs(1000) + settings.strike_expiry);
--- a/crates/router/src/loads.rs
+++ b/crates/router/src/loads.rs
@@ -2,7 +2,7 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use placement::Total;
+use placement::TotalLoad;
 use units::{host, time};
 
 /// How long a load counts that was heard of.
@@ -14,29 +14,29 @@
 /// the mean over the pool costs no traffic of its own.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
-    own: Total,
+    own: TotalLoad,
     others: BTreeMap<host::Id, Heard>,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Heard {
-    total: Total,
+    total: TotalLoad,
     valid_until: time::Instant,
 }
 
 impl Loads {
     /// Sets what this router's own servers carry.
-    pub fn set_own(&mut self, total: Total) {
+    pub fn set_own(&mut self, total: TotalLoad) {
         self.own = total;
     }
 
     /// What this router's own servers carry.
-    pub fn own(&self) -> Total {
+    pub fn own(&self) -> TotalLoad {
         self.own
     }
 
     /// Notes what the servers of another owner carry.
-    pub fn hear(&mut self, owner: host::Id, total: Total, now: time::Instant) {
+    pub fn hear(&mut self, owner: host::Id, total: TotalLoad, now: time::Instant) {
         let heard = Heard {
             total,
             valid_until: now + VALID,
@@ -50,7 +50,7 @@
     }
 
     /// What the servers of all owners carry that were heard of lately.
-    pub fn total(&self) -> Total {
+    pub fn total(&self) -> TotalLoad {
         let others = self.others.values().map(|heard| heard.total);
         self.own + others.sum()
     }
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -10,7 +10,7 @@
 
 use admission::Action;
 use config::resource;
-use placement::Total;
+use placement::TotalLoad;
 use tokio::{
     sync::{mpsc, oneshot, watch},
     time,
@@ -192,7 +192,7 @@
             Message::Ended(ended) => self.ended(ended),
             Message::Reported(server, report) => self.reported(&server, report),
             Message::Heard(owner, pool, load) => {
-                let total = Total {
+                let total = TotalLoad {
                     requests: load.requests,
                     weight: load.weight,
                 };
@@ -314,7 +314,7 @@
     /// Sums up what the owned servers of each pool carry.
     fn note_loads(&mut self) {
         let now = self.clock.now();
-        let mut own: BTreeMap<pool::Id, Total> = BTreeMap::new();
+        let mut own: BTreeMap<pool::Id, TotalLoad> = BTreeMap::new();
         for engine in self.engines.values().filter(|engine| engine.is_open()) {
             let pool = &engine.target.pool;
             let mean = self
@@ -324,7 +324,7 @@
             *own.entry(pool.clone()).or_default() += engine.counted(mean);
         }
         for loads in self.loads.values_mut() {
-            loads.set_own(Total::default());
+            loads.set_own(TotalLoad::default());
             loads.expire(now);
         }
         for (pool, total) in own {
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -7,7 +7,7 @@
 
 use admission::Actions;
 use config::resource;
-use placement::Total;
+use placement::TotalLoad;
 use tokio::sync::mpsc;
 use units::{chat, request, time};
 use wire::hop;
@@ -71,7 +71,7 @@
     kept_until: time::Instant,
     presence: Presence,
     shared: hop::Load,
-    warmth: placement::Warmth,
+    warmth: placement::CacheIndex,
     bound: placement::Bound,
     placement: placement::Settings,
     boot: Option<String>,
@@ -105,7 +105,7 @@
             kept_until: time::Instant::ZERO,
             presence: Presence::There,
             shared: hop::Load::default(),
-            warmth: placement::Warmth::new(placement.clone()),
+            warmth: placement::CacheIndex::new(placement.clone()),
             bound: placement::Bound::new(placement.clone()),
             placement,
             boot: None,
@@ -127,9 +127,9 @@
     }
 
     /// What the server adds to the load of its pool, of which the mean is known.
-    pub fn counted(&self, mean: f64) -> Total {
+    pub fn counted(&self, mean: f64) -> TotalLoad {
         let limit = self.admission.handover().limit;
-        Total::counted(self.in_flight(), self.target.weight, limit, mean)
+        TotalLoad::contribution(self.in_flight(), self.target.weight, limit, mean)
     }
 
     /// Whether this router owns the server.
@@ -148,7 +148,7 @@
     }
 
     /// Sets what this router's servers of the pool carry together.
-    pub fn share(&mut self, own: Total) {
+    pub fn share(&mut self, own: TotalLoad) {
         self.shared = hop::Load {
             requests: own.requests,
             weight: own.weight,
@@ -190,7 +190,7 @@
             Ok(report) => {
                 let mut actions = self.arrive(now);
                 let boot = xxh3::xxh3_64(report.boot.as_bytes());
-                self.warmth.booted(placement::warmth::Boot(boot));
+                self.warmth.observe_boot(placement::cache::BootId(boot));
                 let heard = admission::Report {
                     boot,
                     seq: report.seq,
@@ -289,7 +289,7 @@
     fn served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
         let tokens = usage.map_or(context.tokens, |usage| usage.prompt + usage.output);
         if let Some(chat) = context.chat {
-            self.warmth.served(chat, tokens, now);
+            self.warmth.record_served(chat, tokens, now);
         }
     }
 
--- a/crates/router/src/owner/engine/offer.rs
+++ b/crates/router/src/owner/engine/offer.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use admission::{Action, Actions, Decision};
-use placement::{Total, plan, warmth::Knowledge};
+use placement::{TotalLoad, cache::CacheStatus, plan};
 use units::{request, time};
 use verdict::{Code, Refusal};
 use wire::hop;
@@ -38,7 +38,7 @@
     pub fn consider(
         &mut self,
         offer: &Offer,
-        total: Total,
+        total: TotalLoad,
         now: time::Instant,
     ) -> Result<time::Instant, Refusal> {
         if self.service != Service::Open {
@@ -54,10 +54,10 @@
         let snapshot = self.admission.snapshot(now);
         let offered = placement::Offer {
             terms: terms(offer.terms),
-            knowledge: offer
+            cache_status: offer
                 .chat
-                .map_or(Knowledge::Unknown, |chat| self.warmth.look(chat, now)),
-            room: placement::Room {
+                .map_or(CacheStatus::Unknown, |chat| self.warmth.status(chat, now)),
+            capacity: placement::Capacity {
                 load: snapshot.in_flight + snapshot.foreign,
                 limit: snapshot.limit,
                 queued: snapshot.queued,
@@ -65,10 +65,10 @@
             weight: self.target.weight,
             total,
         };
-        match offered.answer(&self.placement, &self.bound, now) {
-            placement::Answer::Take => Ok(time::Instant::NEVER),
-            placement::Answer::TakeUntil(until) => Ok(until),
-            placement::Answer::TurnDown => Err(busy(&self.target, now)),
+        match offered.decide(&self.placement, &self.bound, now) {
+            placement::Decision::Accept => Ok(time::Instant::NEVER),
+            placement::Decision::AcceptUntil(until) => Ok(until),
+            placement::Decision::Decline => Err(busy(&self.target, now)),
         }
     }
 
--- a/crates/router/src/tracker.rs
+++ b/crates/router/src/tracker.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use recovery::{Budget, Crash, Ejection, Retry, Standing, Strike, Suspects};
+use recovery::{Crash, OutlierDetector, Retry, RetryBudget, Standing, Strike, Suspects};
 use smallvec::SmallVec;
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -183,9 +183,9 @@
     clock: Clock,
     settings: recovery::Settings,
     in_flight: BTreeMap<workspace::Id, u32>,
-    budget: Budget,
+    budget: RetryBudget,
     suspects: Suspects,
-    ejections: BTreeMap<pool::Id, Ejection>,
+    ejections: BTreeMap<pool::Id, OutlierDetector>,
     view: watch::Receiver<Arc<View>>,
     gossip: mpsc::UnboundedSender<gossip::Message>,
     publish: watch::Sender<Arc<Ejected>>,
@@ -209,7 +209,7 @@
         let settings = recovery::Settings::default();
         let tracker = Self {
             clock,
-            budget: Budget::new(settings.clone(), clock.now()),
+            budget: RetryBudget::new(settings.clone(), clock.now()),
             suspects: Suspects::new(settings.clone()),
             settings,
             in_flight: BTreeMap::new(),
@@ -303,7 +303,7 @@
     fn learn(&mut self, fingerprint: request::Fingerprint, death: u32) -> bool {
         let crash = Crash(u64::from(death));
         let strike = Strike { fingerprint, crash };
-        self.suspects.learn(strike, self.clock.now())
+        self.suspects.apply_strike(strike, self.clock.now())
     }
 
     fn begin(
@@ -327,7 +327,7 @@
             .retry_at(now + LIMIT_RETRY));
         }
         *count += 1;
-        self.budget.request(&workspace, now);
+        self.budget.record_request(&workspace, now);
         Ok(Begun {
             guard: Guard::new(workspace, fingerprint, self.handle.clone()),
             standing,
@@ -340,7 +340,7 @@
             cause: failure.cause,
             refusal: failure.refusal.clone(),
             idempotent: failure.idempotent,
-            answered: false,
+            response_started: false,
             attempts: failure.attempts,
             refusals: failure.refusals,
             candidates: failure.candidates,
@@ -365,16 +365,16 @@
         let ejection = self.ejections.get_mut(&ran.pool);
         match (ran.ending, ejection) {
             (Ending::Whole, ejection) => {
-                self.suspects.completed(ran.fingerprint);
+                self.suspects.record_completion(ran.fingerprint);
                 if let Some(ejection) = ejection {
-                    ejection.succeeded(&ran.server, now);
+                    ejection.record_success(&ran.server, now);
                 }
             }
-            (Ending::Failed, Some(ejection)) => ejection.failed(&ran.server, now),
+            (Ending::Failed, Some(ejection)) => ejection.record_failure(&ran.server, now),
             (Ending::Failed, None) => {}
             (Ending::Died, ejection) => {
                 if let Some(ejection) = ejection {
-                    ejection.failed(&ran.server, now);
+                    ejection.record_failure(&ran.server, now);
                 }
                 self.died(ran.fingerprint, ran.cause);
             }
@@ -390,7 +390,7 @@
             let ejection = self
                 .ejections
                 .entry(name.clone())
-                .or_insert_with(|| Ejection::new(settings.clone()));
+                .or_insert_with(|| OutlierDetector::new(settings.clone()));
             let members = pool.history.current().eligible();
             ejection.set_servers(members.map(|member| (member.id.clone(), member.zone.clone())));
         }
