--- a/crates/placement/benches/memory.rs
+++ b/crates/placement/benches/memory.rs
@@ -1,4 +1,4 @@
-//! The resident memory of remembered chats and of a topology.
+//! The resident memory of cache indexes and topologies.
 
 use std::{fs, hint};
 
@@ -12,12 +12,12 @@
 
 /// The resident memory of the process, in bytes.
 fn resident_bytes() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").expect("Linux has it");
+    let status = fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let value = line.and_then(|line| line.split_whitespace().nth(1));
     let kilobytes: u64 = value
         .and_then(|value| value.parse().ok())
-        .expect("a number of kilobytes");
+        .expect("VmRSS in kilobytes");
     kilobytes * 1024
 }
 
--- a/crates/placement/benches/place.rs
+++ b/crates/placement/benches/place.rs
@@ -1,4 +1,4 @@
-//! The time of one placement, by servers and remembered chats.
+//! The duration of one placement decision, by number of servers and indexed chats.
 
 use std::{hint, time::Duration};
 
--- a/crates/placement/src/bound.rs
+++ b/crates/placement/src/bound.rs
@@ -1,46 +1,47 @@
-//! The bound on the load of one server.
+//! The upper bound on the load of one server, relative to the mean of its pool
+//! (consistent hashing with bounded loads).
 
 use crate::{load::TotalLoad, settings::Settings};
 
-/// The mean load, in requests, below which the bound is rounded up.
+/// The mean load, in requests, below which the limit is rounded up.
 const ROUND_UP_BELOW_MEAN: f64 = 4.0;
 
-/// Admits work to a server while it stays within a multiple of the mean load.
+/// Limits the load of each server to a multiple of the mean load.
 #[derive(Clone, Debug, Default)]
 pub struct Bound {
     settings: Settings,
 }
 
 impl Bound {
-    /// A bound of `settings.load_bound` times the mean.
+    /// Creates a bound of `settings.load_bound` times the mean.
     pub fn new(settings: Settings) -> Self {
         Self { settings }
     }
 
-    /// The most requests that a server of `weight` may have in flight once one
-    /// more request has joined `total`, the load of the whole pool.
+    /// The number of requests that a server of `weight` may have in flight once
+    /// one more request has been added to `total`, the load of the whole pool.
     ///
-    /// It is always above the mean: else a pool whose servers are all loaded
-    /// alike would refuse all work, and one whose load is heard of late would
-    /// never take more than it has. While the mean is small, one request more or
-    /// less is a large part of it, and the bound is rounded up. Where no server
-    /// counts for the mean there is no bound but their own limits.
+    /// The limit is always above the mean. Otherwise a pool of evenly loaded
+    /// servers would refuse all requests, and with delayed load reports a pool
+    /// could never grow beyond its current load. While the mean is small, a
+    /// single request is a large share of it, so the limit is rounded up. If no
+    /// server counts towards the mean, only the servers' own limits apply.
     pub fn limit(&self, weight: u32, total: TotalLoad) -> u32 {
         self.rounded(self.load_factor(total), weight, total)
     }
 
-    /// The same for a request of a chat that the server has not cached.
+    /// Like [`Self::limit`], for requests of chats that the server has not cached.
     pub fn uncached_limit(&self, weight: u32, total: TotalLoad) -> u32 {
         self.rounded(self.settings.uncached_load_bound, weight, total)
             .min(self.limit(weight, total))
     }
 
-    /// The multiple of the mean that admissions keep to.
+    /// The multiple of the mean that admissions may fill a server to.
     ///
-    /// The mean falls when other servers complete work, and a server that was
-    /// filled to the bound would then be over it. The sum of many independent
-    /// requests moves by the square root of their number, so a small pool needs
-    /// more headroom than a large one.
+    /// The mean drops when requests complete on other servers, which would leave
+    /// a server that was filled up to `load_bound` above it. The number of
+    /// independent requests in flight varies by its square root, so a small pool
+    /// needs more headroom than a large one.
     fn load_factor(&self, total: TotalLoad) -> f64 {
         let deviation = 1.0 / (total.requests.max(1) as f64).sqrt();
         let headroom = 1.0 - self.settings.headroom * deviation;
@@ -59,8 +60,9 @@
         rounded.max(mean.floor() + 1.0) as u32
     }
 
-    /// Whether a server of `weight` that has `own` requests in flight by its
-    /// owner's count, and `reported` by its own lagging report, may take one more.
+    /// Whether a server of `weight` may accept one more request. `own` is the
+    /// number of requests in flight that its owner counts, `reported` the number
+    /// in the server's latest, delayed load report.
     pub fn admits(&self, own: u32, reported: Option<u32>, weight: u32, total: TotalLoad) -> bool {
         own.max(reported.unwrap_or(0)) < self.limit(weight, total)
     }
--- a/crates/placement/src/cache.rs
+++ b/crates/placement/src/cache.rs
@@ -1,4 +1,4 @@
-//! The chats that an engine's owner takes to be in the engine's cache.
+//! The owner's index of the chats in an engine's prompt cache.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,31 +6,31 @@
 
 use crate::settings::Settings;
 
-/// The identity of one run of an engine; it changes at a restart.
+/// Identifies one run of an engine; it changes with each restart.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BootId(pub u64);
 
-/// What a cache event says.
+/// A change of one chat in an engine's cache.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// The engine's cache holds this many tokens of the chat.
+    /// The chat was stored in the cache.
     Stored {
-        /// Cached prompt tokens.
+        /// Number of the chat's tokens in the cache.
         tokens: u32,
     },
-    /// The cache holds the chat no longer.
+    /// The chat was evicted from the cache.
     Evicted,
 }
 
-/// What the owner knows of a chat in an engine's cache.
+/// Whether an engine has a chat cached, as far as its owner knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheStatus {
-    /// The cache holds this many tokens of it.
+    /// The cache holds this many tokens of the chat.
     Cached(u32),
-    /// The engine has served it, but an event that is missing may have said
-    /// that it was evicted.
+    /// The engine has served the chat, but a missed cache event may have
+    /// evicted it since.
     Unknown,
-    /// The engine has not served it lately, or has evicted it.
+    /// The engine has not served the chat recently, or has evicted it.
     NotCached,
 }
 
@@ -40,7 +40,8 @@
     used_at: time::Instant,
 }
 
-/// The chats served lately by one engine, in bounded memory.
+/// The chats that one engine has served recently, bounded in number; the least
+/// recently used chat is dropped first.
 #[derive(Clone, Debug, Default)]
 pub struct CacheIndex {
     settings: Settings,
@@ -48,12 +49,12 @@
     by_last_use: BTreeSet<(time::Instant, chat::Key)>,
     boot: Option<BootId>,
     sequence: u64,
-    /// What was served up to this instant may have been evicted unheard.
+    /// Chats served up to this instant may have been evicted by a missed event.
     uncertain_until: Option<time::Instant>,
 }
 
 impl CacheIndex {
-    /// A memory without chats.
+    /// Creates an empty index.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Notes that the engine served `chat`, and has `tokens` of it cached.
+    /// Records that the engine served `chat` and has `tokens` of it cached.
     pub fn record_served(&mut self, chat: chat::Key, tokens: u32, now: time::Instant) {
         self.remove_chat(chat);
         let record = Record {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// What is known of `chat`.
+    /// The cache status of `chat`.
     pub fn status(&self, chat: chat::Key, now: time::Instant) -> CacheStatus {
         let Some(record) = self.chats.get(&chat) else {
             return CacheStatus::NotCached;
@@ -96,7 +97,8 @@
         CacheStatus::Cached(record.tokens)
     }
 
-    /// Cached tokens of `chat`; `None` when it is unknown or not cached.
+    /// The number of cached tokens of `chat`; `None` if its status is unknown or
+    /// it is not cached.
     pub fn cached_tokens(&self, chat: chat::Key, now: time::Instant) -> Option<u32> {
         match self.status(chat, now) {
             CacheStatus::Cached(tokens) => Some(tokens),
@@ -104,11 +106,12 @@
         }
     }
 
-    /// Takes one cache event of the engine.
+    /// Applies a cache event of the engine.
     ///
-    /// Events come late: one of an earlier run or an earlier sequence number
-    /// says nothing. After a gap, the events that are missing may have evicted
-    /// any chat, so all chats served until now become unknown.
+    /// Events may arrive late: one whose sequence number is not above the last
+    /// one is ignored. After a gap in the sequence, the missed events may have
+    /// evicted any chat, so the status of all chats served until now becomes
+    /// unknown.
     pub fn apply_event(
         &mut self,
         boot: BootId,
@@ -131,9 +134,11 @@
         }
     }
 
-    /// Notes the run of the engine that a load report names. A new run has an
-    /// empty cache, and what was served before any run was known may have been
-    /// served by an earlier one.
+    /// Records the engine's boot ID from a load report or cache event.
+    ///
+    /// If it differs from the last one, the index is cleared: a restarted engine
+    /// has an empty cache. The first ID clears it as well, since earlier chats
+    /// may have been served by a previous run.
     pub fn observe_boot(&mut self, boot: BootId) {
         if self.boot == Some(boot) {
             return;
@@ -143,12 +148,12 @@
         self.sequence = 0;
     }
 
-    /// The number of chats remembered.
+    /// The number of chats in the index.
     pub fn len(&self) -> usize {
         self.chats.len()
     }
 
-    /// Whether no chat is remembered.
+    /// Whether the index has no chats.
     pub fn is_empty(&self) -> bool {
         self.chats.is_empty()
     }
--- a/crates/placement/src/history.rs
+++ b/crates/placement/src/history.rs
@@ -1,4 +1,4 @@
-//! The topologies of the last while, and the homes that chats had in them.
+//! Recent topologies, and the home servers that chats had in them.
 
 use std::{collections::VecDeque, sync::Arc};
 
@@ -7,14 +7,16 @@
 
 use crate::{settings::Settings, topology::Topology};
 
-/// A topology that is no longer in force.
+/// A topology that has been replaced.
 #[derive(Clone, Debug)]
 struct PastTopology {
     topology: Arc<Topology>,
     replaced_at: time::Instant,
 }
 
-/// The topology in force and the last few before it.
+/// The current topology and the most recent ones before it.
+///
+/// A chat's home is the first server in its ranking.
 #[derive(Clone, Debug)]
 pub struct History {
     settings: Settings,
@@ -23,11 +25,11 @@
     past: VecDeque<PastTopology>,
 }
 
-/// The earlier homes of a chat, latest first.
+/// The earlier homes of a chat, most recent first.
 pub type Homes = SmallVec<[backend::Server; 4]>;
 
 impl History {
-    /// A history that starts with `topology`.
+    /// Creates a history whose current topology is `topology`.
     pub fn new(settings: Settings, topology: impl Into<Arc<Topology>>) -> Self {
         Self {
             settings,
@@ -36,12 +38,12 @@
         }
     }
 
-    /// The topology in force.
+    /// The current topology.
     pub fn current(&self) -> &Arc<Topology> {
         &self.current
     }
 
-    /// Puts `topology` in force. Nothing happens if its members are the same.
+    /// Makes `topology` the current one, unless it has the same members.
     pub fn replace(&mut self, topology: impl Into<Arc<Topology>>, now: time::Instant) {
         let topology = topology.into();
         if topology.members() == self.current.members() {
@@ -56,8 +58,8 @@
         self.prune(now);
     }
 
-    /// The servers, other than its present home, that were the home of `chat`
-    /// within its part of the return window and still get new work.
+    /// The eligible servers, other than the current home, that were the home of
+    /// `chat` in a topology replaced less than the chat's return delay ago.
     pub fn earlier_homes(&self, chat: chat::Key, now: time::Instant) -> Homes {
         let mut homes = Homes::new();
         let Some(home) = self.current.home(chat) else {
@@ -78,16 +80,16 @@
         homes
     }
 
-    /// How long `chat` may stay at an earlier home after a change.
+    /// How long after a topology change `chat` may still be sent to its earlier home.
     fn return_delay(&self, chat: chat::Key) -> std::time::Duration {
-        // The hash is mixed again so that the chats of one server are spread
-        // over the whole window.
+        // Hashed again, so that the delays of the chats of one server are spread
+        // over the whole return window.
         let rehashed = crate::score::pair_hash(chat, 0);
         let fraction = f64::from((rehashed >> 32) as u32) / f64::from(u32::MAX);
         self.settings.return_window.mul_f64(fraction)
     }
 
-    /// Drops the topologies whose return window is over.
+    /// Drops topologies that were replaced longer ago than the return window.
     fn prune(&mut self, now: time::Instant) {
         let window = self.settings.return_window;
         self.past.retain(|past| now < past.replaced_at + window);
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which backend server a chat goes to.
+//! Selects the backend server that serves a chat.
 //!
-//! The crate is pure: instants are handed in, there is no randomness, and
-//! every router that was told the same servers computes the same order.
+//! The crate is deterministic and performs no I/O: callers pass in the current
+//! time, no randomness is used, and all routers with the same set of servers
+//! compute the same ranking.
 //!
-//! The entry router makes a [`plan::Plan`] for each request from its
+//! The entry router builds a [`plan::Plan`] for each request from its
 //! [`history::History`] of topologies and offers the request to one candidate
-//! after the other. The owner of a candidate answers an [`offer::Offer`] by
-//! what its [`cache::CacheIndex`] knows of the chat, the room that admission
-//! leaves, and the [`bound::Bound`].
+//! after another. The owner of a candidate decides on an [`offer::Offer`] by the
+//! chat's status in the engine's [`cache::CacheIndex`], the capacity that
+//! admission reports, and the [`bound::Bound`].
 
 pub mod bound;
 pub mod cache;
--- a/crates/placement/src/load.rs
+++ b/crates/placement/src/load.rs
@@ -1,13 +1,13 @@
-//! Sums of load over servers.
+//! The summed load of servers.
 
 use std::{iter, ops};
 
-/// The load of several servers together.
+/// The total load of one or more servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TotalLoad {
     /// Requests in flight.
     pub requests: u64,
-    /// The weights of the servers that they run on.
+    /// The sum of the servers' weights.
     pub weight: u64,
 }
 
@@ -20,12 +20,13 @@
         }
     }
 
-    /// What one server adds to the load of its pool, of which the mean is known.
+    /// The load that one server contributes to its pool, given the pool's mean.
     ///
-    /// A server whose own concurrency limit lies below the mean adds nothing:
-    /// it cannot take more, and its low load would keep the bound of all others
-    /// down. A pool with a few cold servers would refuse work for which the
-    /// warm ones have room, and its load could not even grow back after a start.
+    /// A server whose concurrency limit is below the mean contributes nothing:
+    /// it cannot accept more, and its low load would lower the bound of all other
+    /// servers. A pool with a few cold servers would then refuse requests for
+    /// which the warm servers have capacity, and after a start its load could
+    /// not grow back.
     pub fn contribution(requests: u32, weight: u32, limit: u32, mean: f64) -> Self {
         let limited_below_mean = f64::from(limit) < mean * f64::from(weight.max(1));
         if limited_below_mean {
@@ -34,7 +35,7 @@
         Self::new(requests, weight)
     }
 
-    /// Requests in flight by unit of weight, zero when there is no server.
+    /// Requests in flight per unit of weight; zero if there are no servers.
     pub fn mean(self) -> f64 {
         self.requests as f64 / self.weight.max(1) as f64
     }
--- a/crates/placement/src/offer.rs
+++ b/crates/placement/src/offer.rs
@@ -1,29 +1,31 @@
-//! What the owner of a server answers to an offer.
+//! An owner's decision on a request that an entry router offers to its server.
 
 use units::time;
 
 use crate::{bound::Bound, cache::CacheStatus, load::TotalLoad, plan::Terms, settings::Settings};
 
-/// What the owner does with an offered request.
+/// The owner's decision on an offered request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// It hands the request to admission, where it may wait until its deadline.
+    /// The request goes to admission, where it may queue until its deadline.
     Accept,
-    /// It hands the request to admission and takes it back if it still waits
-    /// at this instant, so that the next candidate gets it.
+    /// The request goes to admission, and is cancelled there if it is still
+    /// queued at this instant, so that the next candidate is tried.
     AcceptUntil(time::Instant),
-    /// It turns the request down at once. The request has not run.
+    /// The request is declined immediately, without having run.
     Decline,
 }
 
-/// The room that a server has, by its owner's admission.
+/// The load and the limits of a server, as its owner's admission reports them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Requests in flight, those of others that the server reports included.
+    /// Requests in flight, including requests of other routers that the server
+    /// reports.
     pub load: u32,
-    /// The most requests allowed at present, by concurrency limit and bound.
+    /// The number of requests currently allowed in flight: the lower of the
+    /// concurrency limit and the load bound.
     pub limit: u32,
-    /// Requests that wait.
+    /// Requests in the queue.
     pub queued: u32,
 }
 
@@ -33,28 +35,29 @@
     }
 }
 
-/// One offer, as the owner sees it.
+/// An offered request, with the owner's state of the server.
 #[derive(Clone, Copy, Debug)]
 pub struct Offer {
-    /// The terms.
+    /// The terms under which the owner may accept the request.
     pub terms: Terms,
-    /// What is known of the chat on this server.
+    /// Whether this server has the chat cached.
     pub cache_status: CacheStatus,
-    /// The server's room.
+    /// The server's load and limits.
     pub capacity: Capacity,
     /// The server's weight.
     pub weight: u32,
-    /// The load of the pool.
+    /// The total load of the pool.
     pub total: TotalLoad,
 }
 
 impl Offer {
-    /// The owner's answer.
+    /// Decides whether the owner accepts the request.
     ///
-    /// A chat that is cached here waits a moment for room, since it would have
-    /// to be computed anew elsewhere. One that is certainly not cached here gets
-    /// only the room up to the mean: it loses nothing elsewhere, and the room
-    /// above stays free for those that do.
+    /// A request of a chat that is cached here may queue for a short time, since
+    /// any other server would have to recompute its prompt. A chat that is known
+    /// not to be cached here is limited to [`Settings::uncached_load_bound`]: it
+    /// loses nothing on another server, and the capacity above that bound stays
+    /// available to cached chats.
     pub fn decide(&self, settings: &Settings, bound: &Bound, now: time::Instant) -> Decision {
         let uncached = bound.uncached_limit(self.weight, self.total);
         let limit = match self.cache_status {
--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -1,19 +1,20 @@
-//! The servers that one request is offered to, one after the other.
+//! The servers that a request is offered to, in order.
 
 use smallvec::SmallVec;
 use units::{backend, chat, time};
 
 use crate::{history::History, settings::Settings};
 
-/// Under which terms a candidate's owner may accept the request.
+/// The terms under which a candidate's owner may accept the request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Terms {
-    /// Only if the owner remembers the chat as cached there. The request may
-    /// wait for room as long as [`Settings::warm_queue_timeout`] says.
+    /// Only if the server may have the chat cached. If it is known to be cached,
+    /// the request may queue for up to [`Settings::warm_queue_timeout`].
     Warm,
-    /// If the bound admits it at once.
+    /// Only if the server has capacity within the load bound, without queueing.
     Bounded,
-    /// If the bound admits it, at once or after a wait in the owner's queue.
+    /// In any case: admission runs the request when the load bound allows it, lets
+    /// it queue until then, or refuses it.
     Queued,
 }
 
@@ -22,15 +23,15 @@
 pub struct Candidate {
     /// The server.
     pub server: backend::Server,
-    /// Under which terms.
+    /// The terms of the offer.
     pub terms: Terms,
 }
 
 /// The candidates for one request, best first.
 ///
-/// An entry router offers the request to the owner of [`Plan::next`]'s server.
-/// If the owner says that it has not run, the next candidate follows, until
-/// there is none.
+/// The entry router offers the request to the owner of the server that
+/// [`Plan::next`] returns. If the owner reports that the request has not run,
+/// the entry router tries the next candidate, until there are none left.
 #[derive(Clone, Debug)]
 pub struct Plan {
     candidates: SmallVec<[Candidate; 8]>,
@@ -38,14 +39,16 @@
 }
 
 impl Plan {
-    /// The plan for a request of `chat`.
+    /// Plans the candidates for a request of `chat`.
     ///
-    /// First come those that may have the chat cached, on the terms that they
-    /// do: the first in rank, one of which took the chat if its home had no
-    /// room, and the earlier homes. The offer itself is the question, and costs
-    /// no control traffic. Then the first in rank may take the chat uncached,
-    /// and last they may let it wait: an owner that cannot start it in time says
-    /// so at once, and the home may be one that has just started.
+    /// - [`Terms::Warm`]: servers that may have the chat cached. These are the
+    ///   highest-ranked servers, one of which accepted the chat if its home had no
+    ///   capacity, and the chat's earlier homes. The offer itself serves as the
+    ///   cache lookup, so no extra control traffic is needed.
+    /// - [`Terms::Bounded`]: the highest-ranked servers, without a cached prompt.
+    /// - [`Terms::Queued`]: the same servers, where the request may queue. An owner
+    ///   that cannot start the request in time refuses it immediately; the home may
+    ///   be a server that has just started.
     pub fn new(
         settings: &Settings,
         history: &History,
--- a/crates/placement/src/score.rs
+++ b/crates/placement/src/score.rs
@@ -1,20 +1,21 @@
 //! Scores of weighted rendezvous hashing.
 //!
-//! Only additions, multiplications and divisions of IEEE 754 are used, whose
-//! results are the same on every machine. The logarithm of the C library is
-//! not, and two routers that disagree in its last bit would send a chat to two
-//! servers.
+//! Only IEEE 754 additions, multiplications and divisions are used, whose
+//! results are identical on every machine. The C library's logarithm may differ
+//! in the last bit between machines, and two routers with different results
+//! would send the same chat to different servers.
 
 use units::chat;
 use xxhash_rust::xxh3;
 
-/// The odd terms of the series of the inverse hyperbolic tangent.
+/// Coefficients of the odd powers in the Taylor series of the inverse hyperbolic
+/// tangent.
 const ATANH_COEFFICIENTS: [f64; 6] = [1.0, 1.0 / 3.0, 1.0 / 5.0, 1.0 / 7.0, 1.0 / 9.0, 1.0 / 11.0];
 
-/// The number of hashes, 2^64.
+/// The number of 64-bit hashes, 2^64.
 const HASH_COUNT: f64 = 18_446_744_073_709_551_616.0;
 
-/// The hash of one chat with one server, whose name has the hash `server`.
+/// The hash of a chat and a server; `server` is the hash of the server's name.
 pub fn pair_hash(chat: chat::Key, server: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&chat.0.to_le_bytes());
@@ -22,10 +23,11 @@
     xxh3::xxh3_64(&bytes)
 }
 
-/// The score of a server of `weight` for a pair's hash; the lowest one wins.
+/// The score of a server of `weight`, computed from [`pair_hash`]; the lowest
+/// score ranks first.
 ///
-/// It is an exponentially distributed variable with the weight as its rate, so
-/// that a server is first with a probability proportional to its weight.
+/// The score is exponentially distributed with the weight as its rate, so a
+/// server ranks first with a probability proportional to its weight.
 pub fn weighted(hash: u64, weight: u32) -> f64 {
     -logarithm(hash) / f64::from(weight.max(1))
 }
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,38 +1,42 @@
-//! What operators may set about placement.
+//! Settings of placement.
 
 use std::time;
 
-/// Settings of placement, the same on all routers of a region.
+/// Settings of placement; they must be the same on all routers of a region.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The most load of one server, as a multiple of the pool's mean; at least 1.
+    /// The maximum load of a server, as a multiple of the pool's mean; at least 1.
     pub load_bound: f64,
-    /// How far below `load_bound` admissions stay, in standard deviations of
-    /// the pool's load.
+    /// How far below `load_bound` the admission limit is set, in standard
+    /// deviations of the pool's load.
     pub headroom: f64,
-    /// The bound for chats that the server has not cached, as a multiple of the mean.
+    /// The load up to which a server accepts chats that it has not cached, as a
+    /// multiple of the mean.
     ///
-    /// They lose nothing elsewhere. Turned away first, they leave the room up
-    /// to `load_bound` to the chats that would have to be computed anew.
+    /// An uncached chat loses nothing on another server. Declining it first leaves
+    /// the capacity up to `load_bound` to cached chats, whose prompts any other
+    /// server would have to recompute.
     pub uncached_load_bound: f64,
-    /// How long a request of a cached chat waits for room before it goes elsewhere.
+    /// How long a request of a cached chat may queue before the next candidate is
+    /// tried.
     pub warm_queue_timeout: time::Duration,
-    /// How many of the first in rank are asked whether they have the chat cached.
+    /// How many of the highest-ranked servers get an offer under
+    /// [`Terms::Warm`](crate::plan::Terms::Warm).
     pub max_warm_candidates: usize,
-    /// How many of the first in rank a request is offered to otherwise.
+    /// How many of the highest-ranked servers get an offer under the other terms.
     pub max_candidates: usize,
-    /// How many topologies are kept to compute earlier homes from.
+    /// How many past topologies are kept to compute earlier homes from.
     pub max_past_topologies: usize,
-    /// How long after a change the last chats go to their new home.
+    /// How long after a topology change all chats have moved to their new homes.
     ///
-    /// Each chat has its own instant within this time, so that warm chats
-    /// move evenly over it and not in one wave.
+    /// Each chat moves at its own instant within this window, so that cached
+    /// chats move gradually instead of all at once.
     pub return_window: time::Duration,
-    /// The most chats remembered for each owned server.
+    /// The maximum number of chats in the cache index of a server.
     pub max_chats_per_server: usize,
-    /// How long after its last use a chat counts as warm.
+    /// How long after its last use a chat counts as cached.
     pub cache_ttl: time::Duration,
-    /// The fewest cached tokens that make a chat warm.
+    /// The minimum number of cached tokens for a chat to count as cached.
     pub min_cached_tokens: u32,
 }
 
--- a/crates/placement/src/topology.rs
+++ b/crates/placement/src/topology.rs
@@ -1,4 +1,4 @@
-//! The servers of one pool, and their order for a chat.
+//! The servers of one pool, and their ranking for a chat.
 
 use smallvec::SmallVec;
 use units::{availability, backend, chat};
@@ -6,41 +6,42 @@
 
 use crate::score;
 
-/// Whether a server gets new work.
+/// Whether a server may get new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// It gets new work.
+    /// The server may get new requests.
     Eligible,
-    /// It gets none: it is draining, leaving, ejected, or its zone is out.
+    /// The server gets no new requests: it is draining, leaving or ejected, or its
+    /// zone is out of service.
     Excluded,
 }
 
 /// One backend server of the pool.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Its name.
+    /// The server's name.
     pub id: backend::Server,
-    /// Its availability zone.
+    /// The server's availability zone.
     pub zone: availability::Zone,
-    /// Its size, relative to the others; zero counts as one.
+    /// The server's weight relative to the other servers; zero counts as one.
     pub weight: u32,
-    /// Whether it gets new work.
+    /// Whether the server may get new requests.
     pub state: State,
 }
 
-/// The first servers for a chat, best first.
+/// The highest-ranked servers for a chat, best first.
 pub type Rank<'a> = SmallVec<[&'a Member; 8]>;
 
-/// What the rank of one eligible server is computed from.
+/// An eligible server: the hash of its name, and its index in `members`.
 #[derive(Clone, Copy, Debug)]
 struct RankEntry {
     hash: u64,
     member: u32,
 }
 
-/// The servers of one pool at one time.
+/// A snapshot of the servers of one pool.
 ///
-/// The order in which the servers were told has no influence.
+/// The order of the members passed to [`Topology::new`] does not affect the ranking.
 #[derive(Clone, Debug)]
 pub struct Topology {
     members: Vec<Member>,
@@ -49,7 +50,8 @@
 }
 
 impl Topology {
-    /// The topology of `members`. Of two with the same name the first one stays.
+    /// Creates a topology of `members`. If several have the same name, the first is
+    /// kept.
     pub fn new(mut members: Vec<Member>) -> Self {
         members.sort_by(|a, b| a.id.cmp(&b.id));
         members.dedup_by(|a, b| a.id == b.id);
@@ -72,34 +74,34 @@
         }
     }
 
-    /// All servers, by name.
+    /// All servers, sorted by name.
     pub fn members(&self) -> &[Member] {
         &self.members
     }
 
-    /// The server called `id`.
+    /// The server named `id`.
     pub fn member(&self, id: &backend::Server) -> Option<&Member> {
         let index = self.members.binary_search_by(|m| m.id.cmp(id)).ok()?;
         self.members.get(index)
     }
 
-    /// The servers that get new work, by name.
+    /// The eligible servers, sorted by name.
     pub fn eligible(&self) -> impl ExactSizeIterator<Item = &Member> {
         self.eligible
             .iter()
             .map(|entry| &self.members[entry.member as usize])
     }
 
-    /// Whether `id` gets new work.
+    /// Whether the server named `id` is eligible.
     pub fn is_eligible(&self, id: &backend::Server) -> bool {
         self.member(id)
             .is_some_and(|member| member.state == State::Eligible)
     }
 
-    /// The first `n` eligible servers for `chat`, best first.
+    /// The `n` highest-ranked eligible servers for `chat`, best first.
     pub fn rank(&self, chat: chat::Key, n: usize) -> Rank<'_> {
-        // Servers of equal weight are compared by their hashes alone. The
-        // score falls as the hash grows, so both ways give the same order.
+        // Servers of equal weight are compared by their hashes alone. The score
+        // decreases as the hash increases, so both comparisons rank the same.
         if self.has_equal_weights {
             self.select(n, |entry| !score::pair_hash(chat, entry.hash))
         } else {
@@ -110,7 +112,7 @@
         }
     }
 
-    /// The first eligible server for `chat`.
+    /// The highest-ranked eligible server for `chat`.
     pub fn home(&self, chat: chat::Key) -> Option<&Member> {
         self.rank(chat, 1).first().copied()
     }
@@ -123,7 +125,7 @@
             if best.len() == n && best.last().is_none_or(|(worst, _)| score >= *worst) {
                 continue;
             }
-            // Servers are visited by name, so a tie goes to the lower name.
+            // Servers are visited in name order, so a tie goes to the lower name.
             let position = best.partition_point(|(other, _)| *other <= score);
             best.insert(position, (score, entry.member));
             best.truncate(n);
--- a/crates/placement/tests/bound.rs
+++ b/crates/placement/tests/bound.rs
@@ -1,4 +1,4 @@
-//! The bound on the load under interleavings of admissions, completions and owners.
+//! The load bound under interleavings of admissions, completions and owner changes.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 use proptest::{prelude::*, test_runner};
 use units::{cost::Cost, request, time::Instant};
 
-/// The mean from which on the bound is promised.
+/// The mean load from which the bound is guaranteed; below it, limits are rounded up.
 const MIN_MEAN: f64 = 4.0;
 
 fn config() -> ProptestConfig {
@@ -20,7 +20,7 @@
     }
 }
 
-/// A pool whose engines are each owned by one or two routers.
+/// A pool whose engines each have one or two owners.
 struct Pool {
     settings: Settings,
     bound: Bound,
@@ -68,7 +68,8 @@
             .sum()
     }
 
-    /// What an engine reports: all that it runs, whoever admitted it.
+    /// Sends a load report of an engine to its owners: all running requests,
+    /// regardless of which owner admitted them.
     fn report(&mut self, engine: usize) {
         let report = admission::Report {
             boot: 1,
@@ -80,11 +81,14 @@
         let now = self.now;
         for owner in &mut self.admissions[engine] {
             let actions = owner.report(report, now);
-            assert!(actions.is_empty(), "nothing waits here");
+            assert!(
+                actions.is_empty(),
+                "no request is queued, so a report admits or refuses none"
+            );
         }
     }
 
-    /// Another router takes the engine to be its own before the first one stops.
+    /// Adds a second router that considers itself the owner before the first stops.
     fn add_second_owner(&mut self, engine: usize) {
         if self.admissions[engine].len() > 1 {
             return;
@@ -96,7 +100,8 @@
         self.report(engine);
     }
 
-    /// Offers a request. Returns the load of the engine and the mean after it, if taken.
+    /// Offers a request. If it is admitted, returns the engine's load and the pool's
+    /// mean load afterwards.
     fn offer(
         &mut self,
         engine: usize,
@@ -188,10 +193,10 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Requests come and go in any order, and for seconds two routers take an
-    // engine to be theirs. An engine that is filled beyond the bound makes all
-    // of its callers wait while others idle. The first owner sees its own
-    // requests and what the engine reports; the second one only a small share.
+    // Guards against filling an engine beyond the bound, which delays all of its
+    // callers while other engines idle. Requests start and finish in any order,
+    // and an engine may have two owners for some seconds: the first one sees its
+    // own requests and the engine's reports, the second only a small share.
     #[test]
     fn admission_never_exceeds_the_load_bound(
         steps in prop::collection::vec(step(), 50..400),
@@ -202,8 +207,8 @@
             match step {
                 Step::Offer(engine, owner, cached) => {
                     let cache_status = if cached { CacheStatus::Cached(900) } else { CacheStatus::NotCached };
-                    // Each owner hears the engine's report before it decides here;
-                    // the lag of reports is admission's own test.
+                    // Owners get the engine's current report before each decision;
+                    // delayed reports are covered by the tests of admission.
                     pool.report(engine);
                     let Some((load, mean)) = pool.offer(engine, owner, cache_status) else {
                         continue;
@@ -220,9 +225,9 @@
         }
     }
 
-    // All engines are loaded alike. A bound that the least loaded engine cannot
-    // meet would refuse all work though every engine has room, and callers
-    // would be turned away for good.
+    // With evenly loaded engines, a bound that even the least loaded engine
+    // exceeds would refuse all requests permanently, although every engine has
+    // capacity.
     #[test]
     fn least_loaded_server_is_always_below_the_bound(
         base in 0..200_u32, extra in prop::collection::vec(0..2_u32, 1..50),
@@ -235,10 +240,10 @@
     }
 }
 
-// A few engines restart cold and may take one request each. If they counted for
-// the mean, the bound would fall for all others, and a pool with room for
-// everybody would refuse callers. The first build of the benchmark stayed at a
-// mean of 1.67 and refused 86% for this reason.
+// Some engines have restarted cold and may run one request each. If they counted
+// towards the mean, the bound of all other engines would drop, and a pool with
+// enough capacity would refuse requests. The first version of the benchmark had
+// this fault: its mean stayed at 1.67 and it refused 86% of the requests.
 #[test]
 fn cold_servers_do_not_lower_the_bound() {
     let warm = 8 * 20;
@@ -258,6 +263,6 @@
     );
     let bound = Bound::new(Settings::default());
     assert!(bound.admits(20, None, 1, counted));
-    // All have just started: their own limits are all that bounds them.
+    // All engines have just started: only their own limits apply.
     assert!(bound.admits(20, None, 1, TotalLoad::default()));
 }
--- a/crates/placement/tests/cache.rs
+++ b/crates/placement/tests/cache.rs
@@ -1,4 +1,4 @@
-//! What owners remember of caches, and earlier homes.
+//! The owner's cache index, and earlier homes of chats.
 
 use std::time::Duration;
 
@@ -46,18 +46,18 @@
 proptest! {
     #![proptest_config(config())]
 
-    // The engine's cache events come late, some are lost, and the engine
-    // restarts in between. A chat whose eviction was among the lost ones would
-    // be sent to an empty cache again and again, and be charged as if it were
-    // cached. So after a gap nothing older counts as cached until the engine
-    // has served it again.
+    // Cache events arrive late or are lost, and the engine restarts in between.
+    // If the eviction of a chat is lost, the chat would repeatedly be sent to an
+    // engine that no longer has it, and its cost would be estimated as if it were
+    // cached. So after a gap, no chat served before it counts as cached until the
+    // engine has served it again.
     #[test]
     fn chats_served_before_an_event_gap_are_not_cached(
         steps in prop::collection::vec(step(), 1..80),
     ) {
         let mut index = CacheIndex::new(Settings::default());
         let (mut boot, mut sequence, mut now) = (BOOT, 0, 0);
-        // What may be known for certain: the last word on each chat since the last gap.
+        // The cached tokens by the latest update of each chat since the last gap.
         let mut certain_tokens = [None; 6];
         let mut has_received = false;
         let mut gap = false;
@@ -114,8 +114,9 @@
     }
 }
 
-// Millions of chats return, and a router remembers those of its engines. Without
-// a limit its memory would grow until the host kills it and all its streams.
+// A router indexes the chats of all its engines, which may be millions. Without a
+// limit its memory would grow until the host kills the process, and with it all
+// open streams.
 #[test]
 fn index_is_bounded_and_keeps_the_latest_chats() {
     let settings = Settings {
@@ -148,9 +149,10 @@
     Topology::new(members.collect())
 }
 
-// A zone comes back after a minute. If all of its chats returned at once, its
-// engines would compute thousands of prompts in one wave, and the first tokens
-// of all callers would be late. Each chat has its own instant within the window.
+// A zone returns to service after a minute. If all of its chats returned at once,
+// its engines would recompute thousands of prompts at the same time, and the first
+// tokens of all callers would be late. Each chat returns at its own instant within
+// the return window.
 #[test]
 fn chats_of_a_returning_zone_return_gradually() {
     let settings = Settings {
@@ -169,7 +171,7 @@
     let share = moved as f64 / 6_000.0;
     assert!(
         (0.30..0.37).contains(&share),
-        "a third of the chats has an earlier home: {share}"
+        "share of the chats with an earlier home, expected a third: {share}"
     );
     let mut previously_away = moved;
     for now in (75_000..=360_000).step_by(15_000) {
@@ -184,8 +186,8 @@
     assert_eq!(previously_away, 0);
 }
 
-// A zone goes out while chats still stay at an earlier home in it. The entry
-// must not send them there: the zone is about to be switched off.
+// A zone is taken out of service while chats still have an earlier home in it. The
+// entry router must not send them there, since the zone is about to be shut down.
 #[test]
 fn excluded_earlier_homes_are_not_candidates() {
     let mut history = History::new(Settings::default(), topology(false));
--- a/crates/placement/tests/rank.rs
+++ b/crates/placement/tests/rank.rs
@@ -1,4 +1,4 @@
-//! The order of servers for a chat.
+//! The ranking of servers for a chat.
 
 use std::collections::BTreeMap;
 
@@ -54,9 +54,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Routers hear of the servers in different orders, and hear of some twice.
-    // If the order mattered, a chat would go to two engines and be computed on
-    // both, and its caller would wait for the second prefill.
+    // Routers receive the servers in different orders, and some more than once.
+    // If the order affected the ranking, a chat would be sent to two engines and
+    // its caller would wait for a second prefill.
     #[test]
     fn rank_is_independent_of_member_order_and_duplicates(
         (original, shuffled) in mixed_members().prop_flat_map(|list| {
@@ -69,8 +69,8 @@
         prop_assert_eq!(names(&member_spec, chat, 4), names(&other, chat, 4));
     }
 
-    // A zone is taken out or a server is drained. A request that still reached
-    // it would be cut off when the operators switch it off.
+    // A server is drained or its zone is taken out of service. A request that is
+    // still sent to it would be aborted when operators shut it down.
     #[test]
     fn excluded_servers_are_never_ranked(list in mixed_members(), chat in any::<u64>()) {
         let topology = Topology::new(list);
@@ -80,8 +80,8 @@
         prop_assert_eq!(topology.rank(chat::Key(chat), 100).len(), topology.eligible().len());
     }
 
-    // Servers join, leave and flap all day. If that moved chats between the
-    // servers that stayed, each change would empty all caches at once.
+    // Servers join, leave and flap frequently. If a change moved chats between
+    // the remaining servers, it would invalidate all caches at once.
     #[test]
     fn removing_a_server_moves_only_its_own_chats(
         list in mixed_members(), removed in any::<prop::sample::Index>(), chat in any::<u64>(),
@@ -97,8 +97,8 @@
     }
 }
 
-// Operators give a large server twice the weight of a small one. With equal
-// shares the small ones would be full while the large ones idle.
+// Large servers have a higher weight than small ones. With equal shares, the
+// small servers would be saturated while the large ones idle.
 #[test]
 fn chats_are_distributed_by_weight() {
     let mut list = members(10);
@@ -114,12 +114,15 @@
             .or_default() += 1;
     }
     let ratio = f64::from(homes[&3]) / f64::from(homes[&1]);
-    assert!((2.85..3.15).contains(&ratio), "large over small: {ratio}");
+    assert!(
+        (2.85..3.15).contains(&ratio),
+        "ratio of chats on large servers to chats on small servers: {ratio}"
+    );
 }
 
-// A region gets its first server of another weight. Equal weights are compared
-// by hash and unequal ones by score; if the two disagreed, this one server would
-// move the chats of all others.
+// Servers of equal weight are ranked by hash, servers of different weights by
+// score. If the two rankings differed, adding the first server of another weight
+// would move chats between all other servers.
 #[test]
 fn adding_a_server_of_another_weight_moves_no_other_chat() {
     let equal = Topology::new(members(50));
