--- a/crates/recovery/benches/recovery.rs
+++ b/crates/recovery/benches/recovery.rs
@@ -1,4 +1,4 @@
-//! The time of one decision over strikes, servers and workspaces.
+//! The duration of one decision, by number of strikes, servers and workspaces.
 
 use std::hint;
 
--- a/crates/recovery/examples/recovery_memory.rs
+++ b/crates/recovery/examples/recovery_memory.rs
@@ -1,16 +1,20 @@
-//! Prints the memory of strikes, workspaces and servers.
+//! Prints the memory per strike, workspace, server and connection.
 
 use std::{fs, hint};
 
 use recovery::{Connection, Crash, OutlierDetector, RetryBudget, Settings, Strike, Suspects};
 use units::{request::Fingerprint, time::Instant};
 
-/// Resident memory of the process in bytes.
+/// The resident memory of the process, in bytes.
 fn resident_bytes() -> u64 {
-    let status = fs::read_to_string("/proc/self/status").expect("a proc file system");
+    let status = fs::read_to_string("/proc/self/status").expect("/proc/self/status is readable");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kilobytes = line.and_then(|line| line.split_whitespace().nth(1));
-    kilobytes.expect("a size").parse::<u64>().expect("a number") * 1024
+    kilobytes
+        .expect("VmRSS with a value")
+        .parse::<u64>()
+        .expect("VmRSS in kilobytes")
+        * 1024
 }
 
 fn main() {
--- a/crates/recovery/src/budget.rs
+++ b/crates/recovery/src/budget.rs
@@ -1,4 +1,4 @@
-//! Retry budget of each workspace and of the whole router.
+//! The retry budgets of each workspace and of the whole router.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 
 use crate::Settings;
 
-/// What one retry costs.
+/// The cost of one retry, in thousandths of a retry.
 const RETRY_COST: u32 = 1000;
 
-/// The retries that have been paid for, in thousandths.
+/// A balance of retries, in thousandths of a retry.
 #[derive(Clone, Copy, Debug)]
 struct Account {
     balance: u32,
@@ -27,13 +27,13 @@
     }
 }
 
-/// Retries as a share of recent requests.
+/// Limits retries to a share of recent requests.
 ///
-/// Without it, a failure of many backend servers turns each request into
-/// several, and the rest of them fails under the load. A workspace's retries
-/// are paid by its own requests, so that one that fails much does not spend
-/// what the others paid in; the router's own account bounds the sum, since
-/// otherwise the floors of many small workspaces add up.
+/// Without a limit, a failure of many backend servers multiplies the number of
+/// attempts, and the remaining servers fail under the load. Each workspace's
+/// requests pay for its own retries, so that a workspace with many failures does
+/// not use up the budget of others. The router's account bounds the total, since
+/// the initial balances of many small workspaces would otherwise add up.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     settings: Settings,
@@ -43,7 +43,7 @@
 }
 
 impl RetryBudget {
-    /// A budget that only the floor has been paid into.
+    /// Creates a budget with only the initial balance.
     pub fn new(settings: Settings, now: Instant) -> Self {
         let router = Account {
             balance: settings.initial_retries.saturating_mul(RETRY_COST),
@@ -57,7 +57,8 @@
         }
     }
 
-    /// A request of `workspace` was sent for the first time.
+    /// Records a new request of `workspace` (not a retry), which adds to its balance and
+    /// to the router's.
     pub fn record_request(&mut self, workspace: &workspace::Id, now: Instant) {
         self.sweep(now);
         self.router.deposit(&self.settings, now);
@@ -73,7 +74,8 @@
         self.workspaces.insert(workspace.clone(), account);
     }
 
-    /// Pays for a retry of `workspace`, if it can.
+    /// Withdraws the cost of one retry from the balances of `workspace` and the
+    /// router. Returns false if either is insufficient.
     pub fn try_withdraw(&mut self, workspace: &workspace::Id, now: Instant) -> bool {
         let Some(account) = self.workspaces.get_mut(workspace) else {
             return false;
@@ -87,17 +89,17 @@
         true
     }
 
-    /// Workspaces that are remembered.
+    /// The number of workspaces with an account.
     pub fn len(&self) -> usize {
         self.workspaces.len()
     }
 
-    /// Whether no workspace is remembered.
+    /// Whether no workspace has an account.
     pub fn is_empty(&self) -> bool {
         self.workspaces.is_empty()
     }
 
-    /// Forgets idle workspaces once in a window.
+    /// Removes idle workspaces, at most once per idle timeout.
     fn sweep(&mut self, now: Instant) {
         let idle_timeout = self.settings.workspace_idle_timeout;
         if now.since(self.swept_at) < idle_timeout {
--- a/crates/recovery/src/connection.rs
+++ b/crates/recovery/src/connection.rs
@@ -1,54 +1,57 @@
-//! Connections that go silent while their server is well.
+//! Detection of connections that stop responding while their server is healthy.
 
 use units::time::Instant;
 
 use crate::Settings;
 
-/// What a probe over a fresh connection to the same server found.
+/// The result of a probe over a new connection to the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The server has produced more of the answer than arrived here.
+    /// The server has sent more of the response than was received here.
     Ahead,
-    /// The server runs the attempt and has produced no more than arrived here.
+    /// The server is running the attempt, and all that it has sent was received.
     CaughtUp,
-    /// The server answers but knows nothing of the attempt, or cannot say.
+    /// The server responds, but the attempt is unknown to it or it cannot report on
+    /// attempts.
     Unknown,
-    /// No fresh connection came about, or it went unanswered.
+    /// The new connection could not be established, or the probe got no response.
     Failed,
 }
 
-/// What is to be done about a connection.
+/// What the caller has to do about a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Nothing.
     Wait,
-    /// Ask the same server about the attempt over a fresh connection.
+    /// Probe the same server about the attempt over a new connection.
     Probe,
-    /// Close this connection only, and resume the answer over the fresh one
-    /// where the server can; the attempt may have run.
+    /// Close only this connection, and resume the response over the new one if the
+    /// server supports it. The attempt may have run.
     CloseConnection,
     /// Treat the server as failed.
     ServerFailed,
 }
 
-/// How a connection stands.
+/// The state of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
-    /// Progress is due by the instant.
+    /// Waiting for response bytes until the deadline.
     Open(Instant),
-    /// The answer to a probe is due by the instant.
+    /// Waiting for the result of a probe until the deadline.
     Probing(Instant),
-    /// It has been given up.
+    /// The connection was given up.
     Closed,
 }
 
-/// One connection with a request in flight, judged apart from its server.
+/// A connection with a request in flight, whose health is tracked separately from
+/// that of its server.
 ///
-/// Something between the two ends may lose track of a connection: it stays open
-/// and nothing arrives any more. The server is well and new connections to it
-/// work. Judged by the silence alone, one would eject a healthy server, or wait
-/// for ever. So silence leads to a question over a fresh connection, and its
-/// answer tells a silent connection, a slow request and a dead server apart.
+/// A device on the path may lose its state of a connection: the connection stays
+/// open, but no more bytes arrive, while the server is healthy and accepts new
+/// connections. Judging by the silence alone, the router would either eject a
+/// healthy server or wait forever. Instead, a connection without progress triggers
+/// a probe over a new connection, whose result distinguishes a silent connection, a
+/// slow request and a dead server.
 #[derive(Clone, Debug)]
 pub struct Connection {
     settings: Settings,
@@ -58,7 +61,7 @@
 }
 
 impl Connection {
-    /// A connection on which a request was sent just now.
+    /// Creates the state of a connection on which a request was sent at `now`.
     pub fn new(settings: Settings, now: Instant) -> Self {
         let state = State::Open(now + settings.progress_timeout);
         Self {
@@ -68,7 +71,7 @@
         }
     }
 
-    /// Bytes of the answer arrived.
+    /// Records that bytes of the response were received.
     pub fn record_progress(&mut self, now: Instant) {
         if self.state == State::Closed {
             return;
@@ -77,7 +80,7 @@
         self.state = State::Open(now + self.settings.progress_timeout);
     }
 
-    /// When [`Self::tick`] has something to say.
+    /// When [`Self::tick`] has to be called next; `None` if the connection is closed.
     pub fn next_tick(&self) -> Option<Instant> {
         match self.state {
             State::Open(instant) | State::Probing(instant) => Some(instant),
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Lets time pass.
+    /// Handles a deadline that has passed.
     pub fn tick(&mut self, now: Instant) -> Action {
         match self.state {
             State::Open(deadline) if now >= deadline => {
@@ -99,15 +102,15 @@
         }
     }
 
-    /// A probe was answered. Answers that come after progress or after the
-    /// connection was given up are ignored.
+    /// Handles the result of a probe. It is ignored if progress was made since the
+    /// probe was sent or the connection was given up.
     pub fn record_probe(&mut self, result: ProbeResult, now: Instant) -> Action {
         let State::Probing(_) = self.state else {
             return Action::Wait;
         };
         match result {
             ProbeResult::CaughtUp => {
-                // The request is slow: ask again, each time later.
+                // The request is slow: probe again, with exponential backoff.
                 self.probes_without_progress =
                     self.probes_without_progress.saturating_add(1).min(5);
                 let timeout = self.settings.progress_timeout * (1 << self.probes_without_progress);
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,10 +1,12 @@
-//! Retries, ejection, suspect requests and silent connections.
+//! Retries, outlier detection, suspect requests and silent connections.
 //!
-//! Each module holds one decision: whether a request is run again
-//! ([`Retry`], within its workspace's [`RetryBudget`]), which backend servers are
-//! left out for a while ([`OutlierDetector`]), which requests are refused because
-//! backend servers died with them ([`Suspects`]), and whether a connection or
-//! its server went silent ([`Connection`]). There is no I/O and no clock.
+//! Each module implements one decision: whether a failed request is retried
+//! ([`Retry`], within its workspace's [`RetryBudget`]), which failing backend
+//! servers are ejected ([`OutlierDetector`]), which requests are refused because
+//! backend servers crashed while running them ([`Suspects`]), and whether a
+//! connection or its server stopped responding ([`Connection`]).
+//!
+//! The crate performs no I/O and reads no clock: callers pass in the current time.
 
 mod budget;
 mod connection;
--- a/crates/recovery/src/outlier.rs
+++ b/crates/recovery/src/outlier.rs
@@ -1,4 +1,4 @@
-//! Ejection of backend servers that fail.
+//! Outlier detection: temporary ejection of backend servers that fail.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -9,12 +9,13 @@
 #[derive(Clone, Debug)]
 struct Record {
     zone: availability::Zone,
-    /// Failures that no successes have made up for, each worth `successes`.
+    /// The failure score: each failure adds `successes_per_failure`, each success
+    /// subtracts one.
     failures: u32,
-    /// Ejections that a healthy stretch has not made up for.
+    /// The number of ejections, less one for each healthy period since.
     ejections: u32,
     ejected_until: Instant,
-    /// When one ejection less counts, if the server stays healthy.
+    /// When `ejections` may decrease by one, if the server stays healthy.
     ejections_decay_at: Instant,
 }
 
@@ -34,15 +35,18 @@
     }
 }
 
-/// Which backend servers of one pool are left out because they fail.
+/// Ejects failing backend servers of one pool.
 ///
-/// A server that fails several times in a row, or often, is ejected until a
-/// deadline that doubles with each ejection, so that one that flaps is tried ever more
-/// rarely. On its return a single failure ejects it again. No more than a set
-/// share is ever ejected: when more fail, the fault is likely not theirs, and
-/// ejecting them all would push the whole load onto the few that are left. Then
-/// all are used: all of the pool as it was set, so that servers that are out
-/// or drained stay without work.
+/// A server that fails several times in a row, or often, is ejected. The ejection
+/// time doubles with each ejection, so a flapping server is tried less and less
+/// often. After its return, a single failure ejects it again.
+///
+/// At most a configured share of the pool is ejected. If more servers fail, the
+/// cause is probably not in the servers, and ejecting them all would put the
+/// whole load on the few that remain. The pool is then in panic mode and no
+/// server is ejected. This applies only to the servers passed to
+/// [`Self::set_servers`]: servers that are drained or out of service still get no
+/// requests.
 #[derive(Clone, Debug)]
 pub struct OutlierDetector {
     settings: Settings,
@@ -50,7 +54,7 @@
 }
 
 impl OutlierDetector {
-    /// A pool without servers.
+    /// Creates a detector for a pool without servers.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -58,8 +62,8 @@
         }
     }
 
-    /// Sets the servers of the pool that may get work: neither drained nor in a
-    /// zone that is out. Those that stay keep their records.
+    /// Sets the servers of the pool that may get requests: neither drained nor in a
+    /// zone that is out of service. Servers that were already set keep their records.
     pub fn set_servers(
         &mut self,
         servers: impl IntoIterator<Item = (backend::Server, availability::Zone)>,
@@ -74,10 +78,10 @@
         }
     }
 
-    /// A request completed on `server`.
+    /// Records a request that completed on `server`.
     ///
-    /// While it is ejected that tells nothing new: the request began before.
-    /// While all are used in spite of their failures, it ends the ejection.
+    /// It is ignored while the server is ejected, since the request was sent before
+    /// the ejection. In panic mode, it ends the server's ejection.
     pub fn record_success(&mut self, server: &backend::Server, now: Instant) {
         let failing = self.records.get(server);
         let failing = failing.is_some_and(|record| record.is_failing(now));
@@ -101,7 +105,7 @@
         }
     }
 
-    /// A request failed on `server`, or no connection to it came about.
+    /// Records a request that failed on `server`, or a failure to connect to it.
     pub fn record_failure(&mut self, server: &backend::Server, now: Instant) {
         let Some(record) = self.records.get(server) else {
             return;
@@ -125,7 +129,8 @@
         self.eject(server, now);
     }
 
-    /// Ejects `server`, which fails by what others saw of it.
+    /// Ejects `server` immediately, for example because of failures that other
+    /// routers reported.
     pub fn eject(&mut self, server: &backend::Server, now: Instant) {
         let settings = &self.settings;
         let Some(record) = self.records.get_mut(server) else {
@@ -141,31 +146,31 @@
         record.ejections_decay_at = record.ejected_until + ejection_time;
     }
 
-    /// Whether so many servers fail that all are used.
+    /// Whether so many servers fail that none is ejected.
     pub fn is_in_panic_mode(&self, now: Instant) -> bool {
         let failing = self.records.values();
         let failing = failing.filter(|record| record.is_failing(now)).count();
         failing > self.max_ejected()
     }
 
-    /// The most servers that are ejected at a time.
+    /// The maximum number of servers ejected at the same time.
     pub fn max_ejected(&self) -> usize {
         self.records.len() * self.settings.max_ejection_permille as usize / 1000
     }
 
-    /// Whether `server` counts as failing, whether it is left out or not.
+    /// Whether `server` is failing. In panic mode, failing servers are not ejected.
     pub fn is_failing(&self, server: &backend::Server, now: Instant) -> bool {
         let record = self.records.get(server);
         record.is_some_and(|record| record.is_failing(now))
     }
 
-    /// Whether `server` is left out at present.
+    /// Whether `server` is currently ejected.
     pub fn is_ejected(&self, server: &backend::Server, now: Instant) -> bool {
         let record = self.records.get(server);
         record.is_some_and(|record| record.is_failing(now)) && !self.is_in_panic_mode(now)
     }
 
-    /// Servers that are left out at present, with the end of their ejection.
+    /// The servers that are currently ejected, with the end of their ejection.
     pub fn ejected(&self, now: Instant) -> Vec<(backend::Server, Instant)> {
         if self.is_in_panic_mode(now) {
             return Vec::new();
@@ -177,7 +182,7 @@
             .collect()
     }
 
-    /// Servers that get work at present.
+    /// The servers that currently get requests.
     pub fn usable(&self, now: Instant) -> Vec<backend::Server> {
         let panicking = self.is_in_panic_mode(now);
         let usable = self.records.iter();
@@ -185,18 +190,19 @@
         usable.map(|(server, _)| server.clone()).collect()
     }
 
-    /// Whether most servers of a zone fail. Then the zone is likely cut off, and
-    /// the rest of it is not given the benefit of the doubt.
+    /// Whether most servers of a zone are failing. The zone is then probably
+    /// unreachable, and a single failure ejects each of its other servers.
     fn is_zone_failing(&self, zone: &availability::Zone, now: Instant) -> bool {
         let all = self.records.values().filter(|record| record.zone == *zone);
         let failing = all.clone().filter(|record| record.is_failing(now)).count();
         failing > 1 && failing * 2 > all.count()
     }
 
-    /// A server of a failing zone is back, so the others are tried as well.
+    /// Ends the ejections of a failing zone's servers, after one of them has
+    /// recovered.
     ///
-    /// After a long cut their deadlines lie minutes ahead. Without this a zone
-    /// that is back would stay without work for as long.
+    /// After a long network partition their ejections would last for minutes more,
+    /// in which the recovered zone would get no requests.
     fn end_zone_ejections(&mut self, zone: &availability::Zone, now: Instant) {
         if !self.is_zone_failing(zone, now) {
             return;
@@ -209,7 +215,7 @@
     }
 }
 
-/// How long the ejection after `ejections` earlier ones lasts.
+/// The duration of an ejection that follows `ejections` earlier ones.
 fn ejection_time(ejections: u32, settings: &Settings) -> Duration {
     let factor = 1_u32.checked_shl(ejections).unwrap_or(u32::MAX);
     settings
--- a/crates/recovery/src/retry.rs
+++ b/crates/recovery/src/retry.rs
@@ -1,59 +1,63 @@
-//! Whether a failed attempt is followed by another.
+//! Whether a failed request is retried.
 
 use units::{time::Instant, workspace};
 use verdict::{Code, Refusal, Verdict};
 
 use crate::{RetryBudget, Settings};
 
-/// What an attempt failed of.
+/// Why an attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
-    /// The owner refused before anything left towards the backend server.
+    /// The owner refused the request before anything was sent to the backend server.
     Refused,
-    /// No connection to the backend server came about.
+    /// The connection to the backend server could not be established.
     Unreachable,
-    /// The backend server failed, or its answer was cut or crossed.
+    /// The backend server failed, or its response was truncated or belonged to
+    /// another request.
     Failed,
 }
 
-/// A failed attempt and what is left.
+/// A failed attempt, and what remains for further ones.
 #[derive(Clone, Debug)]
 pub struct Failure<'a> {
-    /// The workspace that pays.
+    /// The workspace whose budget pays for the retry.
     pub workspace: &'a workspace::Id,
-    /// What the attempt failed of.
+    /// Why the attempt failed.
     pub cause: Cause,
-    /// The refusal that the caller gets if there is no further attempt.
+    /// The refusal that the caller gets if the request is not retried.
     pub refusal: Refusal,
-    /// Whether the request may run twice.
+    /// Whether the request is idempotent and may run more than once.
     pub idempotent: bool,
-    /// Whether part of an answer has reached the caller.
+    /// Whether part of a response has been sent to the caller.
     pub response_started: bool,
-    /// Attempts that have reached for a backend server, this one included.
+    /// The number of attempts that were sent, or tried to connect, to a backend
+    /// server, including this one.
     pub attempts: u32,
-    /// Refusals by owners, this one included.
+    /// The number of refusals by owners, including this one.
     pub refusals: u32,
-    /// Backend servers that have not been tried.
+    /// The number of backend servers that have not been tried.
     pub candidates: usize,
-    /// When the caller gives up.
+    /// The deadline of the request.
     pub deadline: Instant,
 }
 
-/// What follows a failed attempt.
+/// What to do after a failed attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Retry {
-    /// The next backend server is tried.
+    /// Try the next backend server.
     Next,
-    /// The caller gets the refusal at once.
+    /// Return the refusal to the caller immediately.
     GiveUp(Refusal),
 }
 
 impl Retry {
-    /// Decides what follows `failure`, and pays for a retry.
+    /// Decides whether to retry after `failure`, and takes the cost of the retry
+    /// from `budget`.
     ///
-    /// A refusal by an owner costs no budget, since it cost the backend servers
-    /// nothing; their number is bounded instead. A request that is given up on
-    /// gets its answer now, with the instant to come back at where that helps.
+    /// A retry after a refusal by an owner is not charged to the budget, since the
+    /// refusal caused no load on the backend servers; the number of refusals is
+    /// limited instead. A request that is not retried is refused immediately, with
+    /// the time at which the caller may retry, if a retry can succeed.
     pub fn decide(
         failure: Failure<'_>,
         settings: &Settings,
@@ -72,7 +76,7 @@
         })
     }
 
-    /// Whether another attempt may follow, and why not.
+    /// Checks whether another attempt is allowed; the error is the reason why not.
     fn allowed(
         failure: &Failure<'_>,
         settings: &Settings,
@@ -101,7 +105,7 @@
     }
 }
 
-/// Whether another backend server would answer the same.
+/// Whether every other backend server would give the same response.
 fn is_final(code: Code) -> bool {
     !matches!(
         code,
--- a/crates/recovery/src/settings.rs
+++ b/crates/recovery/src/settings.rs
@@ -2,44 +2,47 @@
 
 use std::time::Duration;
 
-/// Settings of retries, ejection, suspects and connections.
+/// Settings of retries, outlier detection, suspect requests and connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Retries for each thousand requests of a workspace, and of the router.
+    /// Retries allowed per thousand requests of a workspace, and of the router.
     pub retry_permille: u32,
-    /// Retries that a workspace may make before its requests have paid for them.
+    /// Retries that a workspace, and the router, may make before any requests have
+    /// added to the budget.
     pub initial_retries: u32,
-    /// The most retries that can be saved up.
+    /// The maximum number of retries that can accumulate in a budget.
     pub retry_burst: u32,
-    /// A workspace without requests for this long is forgotten.
+    /// How long after its last request or retry a workspace's budget is removed.
     pub workspace_idle_timeout: Duration,
-    /// The most attempts that may reach a backend server for one request.
+    /// The maximum number of attempts per request on backend servers.
     pub max_attempts: u32,
-    /// The most refusals by owners before a request is given up.
+    /// The number of refusals by owners after which a request is not retried.
     pub max_refusals: u32,
-    /// Failures that eject a server, each made up for by `successes_per_failure` successes.
+    /// The number of failures at which a server is ejected. Each is cancelled by
+    /// `successes_per_failure` successes.
     pub ejection_failures: u32,
-    /// See `ejection_failures`.
+    /// The number of successes that cancel one failure.
     pub successes_per_failure: u32,
-    /// How long the first ejection lasts; each further one lasts twice as long.
+    /// The duration of the first ejection; it doubles with each further one.
     pub base_ejection_time: Duration,
-    /// How long the longest ejection lasts.
+    /// The maximum duration of an ejection.
     pub max_ejection_time: Duration,
-    /// The largest share of a pool that is ejected, in thousandths.
+    /// The maximum share of a pool that is ejected, in thousandths.
     pub max_ejection_permille: u32,
-    /// Strikes at which a request is refused.
+    /// The number of strikes at which a request is refused.
     pub refuse_at_strikes: usize,
-    /// How long a strike counts.
+    /// How long after a request's last strike its strikes expire.
     pub strike_expiry: Duration,
-    /// The most fingerprints with strikes that are remembered.
+    /// The maximum number of fingerprints for which strikes are stored.
     pub max_suspects: usize,
-    /// The most requests with a strike that run one at a time on each server.
+    /// The maximum number of suspect requests that are isolated, so that each server
+    /// runs only one of them at a time. With more of them, none is isolated.
     pub max_isolated: usize,
-    /// When a caller may come back whose request failed.
+    /// How long a caller should wait before it retries a failed request.
     pub retry_after: Duration,
-    /// How long a connection may make no progress before it is probed.
+    /// How long a connection may make no progress before its server is probed.
     pub progress_timeout: Duration,
-    /// How long a probe may take.
+    /// The timeout of a probe.
     pub probe_timeout: Duration,
 }
 
--- a/crates/recovery/src/suspects.rs
+++ b/crates/recovery/src/suspects.rs
@@ -1,4 +1,4 @@
-//! Requests that are suspected of crashing backend servers.
+//! Requests that are suspected of crashing backend servers (poison requests).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,51 +9,53 @@
 
 use crate::Settings;
 
-/// One death of a backend server, named alike by all routers that notice it.
+/// Identifies one crash of a backend server; all routers derive the same ID.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Crash(pub u64);
 
 impl Crash {
-    /// The death of `server` in the boot that it reported.
+    /// The ID of the crash that ended the run `boot` of `server`.
     ///
-    /// Several routers may notice the same death; as they compute the same
-    /// name, their strikes merge into one.
+    /// Several routers may detect the same crash. As they compute the same ID, their
+    /// strikes count as one.
     pub fn new(server: &backend::Server, boot: u64) -> Self {
         let hash = xxhash_rust::xxh3::xxh3_64_with_seed(server.as_str().as_bytes(), boot);
         Self(hash)
     }
 }
 
-/// A strike as routers pass it on.
+/// A strike against a request, as routers exchange it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Strike {
-    /// The request that was in flight.
+    /// The fingerprint of the request that was in flight.
     pub fingerprint: request::Fingerprint,
-    /// The death that it was in flight at.
+    /// The crash during which the request was in flight.
     pub crash: Crash,
 }
 
-/// What a request's strikes allow.
+/// How a request may run, given its strikes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It has no strike.
+    /// The request runs without restrictions: it has no strikes, or too many requests
+    /// have a strike to isolate them.
     Clear,
-    /// It has a strike: it runs beside no other request that has one.
+    /// The request has a strike: it must not run on a server together with another
+    /// suspect request.
     Suspect,
-    /// It is refused everywhere.
+    /// The request is refused by all routers.
     Refused(Refusal),
 }
 
-/// The most deaths that are remembered of one request.
+/// The maximum number of crashes that are stored for one request.
 const MAX_CRASHES: usize = 8;
 
-/// The deaths that one request was in flight at.
+/// The crashes during which one request was in flight.
 #[derive(Clone, Debug)]
 struct Record {
     crashes: SmallVec<[Crash; 2]>,
-    /// Deaths at which it was in flight and that it has been cleared of.
+    /// Crashes whose strikes against the request were lifted.
     lifted: SmallVec<[Crash; 2]>,
-    /// When the last of the deaths was noticed here.
+    /// When this router learned of the last of the crashes.
     noticed_at: Instant,
     expires_at: Instant,
 }
@@ -71,33 +73,34 @@
     }
 }
 
-/// Strikes against requests that were in flight when a backend server died.
+/// Strikes against requests that were in flight when a backend server crashed.
 ///
-/// Now and then one request crashes each server that runs it, and its caller
-/// sends it again: without a count it takes down one server after another.
-/// Its neighbours in the batch die with it and get a strike too, so one strike
-/// proves nothing. A request with a strike runs beside no other that has one,
-/// which [`Standing::Suspect`] asks for; then only the guilty one dies twice.
-/// One that completes is cleared.
+/// A poison request crashes every server that runs it. If its caller retries it,
+/// it takes down one server after another unless crashes are counted. All other
+/// requests in the same batch fail with it and get a strike too, so a single
+/// strike is not conclusive. Requests with a strike are therefore isolated from
+/// each other ([`Standing::Suspect`]), so that only the poison request is in flight
+/// at a second crash. The strikes of a request that completes are lifted.
 ///
-/// When a zone loses power, every request in it gets a strike. Run one at a
-/// time, they would block each other for minutes; so beyond a set number they
-/// run side by side. A body that many callers send was in flight on several of
-/// the servers at once, and that counts as one strike: see [`Self::record_crash`].
+/// When a zone loses power, every request in flight in it gets a strike. Isolating
+/// them all would make them wait for each other for minutes, so none is isolated
+/// when more than [`Settings::max_isolated`] requests are suspects. An identical
+/// request from many callers may be in flight on several crashing servers at once,
+/// which counts as one strike: see [`Self::record_crash`].
 ///
-/// Strikes and their lifting are sets of named deaths, so that duplicates and
-/// any order of arrival lead to the same standing on every router.
+/// Strikes and lifted strikes are sets of crash IDs, so every router reaches the
+/// same standing regardless of duplicates and the order of messages.
 #[derive(Clone, Debug)]
 pub struct Suspects {
     settings: Settings,
     records: BTreeMap<request::Fingerprint, Record>,
     expiry: BTreeSet<(Instant, request::Fingerprint)>,
-    /// Requests with a strike that are not refused.
+    /// The number of requests that have a strike but are not refused.
     suspected: usize,
 }
 
 impl Suspects {
-    /// No request is suspected.
+    /// Creates a set without suspects.
     pub fn new(settings: Settings) -> Self {
         Self {
             settings,
@@ -107,12 +110,12 @@
         }
     }
 
-    /// A server died with an attempt in flight that began at `started_at`.
-    /// Returns the strike to pass on, if there is one.
+    /// Records that a server crashed with an attempt in flight that was started at
+    /// `started_at`. Returns the strike to send to other routers, if it is new.
     ///
-    /// An attempt that began before an earlier death was known was not a repeat
-    /// after that death. Both may have died of the same outage, so that this
-    /// one proves nothing further.
+    /// An attempt that was started before this router learned of an earlier crash is
+    /// not a retry after that crash. Both servers may have crashed in the same
+    /// outage, so this crash adds no strike.
     pub fn record_crash(
         &mut self,
         strike: Strike,
@@ -128,7 +131,7 @@
         self.apply_strike(strike, now).then_some(strike)
     }
 
-    /// Takes in a strike of this or another router. Returns whether it was news.
+    /// Adds a strike from this or another router. Returns whether it was new.
     pub fn apply_strike(&mut self, strike: Strike, now: Instant) -> bool {
         self.expire(now);
         self.update(strike.fingerprint, now, |record| {
@@ -141,14 +144,14 @@
         })
     }
 
-    /// The request completed, so that it does not crash servers. Returns the
-    /// strikes that are lifted, to pass on.
+    /// Records that the request completed, which shows that it does not crash
+    /// servers. Returns the lifted strikes to send to other routers.
     pub fn record_completion(&mut self, fingerprint: request::Fingerprint) -> Vec<Strike> {
         let Some(mut record) = self.remove_record(fingerprint) else {
             return Vec::new();
         };
         let mut lifted = Vec::new();
-        // Two strikes are final: the answer came from a run that began before.
+        // A refusal is final: this response is from an attempt started before it.
         if record.crashes.len() < self.settings.refuse_at_strikes {
             for crash in record.crashes.clone() {
                 record.lift_crash(crash);
@@ -159,8 +162,8 @@
         lifted
     }
 
-    /// A strike is lifted, here or by another router. It stays lifted if it is
-    /// learned later.
+    /// Lifts a strike, on behalf of this or another router. It stays lifted even if
+    /// the strike itself arrives later.
     pub fn lift_strike(&mut self, strike: Strike, now: Instant) {
         self.expire(now);
         self.update(strike.fingerprint, now, |record| {
@@ -169,7 +172,7 @@
         });
     }
 
-    /// What the strikes of a request allow.
+    /// How a request may run, given its strikes.
     pub fn standing(&self, fingerprint: request::Fingerprint, now: Instant) -> Standing {
         let record = self.records.get(&fingerprint);
         let strikes = record
@@ -182,12 +185,12 @@
         } else {
             Standing::Refused(Refusal::not_run(
                 Code::Suspect,
-                "Backend servers died while they ran this request.",
+                "Backend servers crashed while running this request.",
             ))
         }
     }
 
-    /// How a request with a strike runs.
+    /// The standing of a request that has a strike but is not refused.
     fn standing_with_strike(&self) -> Standing {
         if self.suspected > self.settings.max_isolated {
             Standing::Clear
@@ -196,17 +199,17 @@
         }
     }
 
-    /// Requests that are remembered.
+    /// The number of requests with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether there are no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// All strikes, for a router that has just joined.
+    /// All strikes, to send to a router that has just joined.
     pub fn strikes(&self) -> impl Iterator<Item = Strike> {
         self.records.iter().flat_map(|(&fingerprint, record)| {
             let crashes = record.crashes.iter();
@@ -214,15 +217,15 @@
         })
     }
 
-    /// Forgets strikes that no longer count.
+    /// Removes expired records.
     pub fn expire(&mut self, now: Instant) {
         while self.expiry.first().is_some_and(|&(at, _)| at <= now) {
             self.evict_oldest();
         }
     }
 
-    /// Changes the record of a request. If `change` returns true, the record
-    /// expires anew from now on.
+    /// Updates the record of a request. If `update` returns true, the record's expiry
+    /// is extended.
     fn update(
         &mut self,
         fingerprint: request::Fingerprint,
--- a/crates/recovery/tests/failures/connection.rs
+++ b/crates/recovery/tests/failures/connection.rs
@@ -1,10 +1,10 @@
-//! Connections that go silent, and servers that do.
+//! Silent connections, dead servers and slow requests.
 
 use recovery::{Action, Connection, ProbeResult, Settings};
 use units::time::Instant;
 use yare::parameterized;
 
-/// What happens at a time in milliseconds.
+/// An event, with its time in milliseconds.
 #[derive(Clone, Copy)]
 enum Event {
     Bytes(u64),
@@ -14,11 +14,10 @@
 
 use Event::{Bytes, ProbeDone, Tick};
 
-// Something between the two ends loses track of a connection, and nothing
-// arrives on it any more, while the server is well. Users wait for ever. Taken
-// for a dead server, a healthy one would be left out; and a request that merely
-// takes long must not be cut off. The table tells the three apart, with probes
-// that are answered late or not at all.
+// A device on the path loses its state of a connection, and no more bytes arrive
+// on it, while the server is healthy. Its caller must not wait forever, the healthy
+// server must not be ejected, and a request that is merely slow must not be
+// aborted. The cases include late and missing probe results.
 #[parameterized(
     silent_connection = {
         &[Bytes(500), Tick(2000), Tick(2600), ProbeDone(2700, ProbeResult::Ahead), Tick(9000)],
--- a/crates/recovery/tests/failures/crashes.rs
+++ b/crates/recovery/tests/failures/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash each engine that runs them, beside others that do not.
+//! Poison requests, which crash every engine that runs them, among harmless ones.
 
 use std::collections::BTreeMap;
 
@@ -40,18 +40,19 @@
 #[derive(Debug, Default)]
 struct Summary {
     finished: u64,
-    /// Innocent requests that were in flight at a death.
+    /// Harmless requests that were in flight at a crash.
     hit: u64,
-    /// Innocent requests that were refused as suspects.
+    /// Harmless requests that were refused as suspects.
     refused: u64,
-    /// Innocent requests whose two attempts both died.
+    /// Harmless requests whose two attempts both ended in a crash.
     lost: u64,
-    /// Deaths by poisonous request.
+    /// Crashes caused by each poison request.
     deaths: BTreeMap<Fingerprint, u64>,
 }
 
-/// Runs a pool of engines for a while. Each poisonous request is sent again and
-/// again by its caller.
+/// Simulates a pool of engines for 1200 steps. In each step after the first 100, the
+/// caller of a poison request that is neither running nor waiting sends it again with
+/// `resend_probability`.
 fn run(poisons: u64, resend_probability: f64, seed: u64) -> Summary {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut suspects = Suspects::new(Settings::default());
@@ -160,11 +161,12 @@
         .any(|job| job.fingerprint == fingerprint)
 }
 
-// A request crashes each engine that runs it, and its caller sends it again and
-// again. The others in the batch die with it each time. Users of the others see
-// one delay; if two struck requests shared an engine, they would be refused for
-// good through no fault of theirs. Several such requests at once may still hit
-// the same innocent one from two sides; that share is bounded.
+// A poison request crashes every engine that runs it, and its caller keeps sending
+// it. The other requests in the batch fail with it. They should only be delayed
+// once; if two requests with a strike shared an engine, harmless ones would be
+// refused permanently. With several poison requests at once, the same harmless
+// request may be in flight at the crashes of two of them; the share of harmless
+// requests that fail for this reason is bounded.
 #[parameterized(
     one = { 1, 0.02, 0.0 },
     three_over_time = { 3, 0.02, 0.05 },
@@ -190,9 +192,12 @@
     }
     println!("poisons={poisons} finished={finished} innocents_hit={hit} given_up={given_up}");
     let share = given_up as f64 / hit as f64;
-    assert!(hit > 100, "the test hits nobody");
+    assert!(
+        hit > 100,
+        "too few harmless requests were in flight at a crash: {hit}"
+    );
     assert!(
         share <= bound,
-        "{given_up} innocents of {hit} hit were given up"
+        "{given_up} of {hit} harmless requests in flight at a crash failed"
     );
 }
--- a/crates/recovery/tests/failures/main.rs
+++ b/crates/recovery/tests/failures/main.rs
@@ -1,4 +1,4 @@
-//! Failing servers, requests that crash them and silent connections, in virtual time.
+//! Failing servers, poison requests and silent connections, in virtual time.
 
 mod connection;
 mod crashes;
--- a/crates/recovery/tests/failures/outlier.rs
+++ b/crates/recovery/tests/failures/outlier.rs
@@ -46,9 +46,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Servers fail and recover in any pattern while operators drain some and
-    // take zones out. Ejecting too many would push the whole load onto the few
-    // left; using all in a panic must not mean those that are drained or out.
+    // Servers fail and recover in any pattern, while operators drain servers and take
+    // zones out of service. Ejecting too many would put the whole load on the few
+    // that remain, and panic mode must not use servers that are drained or out of
+    // service.
     #[test]
     fn ejected_share_never_exceeds_the_maximum(
         events in prop::collection::vec((event(), 0..3000_u64), 1..200),
@@ -70,7 +71,7 @@
             let usable: BTreeSet<Server> = detector.usable(now).into_iter().collect();
             let ejected = detector.ejected(now);
             let all: BTreeSet<Server> = configured.iter().map(|number| server(*number)).collect();
-            prop_assert!(usable.is_subset(&all), "work for a server that is out");
+            prop_assert!(usable.is_subset(&all), "a usable server is not in the pool");
             prop_assert!(ejected.len() * 2 <= all.len(), "{} of {} ejected", ejected.len(), all.len());
             prop_assert_eq!(usable.len() + ejected.len(), all.len());
             prop_assert!(all.is_empty() || !usable.is_empty());
@@ -82,8 +83,8 @@
     }
 }
 
-// A server comes up for a second and dies again, all day long. Each time it is
-// back, some requests are lost on it; they must become rare.
+// A server flaps: it recovers for a second and fails again. Requests are lost each
+// time it returns, so its ejections must grow longer.
 #[test]
 fn ejections_of_a_flapping_server_grow_longer() {
     let mut detector = OutlierDetector::new(Settings::default());
@@ -102,14 +103,15 @@
             }
         }
     }
-    // Without growing deadlines it would be one in six seconds, 600 an hour.
+    // With a constant ejection time, one request would be lost every six seconds,
+    // 600 per hour.
     println!("flapping lost={lost}");
     assert!(lost <= 40, "{lost} requests lost in an hour");
 }
 
-// A zone is cut off for ten minutes and then is back. Its servers failed each
-// time they were tried, so that they would be left out for minutes more, and
-// the rest would carry the whole load meanwhile.
+// A zone is unreachable for ten minutes and then recovers. Its servers failed each
+// time they were tried, so their ejections would last for minutes more, while the
+// other zones carry the whole load.
 #[test]
 fn a_returning_zone_is_used_at_once() {
     let mut detector = OutlierDetector::new(Settings::default());
@@ -117,7 +119,8 @@
     let zone = [0, 3, 6, 9];
     let mut now = Instant::ZERO;
     while now < Instant::from_millis(600_000) {
-        // They are cut off one after the other, so their deadlines differ.
+        // They become unreachable one after another, so their ejections end at
+        // different times.
         for number in zone {
             if now >= Instant::from_millis(10_000 * number as u64) {
                 detector.record_failure(&server(number), now);
@@ -128,22 +131,25 @@
     assert_eq!(
         detector.ejected(now).len(),
         zone.len(),
-        "a whole zone may be left out"
+        "all servers of the zone are ejected"
     );
     let (_, first_return) = detector
         .ejected(now)
         .into_iter()
         .min_by_key(|(_, until)| *until)
-        .expect("some");
+        .expect("servers are ejected");
     detector.record_success(&server(0), first_return);
     let first = zone
         .map(server)
         .into_iter()
         .find(|server| !detector.is_ejected(server, first_return));
-    detector.record_success(&first.expect("one is tried"), first_return);
+    detector.record_success(
+        &first.expect("a server of the zone is not ejected"),
+        first_return,
+    );
     assert_eq!(
         detector.usable(first_return).len(),
         12,
-        "the zone is not used"
+        "a server of the zone is still ejected"
     );
 }
--- a/crates/recovery/tests/failures/retry.rs
+++ b/crates/recovery/tests/failures/retry.rs
@@ -1,4 +1,4 @@
-//! Retries while servers fail.
+//! Retries while backend servers fail.
 
 use std::time::Duration;
 
@@ -29,9 +29,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A booking's answer is lost after the service has run it. If the router
-    // sent it again, two trucks would come and both would be billed. And a
-    // caller that already has part of an answer must not get another's start.
+    // The response to a booking is lost after the service has executed it. If the
+    // router retried the request, the booking would be made and billed twice. And a
+    // caller that has received part of a response must not get the start of another.
     #[test]
     fn requests_that_may_have_run_are_not_repeated(
         may_have_run in any::<bool>(),
@@ -61,7 +61,7 @@
         };
         match Retry::decide(failure, &settings, &mut budget, now) {
             Retry::Next => {
-                prop_assert!(idempotent || !may_have_run, "a second run");
+                prop_assert!(idempotent || !may_have_run, "a request that is not idempotent and may have run is retried");
                 prop_assert!(!response_started && candidates > 0 && remaining_ms > 0 && code != Code::Suspect);
                 prop_assert!(cause == Cause::Refused || attempts < settings.max_attempts);
             }
@@ -70,8 +70,8 @@
     }
 }
 
-/// Runs requests of many workspaces against a pool of which a third fails.
-/// Returns attempts for each request, and the share of requests that failed.
+/// Simulates requests of `workspaces` workspaces to a pool in which a third of the
+/// servers fails. Returns the attempts per request and the share of failed requests.
 fn retry_amplification(workspaces: u64, unreachable: bool, ejects: bool) -> (f64, f64) {
     let mut rng = ChaCha8Rng::seed_from_u64(7);
     let settings = Settings::default();
@@ -131,9 +131,9 @@
     )
 }
 
-// A third of the engines fail nine requests in ten. Retried without a bound,
-// the failures become load for the engines that are left and bring those down.
-// The bound must hold by the budget alone, where no ejection helps.
+// A third of the engines fail 90% of their requests. Without a limit, retries would
+// overload the remaining engines and make them fail as well. The budget alone must
+// limit the retries, also without outlier detection.
 #[parameterized(
     unreachable = { 10, true, true },
     failing = { 10, false, true },
@@ -147,12 +147,12 @@
         "workspaces={workspaces} unreachable={unreachable} ejects={ejects} \
          retry_amplification={attempts:.4} failed={failed:.4}"
     );
-    assert!(attempts <= 1.1, "{attempts} attempts for each request");
+    assert!(attempts <= 1.1, "{attempts} attempts per request");
     assert!(!ejects || failed <= 0.05, "{failed} of the requests failed");
 }
 
-// The retries of one workspace that only ever fails use up what the others
-// have paid in, and theirs fail although theirs are few.
+// A workspace whose requests always fail must not use up the retry budget of
+// others, whose few retries would then be refused.
 #[test]
 fn workspaces_cannot_spend_each_others_retry_budget() {
     let now = Instant::from_millis(1);
@@ -167,9 +167,9 @@
     assert!(taken <= 11, "{taken} retries for 100 requests");
     assert!(
         budget.try_withdraw(&name(2), now),
-        "nothing left for the other"
+        "the other workspace has no budget left"
     );
-    // Idle workspaces are forgotten.
+    // Idle workspaces are removed.
     for minute in 1..4 {
         budget.record_request(&name(3), now + Duration::from_secs(61 * minute));
     }
--- a/crates/recovery/tests/failures/strikes.rs
+++ b/crates/recovery/tests/failures/strikes.rs
@@ -1,4 +1,4 @@
-//! Strikes as they spread between routers.
+//! Strikes that routers exchange, and their expiry.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
     Suspects::new(Settings::default())
 }
 
-/// An instant at which each death stands alone.
+/// The instant of a step; steps are 5 s apart.
 fn at(step: usize) -> Instant {
     Instant::from_millis(1000 + 5000 * step as u64)
 }
@@ -24,10 +24,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Routers tell each other of strikes and of their lifting again and again,
-    // over paths that lose, repeat and reorder. If a strike counted twice, an
-    // innocent request would be refused for good; if one router counted less
-    // than another, the guilty one would go on crashing engines there.
+    // Routers exchange strikes and lifted strikes repeatedly, over networks that
+    // lose, duplicate and reorder messages. If a strike counted twice, a harmless
+    // request would be refused permanently. If one router counted fewer strikes than
+    // another, a poison request would continue to crash engines through it.
     #[test]
     fn strike_counts_are_independent_of_message_order(
         deaths in prop::collection::vec((0..4_u64, 0..3_u64), 1..8),
@@ -70,11 +70,11 @@
                     1 => prop_assert_eq!(standing, Standing::Suspect),
                     _ => {
                         let Standing::Refused(refusal) = standing else {
-                            return Err(TestCaseError::fail("not refused"));
+                            return Err(TestCaseError::fail("a request with two strikes is not refused"));
                         };
                         prop_assert_eq!(refusal.code, Code::Suspect);
                         prop_assert_eq!(refusal.verdict, Verdict::NotRun);
-                        // Coming back does not help: the answer is final.
+                        // A later retry cannot succeed: the refusal is final.
                         prop_assert_eq!(refusal.retry_at, None);
                     }
                 }
@@ -83,10 +83,10 @@
     }
 }
 
-// A zone loses power and all its engines die within a second, with hundreds of
-// requests in flight. Run one at a time, users would wait behind each other. A
-// lookup that all dispatchers send was in flight on several of the engines;
-// taken for repeats, it would be refused to everybody from then on.
+// A zone loses power and all its engines crash within a second, with hundreds of
+// requests in flight. If all of them were isolated, they would wait for each other.
+// An identical lookup from many callers was in flight on several engines; if these
+// attempts counted as retries, the lookup would be refused to all callers.
 #[test]
 fn requests_in_flight_at_a_zone_outage_are_not_refused() {
     let mut router = suspects();
@@ -112,7 +112,7 @@
     for request in [lookup, Fingerprint(1), Fingerprint(349)] {
         assert_eq!(router.standing(request, now), Standing::Clear, "{request}");
     }
-    // A repeat that dies counts all the same.
+    // A retry that is in flight at another crash adds a strike.
     router.record_crash(
         Strike {
             fingerprint: lookup,
@@ -124,9 +124,8 @@
     assert!(matches!(router.standing(lookup, now), Standing::Refused(_)));
 }
 
-// Someone sends one request after another that crashes engines. What the
-// routers remember of them must not grow without end, and old strikes must not
-// hold against a request whose engine was mended long ago.
+// A caller sends many different poison requests. Their records must not grow without
+// bound, and strikes must expire, since the engine may have been fixed meanwhile.
 #[test]
 fn strikes_expire_and_are_bounded_in_number() {
     let settings = Settings {
