--- a/crates/placement/tests/cache.rs
+++ b/crates/placement/tests/cache.rs
@@ -26,8 +26,8 @@
     Served(u64, u32),
     Stored(u64, u32),
     Evicted(u64),
-    Lost,
-    Late,
+    EventLost,
+    LateEvent,
     Restarted,
 }
 
@@ -37,8 +37,8 @@
         4 => (chat.clone(), tokens.clone()).prop_map(|(chat, tokens)| Step::Served(chat, tokens)),
         2 => (chat.clone(), tokens).prop_map(|(chat, tokens)| Step::Stored(chat, tokens)),
         3 => chat.prop_map(Step::Evicted),
-        1 => Just(Step::Lost),
-        1 => Just(Step::Late),
+        1 => Just(Step::EventLost),
+        1 => Just(Step::LateEvent),
         1 => Just(Step::Restarted),
     ]
 }
@@ -60,7 +60,7 @@
         // The cached tokens by the latest update of each chat since the last gap.
         let mut certain_tokens = [None; 6];
         let mut has_received = false;
-        let mut gap = false;
+        let mut has_gap = false;
         for step in steps {
             now += 1;
             match step {
@@ -72,26 +72,26 @@
                     sequence += 1;
                     let event = cache::Event::Stored { tokens };
                     index.apply_event(boot, sequence, chat::Key(chat), event, at(now));
-                    if gap {
+                    if has_gap {
                         certain_tokens = [None; 6];
                     }
                     certain_tokens[chat as usize] = Some(tokens);
-                    (has_received, gap) = (true, false);
+                    (has_received, has_gap) = (true, false);
                 }
                 Step::Evicted(chat) => {
                     sequence += 1;
                     index.apply_event(boot, sequence, chat::Key(chat), cache::Event::Evicted, at(now));
-                    if gap {
+                    if has_gap {
                         certain_tokens = [None; 6];
                     }
                     certain_tokens[chat as usize] = None;
-                    (has_received, gap) = (true, false);
+                    (has_received, has_gap) = (true, false);
                 }
-                Step::Lost => {
+                Step::EventLost => {
                     sequence += 1;
-                    gap = true;
+                    has_gap = true;
                 }
-                Step::Late => {
+                Step::LateEvent => {
                     let event = cache::Event::Stored { tokens: 5000 };
                     index.apply_event(boot, sequence.min(1), chat::Key(0), event, at(now));
                     if sequence == 0 || !has_received {
@@ -102,7 +102,7 @@
                     boot = cache::BootId(boot.0 + 1);
                     index.observe_boot(boot);
                     certain_tokens = [None; 6];
-                    (sequence, has_received, gap) = (0, false, false);
+                    (sequence, has_received, has_gap) = (0, false, false);
                 }
             }
             for chat in 0..6_u64 {
@@ -128,9 +128,9 @@
         index.record_served(chat::Key(number), 1000, at(number));
         assert!(index.len() <= 100);
     }
-    let remembered = |chat| index.cached_tokens(chat::Key(chat), at(10_000)).is_some();
-    assert!((9_900..10_000).all(remembered));
-    assert!(!(0..9_900).any(remembered));
+    let is_cached = |chat| index.cached_tokens(chat::Key(chat), at(10_000)).is_some();
+    assert!((9_900..10_000).all(is_cached));
+    assert!(!(0..9_900).any(is_cached));
 }
 
 fn topology(exclude_zone: bool) -> Topology {
@@ -163,11 +163,11 @@
     history.replace(topology(true), at(0));
     history.replace(topology(false), at(60_000));
     let chats = || (0..6_000_u64).map(|n| chat::Key(n.wrapping_mul(0x9e37_79b9_7f4a_7c15)));
-    let chats_away = |now: u64| {
+    let count_away = |now: u64| {
         let staying = chats().filter(|chat| !history.earlier_homes(*chat, at(now)).is_empty());
         staying.count()
     };
-    let moved = chats_away(60_000);
+    let moved = count_away(60_000);
     let share = moved as f64 / 6_000.0;
     assert!(
         (0.30..0.37).contains(&share),
@@ -175,7 +175,7 @@
     );
     let mut previously_away = moved;
     for now in (75_000..=360_000).step_by(15_000) {
-        let still_away = chats_away(now);
+        let still_away = count_away(now);
         let returned = (previously_away - still_away) as f64 / moved as f64;
         assert!(
             returned < 0.08,
--- a/crates/recovery/src/outlier.rs
+++ b/crates/recovery/src/outlier.rs
@@ -184,9 +184,9 @@
 
     /// The servers that currently get requests.
     pub fn usable(&self, now: Instant) -> Vec<backend::Server> {
-        let panicking = self.is_in_panic_mode(now);
+        let in_panic_mode = self.is_in_panic_mode(now);
         let usable = self.records.iter();
-        let usable = usable.filter(|(_, record)| panicking || !record.is_failing(now));
+        let usable = usable.filter(|(_, record)| in_panic_mode || !record.is_failing(now));
         usable.map(|(server, _)| server.clone()).collect()
     }
 
--- a/crates/recovery/tests/failures/crashes.rs
+++ b/crates/recovery/tests/failures/crashes.rs
@@ -41,19 +41,19 @@
 struct Summary {
     finished: u64,
     /// Harmless requests that were in flight at a crash.
-    hit: u64,
+    affected: u64,
     /// Harmless requests that were refused as suspects.
     refused: u64,
     /// Harmless requests whose two attempts both ended in a crash.
     lost: u64,
     /// Crashes caused by each poison request.
-    deaths: BTreeMap<Fingerprint, u64>,
+    crashes: BTreeMap<Fingerprint, u64>,
 }
 
 /// Simulates a pool of engines for 1200 steps. In each step after the first 100, the
 /// caller of a poison request that is neither running nor waiting sends it again with
 /// `resend_probability`.
-fn run(poisons: u64, resend_probability: f64, seed: u64) -> Summary {
+fn run(poison_count: u64, resend_probability: f64, seed: u64) -> Summary {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut suspects = Suspects::new(Settings::default());
     let mut engines: Vec<Engine> = (0..ENGINES).map(|_| Engine::default()).collect();
@@ -73,7 +73,7 @@
             next += 1;
             waiting.push(job(Fingerprint(next), 10 + rng.random_range(0..40)));
         }
-        for poison in 0..poisons {
+        for poison in 0..poison_count {
             let fingerprint = Fingerprint(POISON + poison);
             let is_running = engines
                 .iter()
@@ -119,7 +119,7 @@
                 .iter()
                 .find(|job| job.remaining_steps == 0 && job.is_poison());
             if let Some(culprit) = culprit.copied() {
-                *summary.deaths.entry(culprit.fingerprint).or_default() += 1;
+                *summary.crashes.entry(culprit.fingerprint).or_default() += 1;
                 let crash = Crash::new(
                     &format!("e{number}").parse().expect("a valid name"),
                     engine.boot,
@@ -134,7 +134,7 @@
                 engine.boot += 1;
                 engine.down_until = step + RESTART_STEPS;
                 for job in engine.running.drain(..).filter(|job| !job.is_poison()) {
-                    summary.hit += u64::from(job.attempts == 1);
+                    summary.affected += u64::from(job.attempts == 1);
                     match job.attempts < ATTEMPTS {
                         true => waiting.push(Job {
                             remaining_steps: 10 + job.fingerprint.0 % 40,
@@ -173,31 +173,33 @@
     three_at_once = { 3, 1.0, 0.05 },
 )]
 fn harmless_requests_finish_beside_poison_requests(
-    poisons: u64,
+    poison_count: u64,
     resend_probability: f64,
     bound: f64,
 ) {
-    let (mut finished, mut hit, mut given_up) = (0, 0, 0);
+    let (mut finished, mut affected, mut failed) = (0, 0, 0);
     for seed in 0..40 {
-        let summary = run(poisons, resend_probability, seed);
-        for (poison, deaths) in &summary.deaths {
+        let summary = run(poison_count, resend_probability, seed);
+        for (poison, crashes) in &summary.crashes {
             assert!(
-                *deaths <= 2,
-                "seed {seed}: {poison} crashed {deaths} engines"
+                *crashes <= 2,
+                "seed {seed}: {poison} crashed {crashes} engines"
             );
         }
         finished += summary.finished;
-        hit += summary.hit;
-        given_up += summary.refused + summary.lost;
+        affected += summary.affected;
+        failed += summary.refused + summary.lost;
     }
-    println!("poisons={poisons} finished={finished} innocents_hit={hit} given_up={given_up}");
-    let share = given_up as f64 / hit as f64;
+    println!(
+        "poisons={poison_count} finished={finished} innocents_hit={affected} given_up={failed}"
+    );
+    let share = failed as f64 / affected as f64;
     assert!(
-        hit > 100,
-        "too few harmless requests were in flight at a crash: {hit}"
+        affected > 100,
+        "too few harmless requests were in flight at a crash: {affected}"
     );
     assert!(
         share <= bound,
-        "{given_up} of {hit} harmless requests in flight at a crash failed"
+        "{failed} of {affected} harmless requests in flight at a crash failed"
     );
 }
--- a/crates/recovery/tests/failures/retry.rs
+++ b/crates/recovery/tests/failures/retry.rs
@@ -161,10 +161,10 @@
         budget.record_request(&name(1), now);
         budget.record_request(&name(2), now);
     }
-    let taken = (0..1000)
+    let withdrawn = (0..1000)
         .filter(|_| budget.try_withdraw(&name(1), now))
         .count();
-    assert!(taken <= 11, "{taken} retries for 100 requests");
+    assert!(withdrawn <= 11, "{withdrawn} retries for 100 requests");
     assert!(
         budget.try_withdraw(&name(2), now),
         "the other workspace has no budget left"
--- a/crates/recovery/tests/failures/strikes.rs
+++ b/crates/recovery/tests/failures/strikes.rs
@@ -30,11 +30,11 @@
     // another, a poison request would continue to crash engines through it.
     #[test]
     fn strike_counts_are_independent_of_message_order(
-        deaths in prop::collection::vec((0..4_u64, 0..3_u64), 1..8),
+        reported in prop::collection::vec((0..4_u64, 0..3_u64), 1..8),
         lifted in prop::collection::vec(any::<prop::sample::Index>(), 0..3),
         orders in prop::collection::vec(any::<u64>(), 2..4),
     ) {
-        let strikes: Vec<Strike> = deaths
+        let strikes: Vec<Strike> = reported
             .iter()
             .map(|&(request, crash)| Strike { fingerprint: Fingerprint(request), crash: Crash(crash) })
             .collect();
