--- a/crates/placement/tests/bound.rs
+++ b/crates/placement/tests/bound.rs
@@ -121,7 +121,7 @@
         let snapshot = admission.snapshot(now);
         let offer = Offer {
             terms: Terms::Bounded,
-            cache_status: cache_status,
+            cache_status,
             capacity: Capacity {
                 load: snapshot.in_flight + snapshot.foreign,
                 limit: snapshot.limit,
