--- a/crates/placement/src/plan.rs
+++ b/crates/placement/src/plan.rs
@@ -39,13 +39,14 @@
 }
 
 impl Plan {
-    /// Plans the candidates for a request of `chat`.
+    /// Plans the candidates for a request of `chat`, in this order:
     ///
     /// - [`Terms::Warm`]: servers that may have the chat cached. These are the
     ///   highest-ranked servers, one of which accepted the chat if its home had no
     ///   capacity, and the chat's earlier homes. The offer itself serves as the
     ///   cache lookup, so no extra control traffic is needed.
-    /// - [`Terms::Bounded`]: the highest-ranked servers, without a cached prompt.
+    /// - [`Terms::Bounded`]: the highest-ranked servers, whether or not they have the
+    ///   chat cached.
     /// - [`Terms::Queued`]: the same servers, where the request may queue. An owner
     ///   that cannot start the request in time refuses it immediately; the home may
     ///   be a server that has just started.
--- a/crates/recovery/tests/failures/strikes.rs
+++ b/crates/recovery/tests/failures/strikes.rs
@@ -70,7 +70,7 @@
                     1 => prop_assert_eq!(standing, Standing::Suspect),
                     _ => {
                         let Standing::Refused(refusal) = standing else {
-                            return Err(TestCaseError::fail("a request with two strikes is not refused"));
+                            return Err(TestCaseError::fail("a request with two or more strikes is not refused"));
                         };
                         prop_assert_eq!(refusal.code, Code::Suspect);
                         prop_assert_eq!(refusal.verdict, Verdict::NotRun);
