--- a/crates/recovery/src/connection.rs
+++ b/crates/recovery/src/connection.rs
@@ -7,9 +7,9 @@
 /// The result of a probe over a new connection to the same server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeResult {
-    /// The server has sent more of the response than was received here.
+    /// The server has produced more of the response than was received here.
     Ahead,
-    /// The server is running the attempt, and all that it has sent was received.
+    /// The server is running the attempt, and all that it has produced was received.
     CaughtUp,
     /// The server responds, but the attempt is unknown to it or it cannot report on
     /// attempts.
