--- a/crates/recovery/src/suspects.rs
+++ b/crates/recovery/src/suspects.rs
@@ -185,7 +185,7 @@
         } else {
             Standing::Refused(Refusal::not_run(
                 Code::Suspect,
-                "Backend servers crashed while running this request.",
+                "Backend servers died while they ran this request.",
             ))
         }
     }
