--- a/crates/gateway/examples/control_bytes.rs
+++ b/crates/gateway/examples/control_bytes.rs
@@ -78,7 +78,7 @@
         Ok(Batch {
             rows: Vec::new(),
             version: 1,
-            is_whole: true,
+            is_snapshot: true,
         })
     }
 
@@ -89,11 +89,11 @@
         until: time::Instant,
     ) -> Result<Batch, source::Error> {
         time::sleep_until(until).await;
-        Err(source::Error::Away(String::from("nothing changes")))
+        Err(source::Error::Unavailable(String::from("nothing changes")))
     }
 
     async fn secret(&self, _: time::Instant) -> Result<Secret, source::Error> {
-        Err(source::Error::Away(String::from("it is given")))
+        Err(source::Error::Unavailable(String::from("it is given")))
     }
 
     async fn register(&self, _: &Member, _: time::Instant) -> Result<(), source::Error> {
@@ -225,8 +225,8 @@
         sockets.push(socket);
     }
     let (_members_sender, members_receiver) = watch::channel(Arc::new(members.clone()));
-    let (_mirrors_sender, mirrors) = watch::channel(Arc::default());
-    let (_served_sender, is_served) = watch::channel(true);
+    let (_mirrors_sender, replicas) = watch::channel(Arc::default());
+    let (_served_sender, is_store_reachable) = watch::channel(true);
     let mut counted = Vec::new();
     let mut tasks = Vec::new();
     for (index, (own, sockets)) in members.into_iter().zip(sockets).enumerate() {
@@ -242,8 +242,8 @@
         let inputs = peers::Inputs {
             own,
             members: members_receiver.clone(),
-            mirrors: mirrors.clone(),
-            is_served: is_served.clone(),
+            replicas: replicas.clone(),
+            is_store_reachable: is_store_reachable.clone(),
         };
         let outputs = peers::Outputs {
             dispatch,
--- a/crates/gateway/src/clock.rs
+++ b/crates/gateway/src/clock.rs
@@ -37,12 +37,12 @@
 
     /// The time that remains until `instant`.
     pub fn remaining(&self, instant: time::Instant) -> Duration {
-        instant.since(self.now()).min(FAR)
+        instant.since(self.now()).min(MAX_REMAINING)
     }
 }
 
 /// An instant that is never reached is this far away.
-const FAR: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
+const MAX_REMAINING: Duration = Duration::from_secs(10 * 365 * 24 * 3600);
 
 /// Time since the machine's start, suspensions included.
 fn since_boot() -> Duration {
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -17,20 +17,20 @@
 ///
 /// The store answers a call that waits after [`WAIT`]. A connection can go
 /// silent for good, and then only the missing answer shows it.
-const CALL_LIMIT: Duration = Duration::from_millis(2600);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2600);
 /// How long a call waits for a change.
 ///
 /// A change that a silent connection hides is found after [`CALL_LIMIT`] at
 /// the latest. A longer wait saves calls and makes that time longer.
-pub const WAIT: Duration = Duration::from_millis(2000);
+pub const POLL_WAIT: Duration = Duration::from_millis(2000);
 /// How long reading everything may take.
-const READ_LIMIT: Duration = Duration::from_millis(1500);
+const READ_TIMEOUT: Duration = Duration::from_millis(1500);
 /// The pause after a first failure; it doubles up to [`MAX_PAUSE`].
-const PAUSE: Duration = Duration::from_millis(60);
+const MIN_BACKOFF: Duration = Duration::from_millis(60);
 /// The longest pause between calls while the store is away.
 ///
 /// Its return is noticed this late at most.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 /// The least time between two calls for changes of the servers, or of the routers.
 ///
 /// Servers that are replaced one after the other change several entries a
@@ -38,9 +38,9 @@
 /// first one after a quiet time is heard at once, since its call has waited
 /// longer; those that follow come together. Of the routers that watch, some
 /// call in between, and tell the others.
-const LEAST_GAP: Duration = Duration::from_millis(500);
+const MIN_CALL_INTERVAL: Duration = Duration::from_millis(500);
 /// The start is spread over this time, since all routers may start at once.
-const START_SPREAD: Duration = Duration::from_millis(100);
+const START_JITTER: Duration = Duration::from_millis(100);
 
 /// What following a topic brought.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -50,11 +50,11 @@
     /// Another router passed rows on.
     Relayed(Topic, Batch),
     /// The store cannot be reached.
-    Lost(Topic),
+    StoreLost(Topic),
     /// The store answers again.
-    Returned(Topic),
+    StoreReturned(Topic),
     /// The store has answered another router all the while.
-    Steady,
+    StoreStable,
 }
 
 /// Follows one topic.
@@ -66,7 +66,7 @@
     metrics: Arc<Metrics>,
     /// Whether this router watches the store, or leaves it to others.
     is_watching: watch::Receiver<bool>,
-    is_served: watch::Sender<bool>,
+    is_store_reachable: watch::Sender<bool>,
     after: Option<u64>,
     /// When the next call for changes may begin.
     call_at: time::Instant,
@@ -81,7 +81,7 @@
         events: mpsc::Sender<Event>,
         metrics: Arc<Metrics>,
         is_watching: watch::Receiver<bool>,
-        is_served: watch::Sender<bool>,
+        is_store_reachable: watch::Sender<bool>,
     ) -> Self {
         Self {
             source,
@@ -89,7 +89,7 @@
             events,
             metrics,
             is_watching,
-            is_served,
+            is_store_reachable,
             after: None,
             call_at: time::Instant::now(),
             failures: 0,
@@ -98,7 +98,7 @@
 
     /// Follows until nobody listens any more.
     pub async fn run(mut self) {
-        time::sleep(spread(START_SPREAD)).await;
+        time::sleep(jitter(START_JITTER)).await;
         while !self.events.is_closed() {
             // Everything is read once at the start, whoever watches later.
             if self.after.is_some() && self.is_watching.wait_for(|watches| *watches).await.is_err()
@@ -106,48 +106,48 @@
                 return;
             }
             time::sleep_until(self.call_at).await;
-            let result = self.call().await;
-            self.take(result).await;
+            let result = self.poll().await;
+            self.handle_result(result).await;
         }
     }
 
-    async fn call(&mut self) -> Result<Batch, Error> {
+    async fn poll(&mut self) -> Result<Batch, Error> {
         let now = time::Instant::now();
         match self.after {
-            None => self.source.read(self.topic, now + READ_LIMIT).await,
+            None => self.source.read(self.topic, now + READ_TIMEOUT).await,
             Some(after) => {
                 // A configuration that is not in force yet is waited for.
                 if self.topic != Topic::Configuration {
-                    self.call_at = now + LEAST_GAP;
+                    self.call_at = now + MIN_CALL_INTERVAL;
                 }
-                let deadline = now + CALL_LIMIT;
+                let deadline = now + CALL_TIMEOUT;
                 self.source.changes(self.topic, after, deadline).await
             }
         }
     }
 
-    async fn take(&mut self, result: Result<Batch, Error>) {
+    async fn handle_result(&mut self, result: Result<Batch, Error>) {
         match result {
             Ok(batch) => {
                 self.metrics.called(self.topic.name(), "ok");
-                self.is_served.send_replace(true);
-                self.returned().await;
+                self.is_store_reachable.send_replace(true);
+                self.record_success().await;
                 self.after = self.after.max(Some(batch.version));
-                self.tell(Event::Batch(self.topic, batch)).await;
+                self.emit(Event::Batch(self.topic, batch)).await;
             }
-            Err(Error::HistoryGone) => {
+            Err(Error::Compacted) => {
                 self.metrics.called(self.topic.name(), "history_gone");
                 logging::event!(info, "store_history_gone", topic = self.topic);
                 self.after = None;
             }
-            Err(Error::Away(reason)) => {
+            Err(Error::Unavailable(reason)) => {
                 self.metrics.called(self.topic.name(), "failed");
-                self.lost(&reason).await;
+                self.record_failure(&reason).await;
             }
         }
     }
 
-    async fn returned(&mut self) {
+    async fn record_success(&mut self) {
         if self.failures == 0 {
             return;
         }
@@ -158,29 +158,29 @@
             failures = self.failures
         );
         self.failures = 0;
-        self.tell(Event::Returned(self.topic)).await;
+        self.emit(Event::StoreReturned(self.topic)).await;
     }
 
-    async fn lost(&mut self, reason: &str) {
-        self.is_served.send_replace(false);
+    async fn record_failure(&mut self, reason: &str) {
+        self.is_store_reachable.send_replace(false);
         if self.failures == 0 {
             logging::event!(warn, "store_lost", topic = self.topic, reason = reason);
-            self.tell(Event::Lost(self.topic)).await;
+            self.emit(Event::StoreLost(self.topic)).await;
         }
-        let pause = PAUSE
+        let backoff = MIN_BACKOFF
             .saturating_mul(1 << self.failures.min(8))
-            .min(MAX_PAUSE);
+            .min(MAX_BACKOFF);
         self.failures = self.failures.saturating_add(1);
         // Without the spread all routers would call again at the same moment.
-        time::sleep(pause / 2 + spread(pause / 2)).await;
+        time::sleep(backoff / 2 + jitter(backoff / 2)).await;
     }
 
-    async fn tell(&self, event: Event) {
+    async fn emit(&self, event: Event) {
         // The receiver ends only with the process.
         drop(self.events.send(event).await);
     }
 }
 
-fn spread(most: Duration) -> Duration {
-    most.mul_f64(rand::rng().random::<f64>())
+fn jitter(max: Duration) -> Duration {
+    max.mul_f64(rand::rng().random::<f64>())
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -2,18 +2,18 @@
 
 mod aggregation;
 mod aggregators;
-mod asking;
+mod catch_up;
 mod digest;
 mod directory;
 pub mod fetch;
 pub mod introduction;
-mod origin;
-mod readers;
 mod relays;
-mod roll;
+mod store_fallback;
 pub mod sums;
+mod table;
+mod targets;
 mod task;
-mod turn;
+mod watchers;
 
 use std::{sync::Arc, time::Duration};
 
@@ -26,12 +26,12 @@
 pub use aggregators::{AGGREGATORS, Aggregators};
 pub use digest::{Digest, Frame, Total, Versions, loads};
 pub use directory::Directory;
-pub use origin::Origin;
-pub use readers::{Readers, WATCHERS, Watcher};
 pub use relays::{Relay, relays};
-pub use roll::{Part, Roll};
+pub use store_fallback::StoreFallback;
 pub use sums::{Sum, Sums};
-pub use turn::turn;
+pub use table::{Part, PeerTable};
+pub use targets::gossip_targets;
+pub use watchers::{WATCHERS, Watcher, Watchers};
 
 use crate::{
     ages::Ages,
@@ -39,7 +39,7 @@
     dispatch,
     follow::Event,
     metrics::Metrics,
-    mirror::Mirrors,
+    replica::Replicas,
     source::{Member, Secret, Source},
 };
 use introduction::Introducer;
@@ -61,7 +61,7 @@
 /// What others tell it before they have heard of its start is not meant for
 /// this start and counts for nothing. Told to a few at a time, it would hear
 /// less than half of what a large fleet says for seconds.
-const FIRST_FAN_OUT: usize = 32;
+const INITIAL_FAN_OUT: usize = 32;
 
 /// What the task works with.
 #[derive(Debug)]
@@ -71,9 +71,9 @@
     /// The registered routers.
     pub members: watch::Receiver<Arc<Vec<Member>>>,
     /// What this router knows of the store.
-    pub mirrors: watch::Receiver<Arc<Mirrors>>,
+    pub replicas: watch::Receiver<Arc<Replicas>>,
     /// Whether the store answers this router.
-    pub is_served: watch::Receiver<bool>,
+    pub is_store_reachable: watch::Receiver<bool>,
 }
 
 /// Whom the task tells.
@@ -120,13 +120,14 @@
     );
     tokio::spawn(introducer.serve(sockets.introductions));
     let Secret { key, boot } = secret;
-    let rows = fetch::serve(sockets.rows, key.clone(), inputs.mirrors.clone());
+    let rows = fetch::serve(sockets.rows, key.clone(), inputs.replicas.clone());
     tokio::spawn(rows);
     let seals = task::Seals {
         sealer: Sealer::new(&key, &inputs.own.host, boot),
         opener: Opener::new(&key, &inputs.own.host, boot),
         key,
     };
-    let (task, ends) = Task::new(clock, source, sockets.digests, seals, boot, inputs, outputs);
-    task.run(ends).await;
+    let (task, completions) =
+        Task::new(clock, source, sockets.digests, seals, boot, inputs, outputs);
+    task.run(completions).await;
 }
--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -22,9 +22,9 @@
     pub(super) fn aggregators(&mut self, zone: &availability::Zone) -> Vec<Member> {
         let now = self.clock.now();
         let members = Arc::clone(&self.inputs.members.borrow());
-        let near = members.iter().filter(|member| member.zone == *zone);
+        let same_zone = members.iter().filter(|member| member.zone == *zone);
         let aggregators = self.aggregators.entry(zone.clone()).or_default();
-        let chosen = aggregators.choose(near, &self.inputs.own, now);
+        let chosen = aggregators.choose(same_zone, &self.inputs.own, now);
         chosen.into_iter().cloned().collect()
     }
 
@@ -34,7 +34,7 @@
         let own_zone = self.inputs.own.zone.clone();
         let aggregators = self.aggregators(&own_zone);
         let own = &self.inputs.own.host;
-        let Some(place) = aggregators
+        let Some(position) = aggregators
             .iter()
             .position(|aggregator| aggregator.host == *own)
         else {
@@ -42,12 +42,12 @@
         };
         let sum = self
             .sums
-            .zone(sums::hash(own_zone.as_str()), &self.own_loads, now);
-        let total = self.sums.total(&sum, now);
-        self.take_loads(&total);
+            .zone_sum(sums::hash(own_zone.as_str()), &self.own_loads, now);
+        let total = self.sums.fleet_sum(&sum, now);
+        self.publish_loads(&total);
         self.send_sum(&sum, now).await;
         // Those who add up take turns, so that each router hears one of them in each round.
-        if self.rounds % aggregators.len() == place {
+        if self.rounds % aggregators.len() == position {
             self.send_total(sum.routers, &total, now).await;
         }
     }
@@ -58,7 +58,7 @@
         let frame = Frame::Sum {
             zone: sum.zone,
             routers: sum.routers,
-            loads: self.sum_teller.next(&sum.loads, now),
+            loads: self.zone_reporter.next(&sum.loads, now),
             reads: self.zone_reads.news(now),
         };
         let own_zone = self.inputs.own.zone.clone();
@@ -70,53 +70,58 @@
     }
 
     async fn send_total(&mut self, routers: u16, total: &[Load], now: Instant) {
-        let loads = self.total_teller.next(total, now);
+        let loads = self.fleet_reporter.next(total, now);
         let reads = self.fleet_reads.news(now);
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
-        let near: Vec<&Member> = members
+        let same_zone: Vec<&Member> = members
             .iter()
             .filter(|member| member.zone == own.zone && member.host != own.host)
             .collect();
-        for relay in relays(&near, &self.sums.alive(), self.rounds / AGGREGATORS) {
+        for relay in relays(
+            &same_zone,
+            &self.sums.active_routers(),
+            self.rounds / AGGREGATORS,
+        ) {
             let total = Total {
                 aggregator: sums::hash(own.host.as_str()),
                 routers,
                 loads: loads.clone(),
                 reads: reads.clone(),
-                others: relay.others,
+                relay_to: relay.targets,
             };
             self.send_to(&Frame::Total(total), relay.member).await;
         }
     }
 
     /// Takes in what another router of the zone has in flight.
-    pub(super) fn hear_loads(&mut self, from: Tag, report: Report) {
+    pub(super) fn receive_loads(&mut self, from: Tag, report: Report) {
         let Some(member) = self.member(from) else {
             return;
         };
         let hash = sums::hash(member.host.as_str());
-        let loads = self.heard.entry(hash).or_default().take(report);
-        self.sums.told(member.host, loads, self.clock.now());
+        let loads = self.peer_loads.entry(hash).or_default().take(report);
+        self.sums
+            .record_router(member.host, loads, self.clock.now());
     }
 
     /// Takes in what the routers of another zone have in flight.
-    pub(super) fn hear_sum(&mut self, from: Tag, zone: u32, routers: u16, loads: Report) {
+    pub(super) fn receive_sum(&mut self, from: Tag, zone: u32, routers: u16, loads: Report) {
         let now = self.clock.now();
         let Some(member) = self.member(from) else {
             return;
         };
         let hash = sums::hash(member.host.as_str());
         for aggregators in self.aggregators.values_mut() {
-            aggregators.heard(hash, now);
+            aggregators.sum_received(hash, now);
         }
-        let loads = self.heard.entry(hash).or_default().take(loads);
+        let loads = self.peer_loads.entry(hash).or_default().take(loads);
         let sum = Sum {
             zone,
             routers,
             loads,
         };
-        self.sums.heard(sum, now);
+        self.sums.record_zone(sum, now);
     }
 
     /// The router that a tag stands for.
@@ -126,45 +131,45 @@
     }
 
     /// Takes over what the whole fleet has in flight, and passes it on.
-    pub(super) async fn hear_total(&mut self, total: Total) {
+    pub(super) async fn receive_total(&mut self, total: Total) {
         let now = self.clock.now();
         let zone = self.inputs.own.zone.clone();
         self.aggregators
             .entry(zone)
             .or_default()
-            .heard(total.aggregator, now);
-        self.pass_on(&total).await;
-        self.hear_reads(total.reads);
-        let loads = self.total_heard.take(total.loads);
-        let (most, until) = self.total_routers;
-        if now < until && sums::is_partial(total.routers, most) {
+            .sum_received(total.aggregator, now);
+        self.relay_total(&total).await;
+        self.apply_reads(total.reads);
+        let loads = self.fleet_loads.take(total.loads);
+        let (known_routers, expires_at) = self.fleet_routers;
+        if now < expires_at && sums::is_partial(total.routers, known_routers) {
             return;
         }
-        self.total_routers = (total.routers, now + sums::CURRENT);
-        self.take_loads(&loads);
+        self.fleet_routers = (total.routers, now + sums::MAX_AGE);
+        self.publish_loads(&loads);
     }
 
-    async fn pass_on(&mut self, total: &Total) {
-        if total.others.is_empty() {
+    async fn relay_total(&mut self, total: &Total) {
+        if total.relay_to.is_empty() {
             return;
         }
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
-        let is_meant = |member: &&Member| {
+        let is_target = |member: &&Member| {
             let hash = sums::hash(member.host.as_str());
-            member.zone == own.zone && member.host != own.host && total.others.contains(&hash)
+            member.zone == own.zone && member.host != own.host && total.relay_to.contains(&hash)
         };
         let frame = Frame::Total(Total {
-            others: Vec::new(),
+            relay_to: Vec::new(),
             ..total.clone()
         });
-        for member in members.iter().filter(is_meant) {
+        for member in members.iter().filter(is_target) {
             self.send_to(&frame, member).await;
         }
     }
 
-    fn take_loads(&self, total: &[Load]) {
-        let others = sums::without(total, &self.own_loads);
-        self.tell(dispatch::Message::Others(others));
+    fn publish_loads(&self, total: &[Load]) {
+        let others = sums::subtract(total, &self.own_loads);
+        self.notify_dispatch(dispatch::Message::Others(others));
     }
 }
--- a/crates/gateway/src/peers/aggregators.rs
+++ b/crates/gateway/src/peers/aggregators.rs
@@ -10,23 +10,23 @@
 /// How many routers of a zone add up, so that one may die.
 pub const AGGREGATORS: usize = 2;
 /// How long a router that is told loads may tell no sum: five rounds of 200 ms.
-const PATIENCE: Duration = Duration::from_secs(1);
+const SUM_TIMEOUT: Duration = Duration::from_secs(1);
 /// How long one that told none is passed over.
-const AWAY: Duration = Duration::from_secs(4);
+const EXCLUSION: Duration = Duration::from_secs(4);
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     /// When it has to have told a sum.
-    due: Instant,
-    away_until: Instant,
+    sum_due: Instant,
+    excluded_until: Instant,
 }
 
 impl Record {
     /// It was told loads, or told a sum, at `now`.
-    fn owed(now: Instant) -> Self {
+    fn awaiting_sum(now: Instant) -> Self {
         Self {
-            due: now + PATIENCE,
-            away_until: Instant::ZERO,
+            sum_due: now + SUM_TIMEOUT,
+            excluded_until: Instant::ZERO,
         }
     }
 }
@@ -60,41 +60,41 @@
             if chosen.len() == AGGREGATORS {
                 break;
             }
-            if member.host == own.host || self.is_sound(hash, now) {
+            if member.host == own.host || self.is_eligible(hash, now) {
                 chosen.push((hash, member));
             }
         }
         // One that is not told loads any more owes no sum.
         self.records.retain(|hash, record| {
-            now < record.away_until || chosen.iter().any(|(chosen, _)| chosen == hash)
+            now < record.excluded_until || chosen.iter().any(|(chosen, _)| chosen == hash)
         });
         chosen.into_iter().map(|(_, member)| member).collect()
     }
 
     /// Whether a router may add up. It is asked of those that are told loads.
-    fn is_sound(&mut self, hash: u32, now: Instant) -> bool {
-        let new = Record::owed(now);
+    fn is_eligible(&mut self, hash: u32, now: Instant) -> bool {
+        let new = Record::awaiting_sum(now);
         let record = self.records.entry(hash).or_insert(new);
-        if now < record.away_until {
+        if now < record.excluded_until {
             return false;
         }
-        if now < record.due {
+        if now < record.sum_due {
             return true;
         }
-        let was_away = record.away_until > Instant::ZERO;
-        if was_away {
+        let was_excluded = record.excluded_until > Instant::ZERO;
+        if was_excluded {
             // It gets another chance.
             *record = new;
             return true;
         }
-        record.away_until = now + AWAY;
+        record.excluded_until = now + EXCLUSION;
         false
     }
 
     /// A router told a sum.
-    pub fn heard(&mut self, hash: u32, now: Instant) {
+    pub fn sum_received(&mut self, hash: u32, now: Instant) {
         if let Some(record) = self.records.get_mut(&hash) {
-            *record = Record::owed(now);
+            *record = Record::awaiting_sum(now);
         }
     }
 }
--- a/crates/gateway/src/peers/asking.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -12,21 +12,21 @@
 };
 
 /// The reads of the store by all routers are spread over this time.
-const STORE_SPREAD: Duration = Duration::from_millis(150);
+const STORE_JITTER: Duration = Duration::from_millis(150);
 /// How long such a read may take.
-const STORE_LIMIT: Duration = Duration::from_millis(800);
+const STORE_TIMEOUT: Duration = Duration::from_millis(800);
 /// The longest pause after a router that is busy, which another question follows.
-const BUSY_PAUSE: Duration = Duration::from_millis(140);
+const MAX_BUSY_BACKOFF: Duration = Duration::from_millis(140);
 
 /// Which questions are open; there is one of each kind at a time.
 #[derive(Clone, Copy, Debug, Default)]
-pub(super) struct Asking {
+pub(super) struct InFlight {
     store: bool,
     configuration: bool,
     rest: bool,
 }
 
-impl Asking {
+impl InFlight {
     fn peer(&mut self, part: Part) -> &mut bool {
         match part {
             Part::Configuration => &mut self.configuration,
@@ -37,9 +37,9 @@
 
 /// The end of a question.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum End {
+pub(super) enum Completion {
     /// The store was asked for the configuration, and whether it knew a newer one.
-    Store { is_news: bool },
+    Store { is_newer: bool },
     /// Another router was asked.
     Peer(Part, Outcome),
 }
@@ -48,7 +48,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Outcome {
     /// The rows have come.
-    Answered,
+    Received,
     /// It is answering others.
     Busy,
     /// The router at this address did not answer.
@@ -63,100 +63,105 @@
         self.catch_up_with_peer(Part::Configuration, own, now);
         self.catch_up_with_peer(Part::Rest, own, now);
         self.catch_up_with_store(own, now);
-        self.compare(own, now);
+        self.repair_divergence(own, now);
     }
 
     /// Asks for all rows of a router that holds others at the same versions.
-    fn compare(&mut self, own: Versions, now: Instant) {
-        let sum = self.sum();
-        let Some(address) = self.roll.differing(own, sum, now) else {
+    fn repair_divergence(&mut self, own: Versions, now: Instant) {
+        let checksum = self.checksum();
+        let Some(address) = self.table.select_diverged(own, checksum, now) else {
             return;
         };
         for part in [Part::Configuration, Part::Rest] {
-            if !std::mem::replace(self.is_asking.peer(part), true) {
-                self.ask_peer(address, part, Versions::default());
+            if !std::mem::replace(self.in_flight.peer(part), true) {
+                self.fetch_from_peer(address, part, Versions::default());
             }
         }
     }
 
     /// Asks the store for the configuration, unless this router watches it anyway.
     fn catch_up_with_store(&mut self, own: Versions, now: Instant) {
-        if self.roll.newest_configuration() <= own.configuration {
-            self.origin.caught_up();
+        if self.table.newest_configuration() <= own.configuration {
+            self.store_fallback.caught_up();
             return;
         }
         let is_watching = *self.outputs.is_watching.borrow();
-        let is_answering = self.is_asking.configuration;
-        if !is_watching && !self.is_asking.store && self.origin.is_store_due(is_answering, now) {
-            self.is_asking.store = true;
-            self.ask_store(own.configuration);
+        let is_transferring = self.in_flight.configuration;
+        if !is_watching
+            && !self.in_flight.store
+            && self.store_fallback.is_store_due(is_transferring, now)
+        {
+            self.in_flight.store = true;
+            self.fetch_from_store(own.configuration);
         }
     }
 
     /// Asks another router for what is newer than `known`.
     fn catch_up_with_peer(&mut self, part: Part, known: Versions, now: Instant) {
-        if *self.is_asking.peer(part) {
+        if *self.in_flight.peer(part) {
             return;
         }
         let is_watching = *self.outputs.is_watching.borrow();
         let random = rand::random::<u32>() as usize;
         let members = Arc::clone(&self.inputs.members.borrow());
         let zone = &self.inputs.own.zone;
-        let is_near = |host: &host::Id| {
-            let mut near = members.iter().filter(|member| member.zone == *zone);
-            near.any(|member| member.host == *host)
+        let is_same_zone = |host: &host::Id| {
+            let mut same_zone = members.iter().filter(|member| member.zone == *zone);
+            same_zone.any(|member| member.host == *host)
         };
-        let roll = &mut self.roll;
-        if let Some(address) = roll.ahead(part, known, is_watching, is_near, random, now) {
-            *self.is_asking.peer(part) = true;
-            self.ask_peer(address, part, known);
+        let table = &mut self.table;
+        if let Some(address) =
+            table.select_ahead(part, known, is_watching, is_same_zone, random, now)
+        {
+            *self.in_flight.peer(part) = true;
+            self.fetch_from_peer(address, part, known);
         }
     }
 
-    pub(super) fn ended(&mut self, end: End) {
+    pub(super) fn complete(&mut self, end: Completion) {
         let now = self.clock.now();
         match end {
-            End::Store { is_news } => {
-                self.is_asking.store = false;
-                if !is_news {
-                    self.origin.store_failed(now);
+            Completion::Store { is_newer } => {
+                self.in_flight.store = false;
+                if !is_newer {
+                    self.store_fallback.store_failed(now);
                 }
             }
-            End::Peer(part, outcome) => {
-                *self.is_asking.peer(part) = false;
-                self.peer_ended(part, outcome);
+            Completion::Peer(part, outcome) => {
+                *self.in_flight.peer(part) = false;
+                self.complete_peer(part, outcome);
             }
         }
     }
 
-    fn peer_ended(&mut self, part: Part, outcome: Outcome) {
+    fn complete_peer(&mut self, part: Part, outcome: Outcome) {
         match outcome {
-            Outcome::Answered => {}
+            Outcome::Received => {}
             Outcome::Busy => self.catch_up(),
             Outcome::Failed(address) => {
-                self.roll.forget(address);
+                self.table.mark_failed(address);
                 if part == Part::Configuration {
-                    self.origin.peer_failed();
+                    self.store_fallback.peer_failed();
                 }
                 self.catch_up();
             }
         }
     }
 
-    fn ask_store(&self, known: u64) {
+    fn fetch_from_store(&self, known: u64) {
         let source = self.source.clone();
         let events = self.outputs.events.clone();
-        let done = self.done.clone();
+        let completions = self.completions_sender.clone();
         tokio::spawn(async move {
-            time::sleep(STORE_SPREAD.mul_f64(rand::random())).await;
-            let deadline = time::Instant::now() + STORE_LIMIT;
-            let is_news = match source.read(Topic::Configuration, deadline).await {
+            time::sleep(STORE_JITTER.mul_f64(rand::random())).await;
+            let deadline = time::Instant::now() + STORE_TIMEOUT;
+            let is_newer = match source.read(Topic::Configuration, deadline).await {
                 Ok(batch) => {
                     // A stale answer is no better than none.
-                    let is_news = batch.rows.iter().any(|row| row.version > known);
+                    let is_newer = batch.rows.iter().any(|row| row.version > known);
                     let event = Event::Batch(Topic::Configuration, batch);
                     drop(events.send(event).await);
-                    is_news
+                    is_newer
                 }
                 Err(error) => {
                     logging::event!(info, "store_read_failed", reason = error);
@@ -164,12 +169,12 @@
                 }
             };
             // The task ends only with the process.
-            let _ = done.send(End::Store { is_news }).await;
+            let _ = completions.send(Completion::Store { is_newer }).await;
         });
     }
 
     /// Asks a router that knows more than this one.
-    fn ask_peer(&self, address: SocketAddr, part: Part, known: Versions) {
+    fn fetch_from_peer(&self, address: SocketAddr, part: Part, known: Versions) {
         logging::event!(
             info,
             "peer_ahead",
@@ -181,24 +186,24 @@
         );
         let key = self.seals.key.clone();
         let events = self.outputs.events.clone();
-        let done = self.done.clone();
+        let completions = self.completions_sender.clone();
         tokio::spawn(async move {
-            let outcome = match fetch::ask(address, &key, part.of(known)).await {
+            let outcome = match fetch::request(address, &key, part.of(known)).await {
                 Ok(batches) => {
                     for (topic, batch) in batches {
                         // The task ends only with the process.
                         drop(events.send(Event::Relayed(topic, batch)).await);
                     }
-                    Outcome::Answered
+                    Outcome::Received
                 }
                 Err(fetch::Failure::Busy) => {
-                    let spread = rand::random::<f64>() / 2.0;
-                    time::sleep(BUSY_PAUSE.mul_f64(0.5 + spread)).await;
+                    let jitter = rand::random::<f64>() / 2.0;
+                    time::sleep(MAX_BUSY_BACKOFF.mul_f64(0.5 + jitter)).await;
                     Outcome::Busy
                 }
                 Err(fetch::Failure::Link(_)) => Outcome::Failed(address),
             };
-            let _ = done.send(End::Peer(part, outcome)).await;
+            let _ = completions.send(Completion::Peer(part, outcome)).await;
         });
     }
 }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -16,7 +16,7 @@
 
 /// The most servers that one router tells of; each takes up to twelve bytes, and
 /// a dozen watchers another 200.
-const MOST_SERVERS: usize = 80;
+const MAX_SERVERS: usize = 80;
 
 /// The newest changes that a router knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -31,7 +31,7 @@
 
 impl Versions {
     /// Stands for whatever is known of a topic that is not asked for.
-    pub const NOT_ASKED: u64 = u64::MAX;
+    pub const NOT_REQUESTED: u64 = u64::MAX;
 
     /// That of one topic, if it is asked for.
     pub fn of(self, topic: Topic) -> Option<u64> {
@@ -40,7 +40,7 @@
             Topic::Servers => self.servers,
             Topic::Routers => self.routers,
         };
-        (version != Self::NOT_ASKED).then_some(version)
+        (version != Self::NOT_REQUESTED).then_some(version)
     }
 
     /// Whether one of them is higher than in `other`.
@@ -59,9 +59,9 @@
     /// The newest changes that it knows.
     pub versions: Versions,
     /// A sum over all rows that it holds.
-    pub sum: u64,
+    pub checksum: u64,
     /// Whether the store has answered it, or a watcher that it hears, for some time.
-    pub is_steady: bool,
+    pub is_store_stable: bool,
     /// The routers that watch the store, as far as it knows.
     pub watchers: Vec<Watcher>,
     /// What it has in flight, to those who need it.
@@ -111,7 +111,7 @@
     /// Prompts that servers have read just now, anywhere in the fleet.
     pub reads: Vec<Read>,
     /// The hashes of the routers that the receiver passes it on to.
-    pub others: Vec<u32>,
+    pub relay_to: Vec<u32>,
 }
 
 /// A datagram that cannot be sent or read.
@@ -123,15 +123,15 @@
     pub fn new(
         host: host::Id,
         versions: Versions,
-        is_steady: bool,
+        is_store_stable: bool,
         watchers: Vec<Watcher>,
         strikes: Vec<recovery::Strike>,
     ) -> Self {
         Self {
             host,
             versions,
-            sum: 0,
-            is_steady,
+            checksum: 0,
+            is_store_stable,
             watchers,
             loads: None,
             strikes,
@@ -140,8 +140,8 @@
     }
 
     /// The same with the sum over the rows that the router holds.
-    pub fn with_sum(self, sum: u64) -> Self {
-        Self { sum, ..self }
+    pub fn with_checksum(self, checksum: u64) -> Self {
+        Self { checksum, ..self }
     }
 
     /// The same with loads and with what servers have read.
@@ -161,7 +161,7 @@
         running: u16::try_from(load.running).unwrap_or(u16::MAX),
         ends: load.ends,
     });
-    load::busiest(loads.collect(), MOST_SERVERS)
+    load::busiest(loads.collect(), MAX_SERVERS)
 }
 
 impl Frame {
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// When what is left does not fit one datagram.
-    pub fn encode_fitting(mut self) -> Result<Vec<u8>, Malformed> {
+    pub fn encode_truncated(mut self) -> Result<Vec<u8>, Malformed> {
         loop {
             let encoded = self.encode();
             let reads = self.reads_mut();
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -1,24 +1,24 @@
 //! Rows that one router asks of another.
 
-mod answer;
-mod ask;
+mod client;
+mod server;
 
 use std::{error, fmt, time::Duration};
 
 use serde::{Deserialize, Serialize};
 
-pub use answer::{MOST_LARGE, serve};
-pub use ask::ask;
+pub use client::request;
+pub use server::{MAX_LARGE_RESPONSES, serve};
 
 use super::Versions;
 use crate::{link::Error, source::Topic};
 
 /// How long one question and its answer may take; an answer whose bytes keep
 /// coming may take longer.
-const LIMIT: Duration = Duration::from_millis(1000);
+const TIMEOUT: Duration = Duration::from_millis(1000);
 
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-struct Question {
+struct Request {
     versions: Versions,
 }
 
@@ -29,7 +29,7 @@
     Topic {
         topic: Topic,
         version: u64,
-        is_whole: bool,
+        is_snapshot: bool,
     },
     /// A row; its value follows as data.
     Row {
--- a/crates/gateway/src/peers/fetch/ask.rs
+++ b/crates/gateway/src/peers/fetch/client.rs
@@ -7,7 +7,7 @@
 use tokio::time;
 use wire::{hop::Frame, seal::Key};
 
-use super::{Content, Failure, LIMIT, Question, Reply};
+use super::{Content, Failure, Reply, Request, TIMEOUT};
 use crate::{
     link::{Error, Link},
     peers::Versions,
@@ -23,23 +23,23 @@
 /// # Errors
 ///
 /// When it is busy, or does not answer in time.
-pub async fn ask(
+pub async fn request(
     address: SocketAddr,
     key: &Key,
     versions: Versions,
 ) -> Result<Vec<(Topic, Batch)>, Failure> {
     let now = time::Instant::now();
-    let mut reception = Reception {
-        due: now + LIMIT,
+    let mut response = Response {
+        deadline: now + TIMEOUT,
         progress: Progress::new(now),
     };
-    let answered = reception.ask(address, key, versions).await;
-    let progress = reception.progress;
-    note(address, answered.as_ref().err(), progress);
-    answered
+    let result = response.request(address, key, versions).await;
+    let progress = response.progress;
+    log_result(address, result.as_ref().err(), progress);
+    result
 }
 
-fn note(address: SocketAddr, error: Option<&Failure>, progress: Progress) {
+fn log_result(address: SocketAddr, error: Option<&Failure>, progress: Progress) {
     let bytes = progress.bytes();
     let first_ms = progress.first_ms().unwrap_or_default();
     let last_ms = progress.last_ms();
@@ -65,41 +65,41 @@
 }
 
 /// An answer that is being received.
-struct Reception {
-    due: time::Instant,
+struct Response {
+    deadline: time::Instant,
     progress: Progress,
 }
 
-impl Reception {
-    async fn ask(
+impl Response {
+    async fn request(
         &mut self,
         address: SocketAddr,
         key: &Key,
         versions: Versions,
     ) -> Result<Vec<(Topic, Batch)>, Failure> {
-        let asked = async {
+        let connected = async {
             let mut link = Link::connect(address, key).await?;
-            link.writer.send(&Question { versions }).await?;
+            link.writer.send(&Request { versions }).await?;
             Ok::<Link, Error>(link)
         };
-        let asked = time::timeout_at(self.due, asked).await;
-        let mut link = asked.map_err(|_| Error::Timeout)??;
-        self.batches(&mut link).await
+        let connected = time::timeout_at(self.deadline, connected).await;
+        let mut link = connected.map_err(|_| Error::Timeout)??;
+        self.read_batches(&mut link).await
     }
 
-    async fn batches(&mut self, link: &mut Link) -> Result<Vec<(Topic, Batch)>, Failure> {
+    async fn read_batches(&mut self, link: &mut Link) -> Result<Vec<(Topic, Batch)>, Failure> {
         let mut batches: Vec<(Topic, Batch)> = Vec::new();
         loop {
-            match self.frame(link).await? {
+            match self.next_frame(link).await? {
                 Frame::Message(Reply::Topic {
                     topic,
                     version,
-                    is_whole,
+                    is_snapshot,
                 }) => {
                     let batch = Batch {
                         rows: Vec::new(),
                         version,
-                        is_whole,
+                        is_snapshot,
                     };
                     batches.push((topic, batch));
                 }
@@ -108,7 +108,7 @@
                     version,
                     content,
                 }) => {
-                    let value = self.value(link, content).await?;
+                    let value = self.read_value(link, content).await?;
                     if let Some((_, batch)) = batches.last_mut() {
                         batch.rows.push(Row {
                             key,
@@ -124,15 +124,19 @@
         }
     }
 
-    async fn value(&mut self, link: &mut Link, content: Content) -> Result<Option<Value>, Error> {
+    async fn read_value(
+        &mut self,
+        link: &mut Link,
+        content: Content,
+    ) -> Result<Option<Value>, Error> {
         match content {
             Content::Removed => Ok(None),
             Content::Plain(length) => {
-                let bytes = self.bytes(link, length).await?;
+                let bytes = self.read_bytes(link, length).await?;
                 Ok(Some(Value::from(bytes)))
             }
             Content::Packed { bytes, length } => {
-                let packed = self.bytes(link, bytes).await?;
+                let packed = self.read_bytes(link, bytes).await?;
                 let length = usize::try_from(length.min(MAX_VALUE)).unwrap_or_default();
                 let value = Value::unpack(packed, length).map_err(|_| Error::Closed)?;
                 Ok(Some(value))
@@ -140,25 +144,25 @@
         }
     }
 
-    async fn bytes(&mut self, link: &mut Link, length: u64) -> Result<Bytes, Error> {
+    async fn read_bytes(&mut self, link: &mut Link, length: u64) -> Result<Bytes, Error> {
         let length = usize::try_from(length.min(MAX_VALUE)).unwrap_or_default();
         let mut bytes = BytesMut::with_capacity(length);
         while bytes.len() < length {
-            match self.frame(link).await? {
-                Frame::Data(piece) => bytes.extend_from_slice(&piece),
+            match self.next_frame(link).await? {
+                Frame::Data(chunk) => bytes.extend_from_slice(&chunk),
                 Frame::Message(_) => return Err(Error::Closed),
             }
         }
         Ok(bytes.freeze())
     }
 
-    async fn frame(&mut self, link: &mut Link) -> Result<Frame<Reply>, Error> {
-        let patience = self.progress.patience(self.due);
-        let received = time::timeout_at(patience, link.reader.receive()).await;
+    async fn next_frame(&mut self, link: &mut Link) -> Result<Frame<Reply>, Error> {
+        let deadline = self.progress.patience(self.deadline);
+        let received = time::timeout_at(deadline, link.reader.receive()).await;
         let frame = received.map_err(|_| Error::Timeout)??;
         let length = match &frame {
             Frame::Message(_) => 0,
-            Frame::Data(piece) => piece.len(),
+            Frame::Data(chunk) => chunk.len(),
         };
         self.progress.received(length, time::Instant::now());
         Ok(frame)
--- a/crates/gateway/src/peers/introduction.rs
+++ b/crates/gateway/src/peers/introduction.rs
@@ -32,15 +32,15 @@
 };
 
 /// How long one question and its answer may take: a few ways between zones.
-const LIMIT: Duration = Duration::from_millis(500);
+const TIMEOUT: Duration = Duration::from_millis(500);
 /// The longest message, in bytes; the answer takes about 60.
 const MAX_MESSAGE: u64 = 256;
 /// How long to wait after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 
 /// What a router that knows nothing is told.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-struct Answer {
+struct Response {
     key: [u8; 32],
     /// Higher than that of any earlier start of the one who asks.
     boot: Boot,
@@ -60,7 +60,7 @@
     /// Where routers were registered at any time since this one started.
     ///
     /// One that ended in order is registered no more, and may start again.
-    known: BTreeSet<IpAddr>,
+    known_addresses: BTreeSet<IpAddr>,
 }
 
 impl Introducer {
@@ -77,20 +77,20 @@
             secret,
             address,
             members,
-            known: BTreeSet::new(),
+            known_addresses: BTreeSet::new(),
         }
     }
 
     /// Answers those who know nothing, until the process ends.
     pub async fn serve(mut self, listener: TcpListener) {
         loop {
-            self.learn();
+            self.record_members();
             tokio::select! {
                 accepted = listener.accept() => match accepted {
-                    Ok((stream, from)) => self.answer(stream, from),
+                    Ok((stream, from)) => self.respond(stream, from),
                     Err(error) => {
                         logging::event!(warn, "accept_failed", reason = error);
-                        time::sleep(ACCEPT_PAUSE).await;
+                        time::sleep(ACCEPT_BACKOFF).await;
                     }
                 },
                 changed = self.members.changed() => if changed.is_err() {
@@ -100,25 +100,25 @@
         }
     }
 
-    fn learn(&mut self) {
+    fn record_members(&mut self) {
         let members = self.members.borrow_and_update();
-        self.known
+        self.known_addresses
             .extend(members.iter().map(|member| member.address.ip()));
     }
 
-    fn answer(&self, mut stream: TcpStream, from: SocketAddr) {
-        if !self.known.contains(&from.ip()) {
+    fn respond(&self, mut stream: TcpStream, from: SocketAddr) {
+        if !self.known_addresses.contains(&from.ip()) {
             logging::event!(warn, "introduction_refused", peer = from);
             return;
         }
         logging::event!(info, "peer_introduced", peer = from);
-        let answer = Answer {
+        let response = Response {
             key: self.secret.key.to_bytes(),
             boot: self.boot(),
             address: self.address,
         };
         tokio::spawn(async move {
-            if let Err(error) = time::timeout(LIMIT, send(&mut stream, &answer)).await {
+            if let Err(error) = time::timeout(TIMEOUT, send(&mut stream, &response)).await {
                 logging::event!(debug, "peer_question_failed", reason = error);
             }
         });
@@ -126,9 +126,9 @@
 
     /// The store's clock now, as far as known; a start that reads it later gets a later one.
     fn boot(&self) -> Boot {
-        let since = self.clock.now().since(self.learned_at).as_millis();
-        let since = u64::try_from(since).unwrap_or(u64::MAX);
-        Boot(self.secret.boot.0.saturating_add(since))
+        let elapsed = self.clock.now().since(self.learned_at).as_millis();
+        let elapsed = u64::try_from(elapsed).unwrap_or(u64::MAX);
+        Boot(self.secret.boot.0.saturating_add(elapsed))
     }
 }
 
@@ -146,22 +146,22 @@
 /// # Errors
 ///
 /// When it is busy, does not answer, or does not know this router's address.
-pub async fn ask(address: SocketAddr) -> Result<Introduced, fetch::Failure> {
-    let answer = time::timeout(LIMIT, answer_of(address))
+pub async fn request(address: SocketAddr) -> Result<Introduced, fetch::Failure> {
+    let response = time::timeout(TIMEOUT, request_key(address))
         .await
         .map_err(|_| Error::Timeout)??;
-    let key = Key::from_bytes(answer.key);
-    let batches = fetch::ask(answer.address, &key, Versions::default()).await?;
+    let key = Key::from_bytes(response.key);
+    let batches = fetch::request(response.address, &key, Versions::default()).await?;
     Ok(Introduced {
         secret: Secret {
             key,
-            boot: answer.boot,
+            boot: response.boot,
         },
         batches,
     })
 }
 
-async fn answer_of(address: SocketAddr) -> Result<Answer, Error> {
+async fn request_key(address: SocketAddr) -> Result<Response, Error> {
     let stream = TcpStream::connect(address).await?;
     receive(stream).await
 }
--- a/crates/gateway/src/peers/relays.rs
+++ b/crates/gateway/src/peers/relays.rs
@@ -8,7 +8,7 @@
 use crate::source::Member;
 
 /// From so many routers on some pass a sum on to others.
-const MOST_DIRECT: usize = 6;
+const MAX_DIRECT: usize = 6;
 
 /// A router that is sent a sum, and those that it passes it on to.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -16,7 +16,7 @@
     /// The router.
     pub member: &'a Member,
     /// The hashes of the others.
-    pub others: Vec<u32>,
+    pub targets: Vec<u32>,
 }
 
 /// Divides `members` among some of them, for a router that adds up to send to.
@@ -32,15 +32,18 @@
 ) -> Vec<Relay<'a>> {
     let direct = |member: &&'a Member| Relay {
         member,
-        others: Vec::new(),
+        targets: Vec::new(),
     };
     let is_alive = |member: &&&Member| alive.contains(&member.host);
-    let able: Vec<&Member> = members.iter().filter(is_alive).copied().collect();
-    if members.len() <= MOST_DIRECT || able.is_empty() {
+    let alive_members: Vec<&Member> = members.iter().filter(is_alive).copied().collect();
+    if members.len() <= MAX_DIRECT || alive_members.is_empty() {
         return members.iter().map(direct).collect();
     }
-    let count = members.len().isqrt().clamp(1, able.len());
-    let turns = able.iter().cycle().skip(round * count % able.len());
+    let count = members.len().isqrt().clamp(1, alive_members.len());
+    let turns = alive_members
+        .iter()
+        .cycle()
+        .skip(round * count % alive_members.len());
     let mut relays: Vec<_> = turns.take(count).map(direct).collect();
     let chosen: BTreeSet<&host::Id> = relays.iter().map(|relay| &relay.member.host).collect();
     let rest = members
@@ -48,7 +51,7 @@
         .filter(|member| !chosen.contains(&member.host));
     for (index, member) in rest.enumerate() {
         let hash = sums::hash(member.host.as_str());
-        relays[index % count].others.push(hash);
+        relays[index % count].targets.push(hash);
     }
     relays
 }
--- a/crates/gateway/src/peers/origin.rs
+++ b/crates/gateway/src/peers/store_fallback.rs
@@ -6,13 +6,13 @@
 
 /// How long a router that others are ahead of, and that none of them answers,
 /// waits until it asks the store.
-const PATIENCE: Duration = Duration::from_millis(1200);
+const PEER_TIMEOUT: Duration = Duration::from_millis(1200);
 /// The same while one of them is answering.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(2500);
+const TRANSFER_TIMEOUT: Duration = Duration::from_millis(2500);
 /// After so many others that did not answer the store is asked at once.
-const MOST_FAILURES: u32 = 2;
+const MAX_PEER_FAILURES: u32 = 2;
 /// How long the store is not asked again after a read of it failed.
-const STORE_PAUSE: Duration = Duration::from_millis(1500);
+const STORE_BACKOFF: Duration = Duration::from_millis(1500);
 
 /// Which of the store and other routers to ask for a configuration.
 ///
@@ -21,39 +21,39 @@
 /// plain form would fill the links of small ones. So the store is asked only
 /// where the others fail or take long.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Origin {
+pub struct StoreFallback {
     behind_since: Option<Instant>,
-    failures: u32,
-    store_at: Instant,
+    peer_failures: u32,
+    store_retry_at: Instant,
 }
 
-impl Origin {
+impl StoreFallback {
     /// The configuration is up to date.
     pub fn caught_up(&mut self) {
         self.behind_since = None;
-        self.failures = 0;
+        self.peer_failures = 0;
     }
 
     /// Whether to ask the store, now that others know a newer configuration, and
     /// one of them `is_answering` this router or not.
-    pub fn is_store_due(&mut self, is_answering: bool, now: Instant) -> bool {
+    pub fn is_store_due(&mut self, is_transferring: bool, now: Instant) -> bool {
         let since = *self.behind_since.get_or_insert(now);
-        let patience = if is_answering {
-            ANSWER_PATIENCE
+        let timeout = if is_transferring {
+            TRANSFER_TIMEOUT
         } else {
-            PATIENCE
+            PEER_TIMEOUT
         };
-        let is_late = self.failures >= MOST_FAILURES || now >= since + patience;
-        is_late && now >= self.store_at
+        let is_late = self.peer_failures >= MAX_PEER_FAILURES || now >= since + timeout;
+        is_late && now >= self.store_retry_at
     }
 
     /// Another router did not answer.
     pub fn peer_failed(&mut self) {
-        self.failures = self.failures.saturating_add(1);
+        self.peer_failures = self.peer_failures.saturating_add(1);
     }
 
     /// The store did not answer, or knew nothing new.
     pub fn store_failed(&mut self, now: Instant) {
-        self.store_at = now + STORE_PAUSE;
+        self.store_retry_at = now + STORE_BACKOFF;
     }
 }
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -14,7 +14,7 @@
 };
 
 /// How long what a router or a zone told counts: three rounds.
-pub(super) const CURRENT: Duration = Duration::from_millis(700);
+pub(super) const MAX_AGE: Duration = Duration::from_millis(700);
 /// The loads of all routers of one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Sum {
@@ -46,46 +46,46 @@
 
 impl Sums {
     /// A router of the own zone told its loads.
-    pub fn told(&mut self, host: host::Id, loads: Vec<Load>, now: Instant) {
-        self.routers.insert(host, (loads, now + CURRENT));
+    pub fn record_router(&mut self, host: host::Id, loads: Vec<Load>, now: Instant) {
+        self.routers.insert(host, (loads, now + MAX_AGE));
     }
 
     /// Another zone's sum has come.
     ///
     /// A router that the others of its zone take for dead may still add up what
     /// few tell it. Taken for the sum of its zone, it would hide most requests.
-    pub fn heard(&mut self, sum: Sum, now: Instant) {
-        let stays = |(known, until): &(Sum, Instant)| {
-            now < *until && is_partial(sum.routers, known.routers)
+    pub fn record_zone(&mut self, sum: Sum, now: Instant) {
+        let keeps_known = |(known, expires_at): &(Sum, Instant)| {
+            now < *expires_at && is_partial(sum.routers, known.routers)
         };
-        if self.zones.get(&sum.zone).is_some_and(stays) {
+        if self.zones.get(&sum.zone).is_some_and(keeps_known) {
             return;
         }
-        self.zones.insert(sum.zone, (sum, now + CURRENT));
+        self.zones.insert(sum.zone, (sum, now + MAX_AGE));
     }
 
     /// The routers of the own zone that lately told their loads.
-    pub fn alive(&self) -> BTreeSet<host::Id> {
+    pub fn active_routers(&self) -> BTreeSet<host::Id> {
         self.routers.keys().cloned().collect()
     }
 
     /// The sum of the own zone, of which the own loads are a part.
-    pub fn zone(&mut self, zone: u32, own: &[Load], now: Instant) -> Sum {
-        self.routers.retain(|_, (_, until)| now < *until);
+    pub fn zone_sum(&mut self, zone: u32, own: &[Load], now: Instant) -> Sum {
+        self.routers.retain(|_, (_, expires_at)| now < *expires_at);
         let routers = self.routers.values().map(|(loads, _)| loads.as_slice());
         Sum {
             zone,
             routers: u16::try_from(self.routers.len() + 1).unwrap_or(u16::MAX),
-            loads: add(routers.chain([own])),
+            loads: add_loads(routers.chain([own])),
         }
     }
 
     /// The sum over all zones, the own one given.
-    pub fn total(&mut self, own: &Sum, now: Instant) -> Vec<Load> {
+    pub fn fleet_sum(&mut self, own: &Sum, now: Instant) -> Vec<Load> {
         self.zones
-            .retain(|zone, (_, until)| now < *until && *zone != own.zone);
+            .retain(|zone, (_, expires_at)| now < *expires_at && *zone != own.zone);
         let zones = self.zones.values().map(|(sum, _)| sum.loads.as_slice());
-        add(zones.chain([own.loads.as_slice()]))
+        add_loads(zones.chain([own.loads.as_slice()]))
     }
 }
 
@@ -95,7 +95,7 @@
 }
 
 /// What others have at each server: a total less the own part.
-pub fn without(total: &[Load], own: &[Load]) -> Vec<Load> {
+pub fn subtract(total: &[Load], own: &[Load]) -> Vec<Load> {
     let own: BTreeMap<u32, &Load> = own.iter().map(|load| (load.server, load)).collect();
     let others = total.iter().map(|load| {
         let part = own.get(&load.server);
@@ -116,13 +116,13 @@
 
 /// The most servers that a sum tells of, so that it fits one datagram: each
 /// takes up to twelve bytes.
-const MOST_SERVERS: usize = 105;
+const MAX_SERVERS: usize = 105;
 
 /// Adds up, and keeps the busiest servers if there are many.
 ///
 /// Only the busiest are near their bound. Left out, the others count with what
 /// a router has there itself, which makes the mean and so the bound too small.
-fn add<'a>(lists: impl Iterator<Item = &'a [Load]>) -> Vec<Load> {
+fn add_loads<'a>(lists: impl Iterator<Item = &'a [Load]>) -> Vec<Load> {
     let mut sums: BTreeMap<u32, Load> = BTreeMap::new();
     for load in lists.flatten() {
         let sum = sums.entry(load.server).or_insert(Load {
@@ -133,5 +133,5 @@
         sum.running = sum.running.saturating_add(load.running);
         sum.ends = sum.ends + load.ends;
     }
-    busiest(sums.into_values().collect(), MOST_SERVERS)
+    busiest(sums.into_values().collect(), MAX_SERVERS)
 }
--- a/crates/gateway/src/peers/roll.rs
+++ b/crates/gateway/src/peers/table.rs
@@ -11,13 +11,13 @@
 /// The store tells all routers of a change within a few milliseconds of each
 /// other. One that is still behind after this long cannot reach the store, or
 /// its connection to it went silent.
-const BEHIND: Duration = Duration::from_millis(150);
+const BEHIND_GRACE: Duration = Duration::from_millis(150);
 /// How long to wait between two questions for the configuration: an answer takes
 /// a few milliseconds if it is small.
-const ASK_PAUSE: Duration = Duration::from_millis(60);
+const CONFIGURATION_INTERVAL: Duration = Duration::from_millis(60);
 /// The same for servers and routers. Their changes come in series, and those
 /// that follow each other are asked for together.
-const SERIES_PAUSE: Duration = Duration::from_millis(250);
+const REST_INTERVAL: Duration = Duration::from_millis(250);
 
 /// What is asked for in a question of its own.
 ///
@@ -36,21 +36,21 @@
     pub const fn of(self, known: Versions) -> Versions {
         match self {
             Self::Configuration => Versions {
-                servers: Versions::NOT_ASKED,
-                routers: Versions::NOT_ASKED,
+                servers: Versions::NOT_REQUESTED,
+                routers: Versions::NOT_REQUESTED,
                 ..known
             },
             Self::Rest => Versions {
-                configuration: Versions::NOT_ASKED,
+                configuration: Versions::NOT_REQUESTED,
                 ..known
             },
         }
     }
 
-    const fn pause(self) -> Duration {
+    const fn interval(self) -> Duration {
         match self {
-            Self::Configuration => ASK_PAUSE,
-            Self::Rest => SERIES_PAUSE,
+            Self::Configuration => CONFIGURATION_INTERVAL,
+            Self::Rest => REST_INTERVAL,
         }
     }
 }
@@ -66,63 +66,63 @@
 
 /// When a part may be asked for.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct RequestPace {
     behind_since: Option<Instant>,
-    ask_at: Instant,
+    next_request_at: Instant,
 }
 
 /// How long another router holds other rows until it is asked for all of them:
 /// what either has just heard is not told yet.
-const DIFFERS: Duration = Duration::from_millis(500);
+const DIVERGENCE_GRACE: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
     /// Where its datagrams come from; it may not be known as a member yet.
     address: SocketAddr,
     versions: Versions,
-    sum: u64,
-    silent_at: Instant,
+    checksum: u64,
+    expires_at: Instant,
 }
 
 /// The routers that were heard lately.
 #[derive(Clone, Debug, Default)]
-pub struct Roll {
+pub struct PeerTable {
     records: BTreeMap<host::Id, Record>,
-    configuration: Pace,
-    rest: Pace,
-    differs_since: Option<Instant>,
+    configuration: RequestPace,
+    rest: RequestPace,
+    diverged_since: Option<Instant>,
 }
 
-impl Roll {
+impl PeerTable {
     /// A router was heard. It counts as silent after `patience`. Returns whether it is new.
-    pub fn heard(
+    pub fn record(
         &mut self,
         digest: &Digest,
         address: SocketAddr,
         now: Instant,
-        patience: Duration,
+        timeout: Duration,
     ) -> bool {
         let record = Record {
             address,
             versions: digest.versions,
-            sum: digest.sum,
-            silent_at: now + patience,
+            checksum: digest.checksum,
+            expires_at: now + timeout,
         };
         self.records.insert(digest.host.clone(), record).is_none()
     }
 
     /// Takes out the routers that fell silent.
-    pub fn silent(&mut self, now: Instant) -> Vec<host::Id> {
-        let silent: Vec<_> = self
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<host::Id> {
+        let expired: Vec<_> = self
             .records
             .iter()
-            .filter(|(_, record)| record.silent_at <= now)
+            .filter(|(_, record)| record.expires_at <= now)
             .map(|(host, _)| host.clone())
             .collect();
-        for host in &silent {
+        for host in &expired {
             self.records.remove(host);
         }
-        silent
+        expired
     }
 
     /// A router to ask for the `part` that this one, which knows `own`, has
@@ -132,12 +132,12 @@
     /// knows most, all routers would ask the same one at the same moment. For
     /// what is no configuration, which may be large and is wanted at once,
     /// those that `is_near` holds for go first: bytes between zones are dear.
-    pub fn ahead(
+    pub fn select_ahead(
         &mut self,
         part: Part,
         own: Versions,
         is_watching: bool,
-        is_near: impl Fn(&host::Id) -> bool,
+        is_same_zone: impl Fn(&host::Id) -> bool,
         random: usize,
         now: Instant,
     ) -> Option<SocketAddr> {
@@ -145,7 +145,7 @@
         let records = self.records.iter();
         let mut ahead: Vec<_> = records
             .filter(|(_, record)| record.versions.is_ahead_of(known))
-            .map(|(host, record)| (is_near(host), record.address))
+            .map(|(host, record)| (is_same_zone(host), record.address))
             .collect();
         let pace = match part {
             Part::Configuration => &mut self.configuration,
@@ -155,15 +155,19 @@
             pace.behind_since = None;
             return None;
         }
-        if part == Part::Rest && ahead.iter().any(|(is_near, _)| *is_near) {
-            ahead.retain(|(is_near, _)| *is_near);
+        if part == Part::Rest && ahead.iter().any(|(is_same_zone, _)| *is_same_zone) {
+            ahead.retain(|(is_same_zone, _)| *is_same_zone);
         }
         let since = *pace.behind_since.get_or_insert(now);
-        let patience = if is_watching { BEHIND } else { Duration::ZERO };
-        if now < pace.ask_at.max(since + patience) {
+        let timeout = if is_watching {
+            BEHIND_GRACE
+        } else {
+            Duration::ZERO
+        };
+        if now < pace.next_request_at.max(since + timeout) {
             return None;
         }
-        pace.ask_at = now + part.pause();
+        pace.next_request_at = now + part.interval();
         Some(ahead[random % ahead.len()].1)
     }
 
@@ -173,18 +177,23 @@
     /// That a row is gone can be known by a whole read alone, which gives the
     /// removal no version that others would lack. One that read the row just
     /// before would keep it, and send requests to a server that has left.
-    pub fn differing(&mut self, own: Versions, sum: u64, now: Instant) -> Option<SocketAddr> {
+    pub fn select_diverged(
+        &mut self,
+        own: Versions,
+        checksum: u64,
+        now: Instant,
+    ) -> Option<SocketAddr> {
         let mut records = self.records.values();
-        let differing = records.find(|record| record.versions == own && record.sum != sum);
-        let Some(record) = differing else {
-            self.differs_since = None;
+        let diverged = records.find(|record| record.versions == own && record.checksum != checksum);
+        let Some(record) = diverged else {
+            self.diverged_since = None;
             return None;
         };
-        let since = *self.differs_since.get_or_insert(now);
-        if now < since + DIFFERS {
+        let since = *self.diverged_since.get_or_insert(now);
+        if now < since + DIVERGENCE_GRACE {
             return None;
         }
-        self.differs_since = Some(now);
+        self.diverged_since = Some(now);
         Some(record.address)
     }
 
@@ -198,7 +207,7 @@
     }
 
     /// A router did not answer. It is not asked again before it is heard again.
-    pub fn forget(&mut self, address: SocketAddr) {
+    pub fn mark_failed(&mut self, address: SocketAddr) {
         for record in self.records.values_mut() {
             if record.address == address {
                 record.versions = Versions::default();
@@ -207,7 +216,7 @@
     }
 
     /// Whether a router is heard.
-    pub fn has(&self, host: &host::Id) -> bool {
+    pub fn contains(&self, host: &host::Id) -> bool {
         self.records.contains_key(host)
     }
 
--- a/crates/gateway/src/peers/turn.rs
+++ b/crates/gateway/src/peers/targets.rs
@@ -15,11 +15,11 @@
 /// The steps are in an order without a pattern. Taken one after the other, news
 /// would go round the fleet step by step, since a router that has just heard
 /// would tell those whom its neighbours have told.
-pub fn turn<'a>(
+pub fn gossip_targets<'a>(
     members: &'a [Member],
     own: &host::Id,
-    told: usize,
-    most: usize,
+    offset: usize,
+    count: usize,
 ) -> Vec<&'a Member> {
     let position = members.iter().position(|member| member.host == *own);
     let begin = position.map_or(0, |position| position + 1);
@@ -31,16 +31,17 @@
     if others.is_empty() {
         return Vec::new();
     }
-    let first = told % others.len();
-    let steps = steps(others.len());
-    let turn = steps.iter().cycle().skip(first);
-    turn.take(most.min(others.len()))
+    let first = offset % others.len();
+    let steps = shuffled_steps(others.len());
+    let targets = steps.iter().cycle().skip(first);
+    targets
+        .take(count.min(others.len()))
         .map(|&step| others[step])
         .collect()
 }
 
 /// All steps from one router to another of `count`, in an order that all agree on.
-fn steps(count: usize) -> Vec<usize> {
+fn shuffled_steps(count: usize) -> Vec<usize> {
     let mut steps: Vec<usize> = (0..count).collect();
     steps.sort_by_cached_key(|step| xxh3::xxh3_64(&step.to_le_bytes()));
     steps
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -11,66 +11,66 @@
 use wire::seal::{Audience, Boot, Key, Opener, Sealer, Tag};
 
 use super::{
-    Aggregators, Digest, Directory, FAN_OUT, FIRST_FAN_OUT, Frame, INTERVAL, Inputs, Origin,
-    Outputs, QUIET_FAN_OUT, Readers, Roll, Sums, Versions,
-    asking::{Asking, End},
-    digest, sums, turn,
+    Aggregators, Digest, Directory, FAN_OUT, Frame, INITIAL_FAN_OUT, INTERVAL, Inputs, Outputs,
+    PeerTable, QUIET_FAN_OUT, StoreFallback, Sums, Versions, Watchers,
+    catch_up::{Completion, InFlight},
+    digest, gossip_targets, sums,
 };
 use crate::{
     clock::Clock,
     dispatch,
     follow::Event,
     load::{Heard, Load, Teller},
-    mirror::Mirror,
     reads::{Read, Reads},
+    replica::Replica,
     source::{Member, Source, Topic},
 };
 
 /// The largest datagram that is read, in bytes.
 const MAX_DATAGRAM: usize = 2048;
 /// The least time after which a router that is not heard counts as lost.
-const LEAST_PATIENCE: Duration = Duration::from_millis(1000);
+const MIN_PEER_TIMEOUT: Duration = Duration::from_millis(1000);
 
 /// The task's state.
 pub(super) struct Task<S> {
     pub(super) clock: Clock,
     pub(super) source: S,
-    pub(super) is_asking: Asking,
-    pub(super) origin: Origin,
-    pub(super) done: mpsc::Sender<End>,
+    pub(super) in_flight: InFlight,
+    pub(super) store_fallback: StoreFallback,
+    pub(super) completions_sender: mpsc::Sender<Completion>,
     pub(super) seals: Seals,
     /// The starts of the others, by the tags of their hosts.
     boots: BTreeMap<Tag, Boot>,
     pub(super) directory: Directory,
-    pub(super) roll: Roll,
+    pub(super) table: PeerTable,
     pub(super) sums: Sums,
     /// What this router last told others, but for its loads.
-    last: Option<Digest>,
+    last_digest: Option<Digest>,
     /// What this router last told to those who add up.
     pub(super) own_loads: Vec<Load>,
     /// Those who add up, by zone.
     pub(super) aggregators: BTreeMap<availability::Zone, Aggregators>,
     /// What others told of their loads, or of the sum of their zones, by the
     /// hashes of their names.
-    pub(super) heard: BTreeMap<u32, Heard>,
+    pub(super) peer_loads: BTreeMap<u32, Heard>,
     /// What those who add up in the own zone told.
-    pub(super) total_heard: Heard,
+    pub(super) fleet_loads: Heard,
     /// How many routers the last total was over, and until when it counts.
-    pub(super) total_routers: (u16, Instant),
-    teller: Teller,
-    pub(super) sum_teller: Teller,
-    pub(super) total_teller: Teller,
+    pub(super) fleet_routers: (u16, Instant),
+    load_reporter: Teller,
+    pub(super) zone_reporter: Teller,
+    pub(super) fleet_reporter: Teller,
     /// What servers have read for the own zone's routers, if this one adds up.
     pub(super) zone_reads: Reads,
     /// What they have read for all routers.
     pub(super) fleet_reads: Reads,
-    readers: Readers,
+    watchers: Watchers,
     socket: UdpSocket,
     pub(super) inputs: Inputs,
     pub(super) outputs: Outputs,
     pub(super) rounds: usize,
     /// How many others have been told in their turn.
-    told: usize,
+    gossip_offset: usize,
 }
 
 /// What proves this router and checks the others.
@@ -93,56 +93,56 @@
         boot: Boot,
         inputs: Inputs,
         outputs: Outputs,
-    ) -> (Self, mpsc::Receiver<End>) {
-        let (done, ends) = mpsc::channel(4);
+    ) -> (Self, mpsc::Receiver<Completion>) {
+        let (completions_sender, completions) = mpsc::channel(4);
         let task = Self {
             clock,
             source,
-            is_asking: Asking::default(),
-            origin: Origin::default(),
-            done,
+            in_flight: InFlight::default(),
+            store_fallback: StoreFallback::default(),
+            completions_sender,
             seals,
             boots: BTreeMap::new(),
             directory: Directory::default(),
-            roll: Roll::default(),
+            table: PeerTable::default(),
             sums: Sums::default(),
-            last: None,
+            last_digest: None,
             own_loads: Vec::new(),
             aggregators: BTreeMap::new(),
-            heard: BTreeMap::new(),
-            total_heard: Heard::default(),
-            total_routers: (0, Instant::ZERO),
-            teller: Teller::default(),
-            sum_teller: Teller::default(),
-            total_teller: Teller::default(),
+            peer_loads: BTreeMap::new(),
+            fleet_loads: Heard::default(),
+            fleet_routers: (0, Instant::ZERO),
+            load_reporter: Teller::default(),
+            zone_reporter: Teller::default(),
+            fleet_reporter: Teller::default(),
             zone_reads: Reads::default(),
             fleet_reads: Reads::default(),
-            readers: Readers::new(&inputs.own.host, boot.0),
+            watchers: Watchers::new(&inputs.own.host, boot.0),
             socket,
             inputs,
             outputs,
             rounds: 0,
-            told: 0,
+            gossip_offset: 0,
         };
-        (task, ends)
+        (task, completions)
     }
 
     /// Talks to the others until the process ends.
-    pub async fn run(mut self, mut ends: mpsc::Receiver<End>) {
+    pub async fn run(mut self, mut completions: mpsc::Receiver<Completion>) {
         let mut ticks = time::interval(INTERVAL);
         ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut buffer = [0; MAX_DATAGRAM];
         loop {
             tokio::select! {
                 _ = ticks.tick() => self.tick().await,
-                changed = self.inputs.mirrors.changed() => match changed {
+                changed = self.inputs.replicas.changed() => match changed {
                     // News goes out at once, and not only with the next round.
-                    Ok(()) => self.send(FAN_OUT).await,
+                    Ok(()) => self.gossip(FAN_OUT).await,
                     Err(_) => return,
                 },
-                Some(end) = ends.recv() => self.ended(end),
+                Some(completion) = completions.recv() => self.complete(completion),
                 received = self.socket.recv_from(&mut buffer) => match received {
-                    Ok((length, from)) => self.hear(&buffer[..length], from).await,
+                    Ok((length, from)) => self.receive(&buffer[..length], from).await,
                     // A peer that is gone shows as an error of the send before.
                     Err(error) => logging::event!(debug, "peer_unreachable", reason = error),
                 },
@@ -152,16 +152,16 @@
 
     async fn tick(&mut self) {
         let now = self.clock.now();
-        for host in self.roll.silent(now) {
+        for host in self.table.remove_expired(now) {
             logging::event!(info, "peer_lost", peer = host);
-            self.heard.remove(&sums::hash(host.as_str()));
-            self.tell(dispatch::Message::PeerLost(host));
+            self.peer_loads.remove(&sums::hash(host.as_str()));
+            self.notify_dispatch(dispatch::Message::PeerLost(host));
         }
         self.rounds = self.rounds.wrapping_add(1);
-        let has_news = self.watch_or_not().await;
+        let has_update = self.update_watching().await;
         self.catch_up();
-        let most = self.fan_out(has_news);
-        self.send(most).await;
+        let count = self.fan_out(has_update);
+        self.gossip(count).await;
         if self.is_large() {
             self.send_sums().await;
         }
@@ -171,12 +171,12 @@
     ///
     /// Who watches the store, and whom it answers, is known through those who
     /// watch themselves, so these tell as many in each round as they tell of news.
-    fn fan_out(&self, has_news: bool) -> usize {
+    fn fan_out(&self, has_update: bool) -> usize {
         let is_watching = *self.outputs.is_watching.borrow();
         let others = self.inputs.members.borrow().len();
-        if self.told < others {
-            FIRST_FAN_OUT
-        } else if has_news || is_watching || !self.is_large() {
+        if self.gossip_offset < others {
+            INITIAL_FAN_OUT
+        } else if has_update || is_watching || !self.is_large() {
             FAN_OUT
         } else {
             QUIET_FAN_OUT
@@ -185,7 +185,7 @@
 
     pub(super) async fn send_to(&mut self, frame: &Frame, member: &Member) {
         let payload = frame.encode();
-        let payload = payload.or_else(|_| frame.clone().encode_fitting());
+        let payload = payload.or_else(|_| frame.clone().encode_truncated());
         let Ok(payload) = payload else {
             logging::event!(warn, "digest_too_long", peer = member.host);
             return;
@@ -209,11 +209,11 @@
     }
 
     /// Watches the store, or leaves it to others. Returns whether that has changed.
-    async fn watch_or_not(&mut self) -> bool {
+    async fn update_watching(&mut self) -> bool {
         let now = self.clock.now();
         let members = Arc::clone(&self.inputs.members.borrow());
         let hosts: Vec<host::Id> = members.iter().map(|member| member.host.clone()).collect();
-        let is_watching = self.readers.decide(&hosts, now);
+        let is_watching = self.watchers.should_watch(&hosts, now);
         let changed = self.outputs.is_watching.send_if_modified(|before| {
             let changed = *before != is_watching;
             *before = is_watching;
@@ -222,13 +222,13 @@
         if changed {
             logging::event!(info, "store_watch", watching = is_watching);
         }
-        let is_served = is_watching && *self.inputs.is_served.borrow();
-        if self.readers.has_returned(is_served, now) && !is_watching {
+        let is_store_reachable = is_watching && *self.inputs.is_store_reachable.borrow();
+        if self.watchers.has_store_returned(is_store_reachable, now) && !is_watching {
             // The task ends only with the process.
             drop(
                 self.outputs
                     .events
-                    .send(Event::Returned(Topic::Servers))
+                    .send(Event::StoreReturned(Topic::Servers))
                     .await,
             );
         }
@@ -236,35 +236,41 @@
     }
 
     /// Tells `most` others what this router knows.
-    async fn send(&mut self, most: usize) {
+    async fn gossip(&mut self, count: usize) {
         let now = self.clock.now();
-        let is_served = *self.inputs.is_served.borrow();
-        let watchers = self.readers.tell(is_served, now);
-        let news = self.news().await;
+        let is_store_reachable = *self.inputs.is_store_reachable.borrow();
+        let watchers = self.watchers.advertise(is_store_reachable, now);
+        let state = self.local_state().await;
         let own = self.inputs.own.host.clone();
-        let is_steady = self.readers.is_steady(now);
-        let digest = Digest::new(own, self.versions(), is_steady, watchers, news.strikes);
-        let digest = digest.with_sum(self.sum());
-        self.last = Some(digest.clone());
-        self.own_loads = digest::loads(&news.loads);
-        let report = self.teller.next(&self.own_loads, now);
+        let is_store_stable = self.watchers.is_store_stable(now);
+        let digest = Digest::new(
+            own,
+            self.versions(),
+            is_store_stable,
+            watchers,
+            state.strikes,
+        );
+        let digest = digest.with_checksum(self.checksum());
+        self.last_digest = Some(digest.clone());
+        self.own_loads = digest::loads(&state.loads);
+        let report = self.load_reporter.next(&self.own_loads, now);
         // In a large fleet a router hears each other one every few seconds. What
         // it then hears of loads is too old to count, and takes most of the bytes.
         let digest = if self.is_large() {
             digest
         } else {
-            digest.with_loads(report.clone(), news.reads.clone())
+            digest.with_loads(report.clone(), state.reads.clone())
         };
-        for member in self.targets(most) {
+        for member in self.targets(count) {
             self.send_to(&Frame::Digest(digest.clone()), &member).await;
         }
         if !self.is_large() {
             return;
         }
-        self.note_reads(&news.reads, now);
+        self.queue_reads(&state.reads, now);
         let frame = Frame::Loads {
             loads: report,
-            reads: news.reads,
+            reads: state.reads,
         };
         for member in self.own_aggregators() {
             self.send_to(&frame, &member).await;
@@ -272,12 +278,12 @@
     }
 
     /// The members whose turn it is.
-    fn targets(&mut self, most: usize) -> Vec<Member> {
+    fn targets(&mut self, count: usize) -> Vec<Member> {
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = &self.inputs.own.host;
-        let told = self.told;
-        self.told = self.told.wrapping_add(most);
-        let targets = turn(&members, own, told, most);
+        let offset = self.gossip_offset;
+        self.gossip_offset = self.gossip_offset.wrapping_add(count);
+        let targets = gossip_targets(&members, own, offset, count);
         targets.into_iter().cloned().collect()
     }
 
@@ -290,8 +296,8 @@
     }
 
     pub(super) fn versions(&self) -> Versions {
-        let mirrors = self.inputs.mirrors.borrow();
-        let newest = |topic| mirrors.get(&topic).map_or(0, Mirror::newest);
+        let replicas = self.inputs.replicas.borrow();
+        let newest = |topic| replicas.get(&topic).map_or(0, Replica::newest);
         Versions {
             configuration: newest(Topic::Configuration),
             servers: newest(Topic::Servers),
@@ -300,19 +306,21 @@
     }
 
     /// A sum over all rows that this router holds.
-    pub(super) fn sum(&self) -> u64 {
-        let mirrors = self.inputs.mirrors.borrow();
-        mirrors.values().fold(0, |sum, mirror| sum ^ mirror.sum())
+    pub(super) fn checksum(&self) -> u64 {
+        let replicas = self.inputs.replicas.borrow();
+        replicas
+            .values()
+            .fold(0, |checksum, replica| checksum ^ replica.checksum())
     }
 
-    async fn news(&self) -> dispatch::News {
+    async fn local_state(&self) -> dispatch::News {
         let (reply, answer) = oneshot::channel();
-        self.tell(dispatch::Message::News(reply));
+        self.notify_dispatch(dispatch::Message::News(reply));
         // The task ends only with the process.
         answer.await.unwrap_or_default()
     }
 
-    async fn hear(&mut self, datagram: &[u8], from: SocketAddr) {
+    async fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = self.clock.now();
         self.outputs.metrics.heard(datagram.len());
         let opened = match self.seals.opener.open(datagram) {
@@ -326,23 +334,23 @@
         // What is not meant for this very process may be a replay.
         if !opened.fresh {
             let (tag, boot) = (opened.tag, opened.boot);
-            self.introduced(tag, boot, known).await;
+            self.handle_introduction(tag, boot, known).await;
             return;
         }
         self.boots.insert(opened.tag, opened.boot);
         match Frame::decode(opened.payload) {
             Ok(Frame::Digest(digest)) => {
                 let tag = opened.tag;
-                let has_news = self.hear_digest(digest, tag, from, now);
-                if has_news && self.is_large() {
-                    self.send(FAN_OUT).await;
+                let has_update = self.receive_digest(digest, tag, from, now);
+                if has_update && self.is_large() {
+                    self.gossip(FAN_OUT).await;
                 }
             }
             Ok(Frame::Loads { loads, reads }) => {
                 let tag = opened.tag;
-                self.hear_loads(tag, loads);
-                self.note_reads(&reads, now);
-                self.hear_reads(reads);
+                self.receive_loads(tag, loads);
+                self.queue_reads(&reads, now);
+                self.apply_reads(reads);
             }
             Ok(Frame::Sum {
                 zone,
@@ -351,11 +359,11 @@
                 reads,
             }) => {
                 let tag = opened.tag;
-                self.hear_sum(tag, zone, routers, loads);
+                self.receive_sum(tag, zone, routers, loads);
                 self.fleet_reads.pass_on(&reads, now);
-                self.hear_reads(reads);
+                self.apply_reads(reads);
             }
-            Ok(Frame::Total(total)) => self.hear_total(total).await,
+            Ok(Frame::Total(total)) => self.receive_total(total).await,
             Err(_) => logging::event!(debug, "digest_malformed"),
         }
     }
@@ -365,7 +373,7 @@
     ///
     /// The introduction of an earlier start may be a replay: taken up, it would
     /// have all that is told the router sealed for a process that is gone.
-    async fn introduced(&mut self, tag: Tag, boot: Boot, known: Option<Boot>) {
+    async fn handle_introduction(&mut self, tag: Tag, boot: Boot, known: Option<Boot>) {
         if known.is_some_and(|known| boot <= known) {
             return;
         }
@@ -373,81 +381,86 @@
         let Some(member) = self.member(tag) else {
             return;
         };
-        if let Some(digest) = self.last.clone() {
+        if let Some(digest) = self.last_digest.clone() {
             self.send_to(&Frame::Digest(digest), &member).await;
         }
     }
 
     /// Keeps what a router of the own zone told of reads, to pass it on.
-    fn note_reads(&mut self, reads: &[Read], now: Instant) {
+    fn queue_reads(&mut self, reads: &[Read], now: Instant) {
         self.zone_reads.pass_on(reads, now);
         self.fleet_reads.pass_on(reads, now);
     }
 
     /// Passes on to whoever chooses servers what other routers saw them read.
-    pub(super) fn hear_reads(&self, reads: Vec<Read>) {
+    pub(super) fn apply_reads(&self, reads: Vec<Read>) {
         if !reads.is_empty() {
-            self.tell(dispatch::Message::Reads(reads));
+            self.notify_dispatch(dispatch::Message::Reads(reads));
         }
     }
 
     /// How long a router may stay unheard: until all have had their turn twice.
-    fn patience(&self) -> Duration {
+    fn peer_timeout(&self) -> Duration {
         let others = self.inputs.members.borrow().len();
-        let most = if self.is_large() {
+        let count = if self.is_large() {
             QUIET_FAN_OUT
         } else {
             FAN_OUT
         };
-        let rounds = u32::try_from(3 * others.div_ceil(most)).unwrap_or(u32::MAX);
-        (INTERVAL * rounds).max(LEAST_PATIENCE)
+        let rounds = u32::try_from(3 * others.div_ceil(count)).unwrap_or(u32::MAX);
+        (INTERVAL * rounds).max(MIN_PEER_TIMEOUT)
     }
 
     /// Takes in a digest. Returns whether it tells something of the watchers
     /// that others should hear at once.
-    fn hear_digest(&mut self, digest: Digest, tag: Tag, from: SocketAddr, now: Instant) -> bool {
+    fn receive_digest(&mut self, digest: Digest, tag: Tag, from: SocketAddr, now: Instant) -> bool {
         if Tag::new(&digest.host) != tag {
             return false;
         }
-        let patience = self.patience();
-        if self.roll.heard(&digest, from, now, patience) {
+        let timeout = self.peer_timeout();
+        if self.table.record(&digest, from, now, timeout) {
             logging::event!(info, "peer_heard", peer = digest.host);
         }
-        let has_news = self.readers.hear(&digest.watchers, now);
-        if digest.is_steady {
+        let has_update = self.watchers.receive(&digest.watchers, now);
+        if digest.is_store_stable {
             // When the queue is full, the next digest says the same.
-            let _ = self.outputs.events.try_send(Event::Steady);
+            let _ = self.outputs.events.try_send(Event::StoreStable);
         }
         let is_watching = *self.outputs.is_watching.borrow();
         if !is_watching {
             self.follow_peer(&digest, now);
         }
         if !digest.strikes.is_empty() {
-            self.tell(dispatch::Message::Strikes(digest.strikes));
+            self.notify_dispatch(dispatch::Message::Strikes(digest.strikes));
         }
-        self.hear_reads(digest.reads);
+        self.apply_reads(digest.reads);
         let Some(report) = digest.loads else {
-            self.tell(dispatch::Message::Peer(digest.host, Vec::new()));
-            return has_news;
+            self.notify_dispatch(dispatch::Message::Peer(digest.host, Vec::new()));
+            return has_update;
         };
         let hash = sums::hash(digest.host.as_str());
-        let loads = self.heard.entry(hash).or_default().take(report);
-        self.sums.told(digest.host.clone(), loads.clone(), now);
-        self.tell(dispatch::Message::Peer(digest.host, loads));
-        has_news
+        let loads = self.peer_loads.entry(hash).or_default().take(report);
+        self.sums
+            .record_router(digest.host.clone(), loads.clone(), now);
+        self.notify_dispatch(dispatch::Message::Peer(digest.host, loads));
+        has_update
     }
 
     /// Keeps up with a router that knows the store's word.
     fn follow_peer(&mut self, digest: &Digest, now: Instant) {
         if digest.versions.is_ahead_of(self.versions()) {
             self.catch_up();
-        } else if digest.watchers.iter().any(|watcher| watcher.is_served) {
+        } else if digest
+            .watchers
+            .iter()
+            .any(|watcher| watcher.is_store_reachable)
+        {
             self.outputs.ages.confirm(Topic::Configuration, now);
             self.outputs.ages.confirm(Topic::Servers, now);
         }
     }
 
-    pub(super) fn tell(&self, message: dispatch::Message) {
+    pub(super) fn notify_dispatch(&self, message: dispatch::Message) {
         // The task ends only with the process.
         drop(self.outputs.dispatch.send(message));
     }
--- a/crates/gateway/src/mirror.rs
+++ b/crates/gateway/src/replica.rs
@@ -7,10 +7,10 @@
 use crate::source::{Batch, Row, Topic};
 
 /// The rows of all topics.
-pub type Mirrors = BTreeMap<Topic, Mirror>;
+pub type Replicas = BTreeMap<Topic, Replica>;
 
 /// How many removals are remembered against stale reads.
-const MAX_REMOVED: usize = 4096;
+const MAX_TOMBSTONES: usize = 4096;
 
 /// Rows that only ever give way to rows of a higher version.
 ///
@@ -18,20 +18,20 @@
 /// older than what is known here. Were it taken over as it comes, a
 /// configuration that was in force could come back.
 #[derive(Clone, Debug, Default)]
-pub struct Mirror {
+pub struct Replica {
     rows: BTreeMap<String, Row>,
-    removed: BTreeMap<String, u64>,
+    tombstones: BTreeMap<String, u64>,
     newest: u64,
     /// The version of the newest whole read: a row that it did not list was gone.
-    whole: u64,
+    snapshot_version: u64,
     /// The hashes of the rows, added up in any order.
-    sum: u64,
+    checksum: u64,
 }
 
-impl Mirror {
+impl Replica {
     /// Takes in what another router passed on, as [`Mirror::merge`]; this one
     /// then knows as much.
-    pub fn merge_passed_on(&mut self, batch: &Batch) -> Vec<Row> {
+    pub fn merge_relayed(&mut self, batch: &Batch) -> Vec<Row> {
         let changed = self.merge(batch);
         self.newest = self.newest.max(batch.version);
         changed
@@ -41,42 +41,42 @@
     pub fn merge(&mut self, batch: &Batch) -> Vec<Row> {
         let mut changed: Vec<Row> = Vec::new();
         for row in &batch.rows {
-            if self.put(row) {
+            if self.upsert(row) {
                 changed.push(row.clone());
             }
         }
-        if batch.is_whole {
-            changed.extend(self.drop_missing(batch));
-            self.whole = self.whole.max(batch.version);
+        if batch.is_snapshot {
+            changed.extend(self.remove_missing(batch));
+            self.snapshot_version = self.snapshot_version.max(batch.version);
         }
         changed
     }
 
-    fn put(&mut self, row: &Row) -> bool {
+    fn upsert(&mut self, row: &Row) -> bool {
         let known = self.rows.get(&row.key).map(|known| known.version);
-        let removed = self.removed.get(&row.key).copied();
+        let removed = self.tombstones.get(&row.key).copied();
         if known.max(removed).is_some_and(|known| row.version <= known) {
             return false;
         }
         self.newest = self.newest.max(row.version);
         // The row is gone, and another router does not know that yet.
-        if row.value.is_some() && known.is_none() && row.version <= self.whole {
+        if row.value.is_some() && known.is_none() && row.version <= self.snapshot_version {
             return false;
         }
-        self.take_out(&row.key);
+        self.remove(&row.key);
         if row.value.is_some() {
-            self.removed.remove(&row.key);
-            self.sum ^= hash(row);
+            self.tombstones.remove(&row.key);
+            self.checksum ^= hash(row);
             self.rows.insert(row.key.clone(), row.clone());
         } else {
-            self.remember_removal(row.key.clone(), row.version);
+            self.add_tombstone(row.key.clone(), row.version);
         }
         true
     }
 
-    fn take_out(&mut self, key: &str) {
+    fn remove(&mut self, key: &str) {
         if let Some(row) = self.rows.remove(key) {
-            self.sum ^= hash(&row);
+            self.checksum ^= hash(&row);
         }
     }
 
@@ -84,7 +84,7 @@
     ///
     /// One of the same version is gone too: another router can tell this version
     /// of a removal that it knows by a read of its own.
-    fn drop_missing(&mut self, batch: &Batch) -> Vec<Row> {
+    fn remove_missing(&mut self, batch: &Batch) -> Vec<Row> {
         let present = batch.rows.iter().filter(|row| row.value.is_some());
         let listed: BTreeSet<&str> = present.map(|row| row.key.as_str()).collect();
         let is_missing =
@@ -96,8 +96,8 @@
             .map(|row| row.key.clone())
             .collect();
         for key in &missing {
-            self.take_out(key);
-            self.remember_removal(key.clone(), batch.version);
+            self.remove(key);
+            self.add_tombstone(key.clone(), batch.version);
         }
         if !missing.is_empty() {
             self.newest = self.newest.max(batch.version);
@@ -110,10 +110,10 @@
         missing.into_iter().map(removal).collect()
     }
 
-    fn remember_removal(&mut self, key: String, version: u64) {
-        self.removed.insert(key, version);
-        while self.removed.len() > MAX_REMOVED {
-            self.removed.pop_first();
+    fn add_tombstone(&mut self, key: String, version: u64) {
+        self.tombstones.insert(key, version);
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstones.pop_first();
         }
     }
 
@@ -129,8 +129,8 @@
 
     /// A sum over the rows. At the same version those of two routers differ if one
     /// holds a row that is gone by what the other knows.
-    pub fn sum(&self) -> u64 {
-        self.sum
+    pub fn checksum(&self) -> u64 {
+        self.checksum
     }
 
     /// All changes after a version, as a router passes them on.
@@ -138,19 +138,19 @@
     /// What was gone at the whole read may stand nowhere by its name. One who
     /// knows less than that read gets all rows, and finds it by what is missing.
     pub fn since(&self, version: u64) -> Batch {
-        let is_whole = version < self.whole;
+        let is_snapshot = version < self.snapshot_version;
         let rows = self.rows.values();
-        let rows = rows.filter(|row| is_whole || row.version > version);
-        let removed = self.removed.iter().filter(|&(_, &at)| at > version);
-        let removed = removed.map(|(key, &version)| Row {
+        let rows = rows.filter(|row| is_snapshot || row.version > version);
+        let tombstones = self.tombstones.iter().filter(|&(_, &at)| at > version);
+        let tombstones = tombstones.map(|(key, &version)| Row {
             key: key.clone(),
             version,
             value: None,
         });
         Batch {
-            rows: rows.cloned().chain(removed).collect(),
+            rows: rows.cloned().chain(tombstones).collect(),
             version: self.newest,
-            is_whole,
+            is_snapshot,
         }
     }
 }
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -43,7 +43,7 @@
     ///
     /// Either alone may mislead: a server's clock may have been set back, and a
     /// write may reach the store late.
-    fn is_followed_by(&self, other: &Self) -> bool {
+    fn is_superseded_by(&self, other: &Self) -> bool {
         other.born > self.born && other.revision > self.revision
     }
 }
@@ -79,17 +79,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct Roster {
     entries: BTreeMap<backend::Server, Entry>,
-    removed: BTreeMap<backend::Server, u64>,
+    tombstones: BTreeMap<backend::Server, u64>,
     lapsing: BTreeMap<backend::Server, Instant>,
     evacuated: BTreeSet<availability::Zone>,
     /// Until when entries that go missing may have lapsed with the store.
-    lenient_until: Instant,
+    grace_until: Instant,
 }
 
 impl Roster {
     /// The store answers again after it could not be reached.
     pub fn store_returned(&mut self, now: Instant) {
-        self.lenient_until = now + LAPSE_GRACE;
+        self.grace_until = now + LAPSE_GRACE;
     }
 
     /// The store has answered other routers all the while, so that no entry
@@ -97,8 +97,8 @@
     ///
     /// A router that alone was cut off cannot tell this from an outage. It
     /// would go on sending to servers that have left.
-    pub fn store_was_steady(&mut self, now: Instant) -> bool {
-        self.lenient_until = self.lenient_until.min(now);
+    pub fn store_was_stable(&mut self, now: Instant) -> bool {
+        self.grace_until = self.grace_until.min(now);
         for until in self.lapsing.values_mut() {
             *until = now;
         }
@@ -108,21 +108,21 @@
     /// Takes in a change. Returns whether it was news.
     pub fn apply(&mut self, change: Change, now: Instant) -> bool {
         match change {
-            Change::Present(entry) => self.put(entry),
+            Change::Present(entry) => self.upsert(entry),
             Change::Absent { server, revision } => self.remove(&server, revision, now),
         }
     }
 
-    fn put(&mut self, entry: Entry) -> bool {
+    fn upsert(&mut self, entry: Entry) -> bool {
         let known = self.entries.get(&entry.server).map(|known| known.revision);
-        let removed = self.removed.get(&entry.server).copied();
+        let removed = self.tombstones.get(&entry.server).copied();
         if known
             .max(removed)
             .is_some_and(|known| entry.revision <= known)
         {
             return false;
         }
-        self.removed.remove(&entry.server);
+        self.tombstones.remove(&entry.server);
         self.lapsing.remove(&entry.server);
         self.entries.insert(entry.server.clone(), entry);
         true
@@ -136,9 +136,9 @@
             return false;
         }
         // A server that said that it leaves does not come back.
-        if now < self.lenient_until && !entry.is_draining {
+        if now < self.grace_until && !entry.is_draining {
             entry.revision = revision;
-            self.lapsing.insert(server.clone(), self.lenient_until);
+            self.lapsing.insert(server.clone(), self.grace_until);
             return false;
         }
         self.drop_entry(server, revision);
@@ -148,9 +148,9 @@
     fn drop_entry(&mut self, server: &backend::Server, revision: u64) {
         self.entries.remove(server);
         self.lapsing.remove(server);
-        self.removed.insert(server.clone(), revision);
-        while self.removed.len() > MAX_REMOVED {
-            self.removed.pop_first();
+        self.tombstones.insert(server.clone(), revision);
+        while self.tombstones.len() > MAX_TOMBSTONES {
+            self.tombstones.pop_first();
         }
     }
 
@@ -192,23 +192,23 @@
     /// that crashed and came back under a new name stays registered under the
     /// old one for some heartbeats, and refuses what is sent to it under that.
     pub fn all(&self) -> impl Iterator<Item = (&Entry, bool)> {
-        let latest = self.latest();
-        let is_over = move |entry: &Entry| {
-            let latest = latest.get(&place(entry));
-            latest.is_some_and(|latest| entry.is_followed_by(latest))
+        let latest = self.latest_by_endpoint();
+        let is_superseded = move |entry: &Entry| {
+            let latest = latest.get(&endpoint(entry));
+            latest.is_some_and(|latest| entry.is_superseded_by(latest))
         };
         let entries = self.entries.values();
         entries
-            .filter(move |entry| !is_over(entry))
+            .filter(move |entry| !is_superseded(entry))
             .map(|entry| (entry, !self.is_usable(entry)))
     }
 
     /// The latest server of a service at each address.
-    fn latest(&self) -> HashMap<(SocketAddr, &pool::Id), &Entry> {
+    fn latest_by_endpoint(&self) -> HashMap<(SocketAddr, &pool::Id), &Entry> {
         let mut latest = HashMap::new();
         for entry in self.entries.values() {
-            let known = latest.entry(place(entry)).or_insert(entry);
-            if known.is_followed_by(entry) {
+            let known = latest.entry(endpoint(entry)).or_insert(entry);
+            if known.is_superseded_by(entry) {
                 *known = entry;
             }
         }
@@ -243,9 +243,9 @@
 }
 
 /// What a service has one server at.
-fn place(entry: &Entry) -> (SocketAddr, &pool::Id) {
+fn endpoint(entry: &Entry) -> (SocketAddr, &pool::Id) {
     (entry.address, &entry.pool)
 }
 
 /// How many removals are remembered against stale reads.
-const MAX_REMOVED: usize = 4096;
+const MAX_TOMBSTONES: usize = 4096;
--- a/crates/gateway/src/source.rs
+++ b/crates/gateway/src/source.rs
@@ -59,23 +59,23 @@
     /// The newest version that the rows reflect.
     pub version: u64,
     /// Whether these are all rows: what is not among them is gone.
-    pub is_whole: bool,
+    pub is_snapshot: bool,
 }
 
 /// Why a call to the store failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
     /// The changes since the given version are no longer kept.
-    HistoryGone,
+    Compacted,
     /// Anything else; it may be over soon.
-    Away(String),
+    Unavailable(String),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::HistoryGone => f.write_str("the history is gone"),
-            Self::Away(reason) => f.write_str(reason),
+            Self::Compacted => f.write_str("the history is gone"),
+            Self::Unavailable(reason) => f.write_str(reason),
         }
     }
 }
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -116,7 +116,7 @@
         let (table_sender, table) = watch::channel(None);
         let (readiness_sender, readiness_receiver) = watch::channel(Readiness::default());
         let (members_sender, members) = watch::channel(Arc::default());
-        let (mirrors_sender, mirrors) = watch::channel(Arc::default());
+        let (mirrors_sender, replicas) = watch::channel(Arc::default());
         let (dispatch, handle, messages) =
             Dispatch::new(clock, Arc::clone(&metrics), settings.clone());
         tokio::spawn(dispatch.run(messages));
@@ -126,7 +126,7 @@
             table: table_sender,
             readiness: readiness_sender,
             members: members_sender,
-            mirrors: mirrors_sender,
+            replicas: mirrors_sender,
             dispatch: handle.clone(),
             metrics: Arc::clone(&metrics),
         };
@@ -134,7 +134,7 @@
         let state = State::new(source.clone(), clock, outputs);
         tokio::spawn(state.run(event_receiver));
         let (watching_sender, is_watching) = watch::channel(false);
-        let (served_sender, is_served) = watch::channel(false);
+        let (served_sender, is_store_reachable) = watch::channel(false);
         for topic in Topic::ALL {
             let follow = Follow::new(
                 source.clone(),
@@ -155,8 +155,8 @@
         let inputs = peers::Inputs {
             own: own.clone(),
             members: members.clone(),
-            mirrors,
-            is_served,
+            replicas,
+            is_store_reachable,
         };
         let outputs = peers::Outputs {
             dispatch: handle.clone(),
@@ -367,7 +367,7 @@
     loop {
         time::sleep(INTRODUCTION_PAUSE).await;
         for &address in introducers {
-            match introduction::ask(address).await {
+            match introduction::request(address).await {
                 Ok(introduced) => {
                     logging::event!(info, "introduced", peer = address);
                     return introduced;
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -14,8 +14,8 @@
     dispatch,
     follow::Event,
     metrics::Metrics,
-    mirror::{Mirror, Mirrors},
     readiness::Readiness,
+    replica::{Replica, Replicas},
     roster::{Change, Roster},
     route::Table,
     source::{Directive, Member, Row, Source, Topic},
@@ -33,7 +33,7 @@
     /// Those who need the other routers.
     pub members: watch::Sender<Arc<Vec<Member>>>,
     /// Those who pass rows on to other routers.
-    pub mirrors: watch::Sender<Arc<Mirrors>>,
+    pub replicas: watch::Sender<Arc<Replicas>>,
     /// The task that chooses servers.
     pub dispatch: mpsc::UnboundedSender<dispatch::Message>,
     /// What is counted.
@@ -46,7 +46,7 @@
     source: S,
     clock: Clock,
     outputs: Outputs,
-    mirrors: Mirrors,
+    replicas: Replicas,
     /// The key and the version of the row whose table is in force.
     in_force: Option<(String, u64)>,
     roster: Roster,
@@ -60,7 +60,7 @@
             source,
             clock,
             outputs,
-            mirrors: Mirrors::new(),
+            replicas: Replicas::new(),
             in_force: None,
             roster: Roster::default(),
             readiness: Readiness::default(),
@@ -74,59 +74,62 @@
             let wake = self.clock.at(expiry.unwrap_or(Instant::NEVER));
             tokio::select! {
                 event = events.recv() => match event {
-                    Some(event) => self.take(event),
+                    Some(event) => self.handle(event),
                     None => return,
                 },
-                () = time::sleep_until(wake), if expiry.is_some() => self.expire(),
+                () = time::sleep_until(wake), if expiry.is_some() => self.expire_servers(),
             }
         }
     }
 
     /// Takes in what following the store, or another router, brought.
-    pub fn take(&mut self, event: Event) {
+    pub fn handle(&mut self, event: Event) {
         match event {
             Event::Batch(topic, batch) => {
                 self.outputs.ages.confirm(topic, self.clock.now());
-                self.merge(topic, |mirror| mirror.merge(&batch));
+                self.merge(topic, |replica| replica.merge(&batch));
             }
             Event::Relayed(topic, batch) => {
-                self.merge(topic, |mirror| mirror.merge_passed_on(&batch));
+                self.merge(topic, |replica| replica.merge_relayed(&batch));
             }
-            Event::Returned(Topic::Servers) => {
+            Event::StoreReturned(Topic::Servers) => {
                 logging::event!(info, "servers_may_return");
                 self.roster.store_returned(self.clock.now());
             }
-            Event::Steady => {
-                if self.roster.store_was_steady(self.clock.now()) {
+            Event::StoreStable => {
+                if self.roster.store_was_stable(self.clock.now()) {
                     self.publish_roster();
                 }
             }
-            Event::Returned(_) | Event::Lost(_) => {}
+            Event::StoreReturned(_) | Event::StoreLost(_) => {}
         }
     }
 
-    fn merge(&mut self, topic: Topic, merge: impl FnOnce(&mut Mirror) -> Vec<Row>) {
-        let mirror = self.mirrors.entry(topic).or_default();
-        let newest = mirror.newest();
-        let changed = merge(mirror);
-        if changed.is_empty() && mirror.newest() == newest {
+    fn merge(&mut self, topic: Topic, merge: impl FnOnce(&mut Replica) -> Vec<Row>) {
+        let replica = self.replicas.entry(topic).or_default();
+        let newest = replica.newest();
+        let changed = merge(replica);
+        if changed.is_empty() && replica.newest() == newest {
             return;
         }
         match topic {
             Topic::Configuration => self.publish_configuration(),
-            Topic::Servers => self.register(&changed),
+            Topic::Servers => self.apply_server_rows(&changed),
             Topic::Routers => self.publish_members(),
         }
         self.outputs
-            .mirrors
-            .send_replace(Arc::new(self.mirrors.clone()));
+            .replicas
+            .send_replace(Arc::new(self.replicas.clone()));
     }
 
     fn rows(&self, topic: Topic) -> impl Iterator<Item = &Row> {
-        self.mirrors.get(&topic).into_iter().flat_map(Mirror::rows)
+        self.replicas
+            .get(&topic)
+            .into_iter()
+            .flat_map(Replica::rows)
     }
 
-    fn expire(&mut self) {
+    fn expire_servers(&mut self) {
         if self.roster.expire(self.clock.now()) {
             self.publish_roster();
         }
@@ -152,7 +155,7 @@
             }
         }
         for (row, table) in tables {
-            self.put_in_force(row, table);
+            self.activate(row, table);
         }
         if self.roster.set_evacuated(zones.clone()) {
             let zones: Vec<_> = zones.iter().map(|zone| zone.as_str()).collect();
@@ -167,7 +170,7 @@
         in_force.any(|(key, version)| *key == row.key && *version == row.version)
     }
 
-    fn put_in_force(&mut self, row: Row, table: Box<Table>) {
+    fn activate(&mut self, row: Row, table: Box<Table>) {
         let known = self.in_force.as_ref().map(|(_, version)| *version);
         if known.is_some_and(|known| row.version <= known) {
             return;
@@ -184,15 +187,15 @@
         self.outputs.metrics.set_config(table.version, bytes);
         let table = Arc::from(table);
         let message = dispatch::Message::Table(Arc::clone(&table));
-        tell(&self.outputs.dispatch, message);
+        notify_dispatch(&self.outputs.dispatch, message);
         self.outputs.table.send_replace(Some(table));
     }
 
-    fn register(&mut self, rows: &[Row]) {
+    fn apply_server_rows(&mut self, rows: &[Row]) {
         let now = self.clock.now();
         let mut changed = false;
         for row in rows {
-            let Some(change) = self.entry(row, now) else {
+            let Some(change) = self.server_change(row, now) else {
                 continue;
             };
             let server = change.server().clone();
@@ -211,7 +214,7 @@
         }
     }
 
-    fn entry(&self, row: &Row, now: Instant) -> Option<Change> {
+    fn server_change(&self, row: &Row, now: Instant) -> Option<Change> {
         let server: backend::Server = row.key.parse().ok()?;
         if row.value.is_none() {
             return Some(Change::Absent {
@@ -240,7 +243,7 @@
             usable = self.roster.usable().count()
         );
         let message = dispatch::Message::Roster(Arc::new(self.roster.clone()));
-        tell(&self.outputs.dispatch, message);
+        notify_dispatch(&self.outputs.dispatch, message);
         self.publish_readiness();
     }
 
@@ -259,7 +262,7 @@
         }
         logging::event!(info, "routers_changed", registered = members.len());
         let hosts = members.iter().map(|member| member.host.clone()).collect();
-        tell(&self.outputs.dispatch, dispatch::Message::Members(hosts));
+        notify_dispatch(&self.outputs.dispatch, dispatch::Message::Members(hosts));
         self.outputs.members.send_replace(Arc::new(members));
         self.publish_sizes();
     }
@@ -290,7 +293,10 @@
     }
 }
 
-fn tell(dispatch: &mpsc::UnboundedSender<dispatch::Message>, message: dispatch::Message) {
+fn notify_dispatch(
+    dispatch: &mpsc::UnboundedSender<dispatch::Message>,
+    message: dispatch::Message,
+) {
     // The task ends only with the process.
     drop(dispatch.send(message));
 }
--- a/crates/gateway/tests/decisions/aggregation.rs
+++ b/crates/gateway/tests/decisions/aggregation.rs
@@ -24,10 +24,10 @@
 /// Eighty-five routers have a request or two each at one server. Each alone sees
 /// a server with room, and all together fill it.
 #[test]
-fn loads_of_all_zones_add_up() {
+fn zone_loads_are_summed() {
     let mut aggregator = Sums::default();
     for index in 0..28 {
-        aggregator.told(
+        aggregator.record_router(
             host(&format!("a{index}")),
             vec![load(1, 1), load(2, 2)],
             START,
@@ -36,7 +36,7 @@
     for zone in [7, 8] {
         let loads = vec![load(1, 28)];
         let routers = 28;
-        aggregator.heard(
+        aggregator.record_zone(
             Sum {
                 zone,
                 routers,
@@ -46,22 +46,22 @@
         );
     }
     let own = [load(1, 2)];
-    let sum = aggregator.zone(6, &own, START);
+    let sum = aggregator.zone_sum(6, &own, START);
     assert_eq!(sum.loads, [load(1, 30), load(2, 56)]);
-    let total = aggregator.total(&sum, START);
+    let total = aggregator.fleet_sum(&sum, START);
     assert_eq!(total, [load(1, 86), load(2, 56)]);
-    assert_eq!(sums::without(&total, &own), [load(1, 84), load(2, 56)]);
+    assert_eq!(sums::subtract(&total, &own), [load(1, 84), load(2, 56)]);
 }
 
 /// Three thousand servers do not fit one datagram. Were the sum not told at all,
 /// every router would see only its own requests.
 #[test]
-fn a_sum_over_many_servers_tells_of_the_busiest() {
+fn a_sum_over_many_servers_keeps_the_busiest() {
     let mut aggregator = Sums::default();
     let own: Vec<_> = (0..3000)
         .map(|server| load(server, (server % 700) as u16))
         .collect();
-    let sum = aggregator.zone(6, &own, START);
+    let sum = aggregator.zone_sum(6, &own, START);
     let least = sum.loads.iter().map(|load| load.running).min();
     assert!(least >= Some(600), "{least:?}");
     let frame = Frame::Sum {
@@ -74,9 +74,9 @@
     let total = Total {
         aggregator: u32::MAX,
         routers: u16::MAX,
-        loads: Teller::default().next(&aggregator.total(&sum, START), START),
+        loads: Teller::default().next(&aggregator.fleet_sum(&sum, START), START),
         reads: Vec::new(),
-        others: vec![u32::MAX; 10],
+        relay_to: vec![u32::MAX; 10],
     };
     assert!(Frame::Total(total).encode().is_ok());
 }
@@ -85,8 +85,8 @@
 /// tell the whole fleet; if they were not, every router would have to meet the
 /// server three times to learn it.
 #[test]
-fn failures_of_all_routers_add_up() {
-    let seen = |failed| Load {
+fn failures_of_all_routers_are_summed() {
+    let with_failures = |failed| Load {
         ends: Ends {
             failed,
             completed: 0,
@@ -95,21 +95,21 @@
     };
     let mut aggregator = Sums::default();
     for index in 0..28 {
-        aggregator.told(host(&format!("a{index}")), vec![seen(16)], START);
+        aggregator.record_router(host(&format!("a{index}")), vec![with_failures(16)], START);
     }
-    let own = [seen(16)];
-    let sum = aggregator.zone(6, &own, START);
-    let total = aggregator.total(&sum, START);
-    assert_eq!(total, [seen(29 * 16)]);
-    assert_eq!(sums::without(&total, &own), [seen(28 * 16)]);
+    let own = [with_failures(16)];
+    let sum = aggregator.zone_sum(6, &own, START);
+    let total = aggregator.fleet_sum(&sum, START);
+    assert_eq!(total, [with_failures(29 * 16)]);
+    assert_eq!(sums::subtract(&total, &own), [with_failures(28 * 16)]);
 }
 
 /// A router died, or a zone is cut off. What it told last must not count for ever.
 #[test]
-fn old_loads_do_not_count() {
+fn expired_loads_are_ignored() {
     let mut aggregator = Sums::default();
-    aggregator.told(host("a1"), vec![load(1, 9)], START);
-    aggregator.heard(
+    aggregator.record_router(host("a1"), vec![load(1, 9)], START);
+    aggregator.record_zone(
         Sum {
             zone: 7,
             routers: 1,
@@ -118,8 +118,8 @@
         START,
     );
     let later = START + Duration::from_secs(1);
-    let sum = aggregator.zone(6, &[], later);
-    assert_eq!(aggregator.total(&sum, later), []);
+    let sum = aggregator.zone_sum(6, &[], later);
+    assert_eq!(aggregator.fleet_sum(&sum, later), []);
 }
 
 fn ended(server: u32, failed: u16, completed: u16) -> Load {
@@ -132,17 +132,17 @@
 /// A server fails a request. Told only with the next whole report, callers would
 /// meet it for two seconds longer.
 #[test]
-fn new_failures_are_told_at_once() {
-    let mut teller = Teller::default();
-    let mut heard = Heard::default();
-    let calm = [ended(1, 0, 160), ended(2, 0, 160)];
-    assert_eq!(heard.take(teller.next(&calm, START)), calm);
-    let soon = START + Duration::from_millis(200);
+fn new_failures_are_reported_at_once() {
+    let mut reporter = Teller::default();
+    let mut received = Heard::default();
+    let before = [ended(1, 0, 160), ended(2, 0, 160)];
+    assert_eq!(received.take(reporter.next(&before, START)), before);
+    let first_round = START + Duration::from_millis(200);
     let failing = [ended(1, 16, 150), ended(2, 0, 150)];
-    let news = teller.next(&failing, soon);
-    assert_eq!(heard.take(news), [ended(1, 16, 150), ended(2, 0, 160)]);
-    let next = soon + Duration::from_millis(200);
-    let Report::Change { ends, .. } = teller.next(&failing, next) else {
+    let change = reporter.next(&failing, first_round);
+    assert_eq!(received.take(change), [ended(1, 16, 150), ended(2, 0, 160)]);
+    let next = first_round + Duration::from_millis(200);
+    let Report::Change { ends, .. } = reporter.next(&failing, next) else {
         panic!("a whole report so soon");
     };
     assert_eq!(ends, [], "it has been told");
@@ -151,15 +151,15 @@
 /// The datagram that told of a failure is lost, and one that told that a server
 /// has no requests any more.
 #[test]
-fn a_whole_report_makes_up_for_lost_ones() {
-    let mut teller = Teller::default();
-    let mut heard = Heard::default();
-    heard.take(teller.next(&[load(1, 3)], START));
-    let lost = teller.next(&[ended(2, 32, 0)], START + Duration::from_millis(200));
+fn a_full_report_recovers_from_lost_ones() {
+    let mut reporter = Teller::default();
+    let mut received = Heard::default();
+    received.take(reporter.next(&[load(1, 3)], START));
+    let lost = reporter.next(&[ended(2, 32, 0)], START + Duration::from_millis(200));
     drop(lost);
     let now = [ended(2, 32, 0)];
-    let whole = teller.next(&now, START + Duration::from_secs(2));
-    assert_eq!(heard.take(whole), now);
+    let whole = reporter.next(&now, START + Duration::from_secs(2));
+    assert_eq!(received.take(whole), now);
 }
 
 proptest! {
@@ -167,14 +167,14 @@
 
     /// Whatever the hashes of servers are, those in flight arrive as they were told.
     #[test]
-    fn requests_in_flight_arrive_as_told(
+    fn reported_requests_in_flight_round_trip(
         running in proptest::collection::btree_map(0_u32..1 << 24, 1_u16..500, 0..80),
     ) {
         let loads: Vec<_> = running.into_iter().map(|(server, running)| load(server, running)).collect();
-        let mut teller = Teller::default();
-        let mut heard = Heard::default();
-        heard.take(teller.next(&[], START));
-        let report = teller.next(&loads, START);
+        let mut reporter = Teller::default();
+        let mut received = Heard::default();
+        received.take(reporter.next(&[], START));
+        let report = reporter.next(&loads, START);
         let frame = Frame::Loads {
             loads: report,
             reads: Vec::new(),
@@ -182,7 +182,7 @@
         let Ok(Frame::Loads { loads: report, .. }) = Frame::decode(&frame.encode().expect("it fits")) else {
             panic!("another frame");
         };
-        prop_assert_eq!(heard.take(report), loads);
+        prop_assert_eq!(received.take(report), loads);
     }
 }
 
@@ -206,7 +206,7 @@
     for _ in 0..6 {
         now = now + Duration::from_millis(200);
         if let Some(alive) = alive {
-            aggregators.heard(sums::hash(alive.as_str()), now);
+            aggregators.sum_received(sums::hash(alive.as_str()), now);
         }
         chosen = choose(&mut aggregators, now);
     }
@@ -222,7 +222,7 @@
 /// Sums are sent through routers of which some have died. Those behind them
 /// would hear no sum at all.
 #[test]
-fn sums_are_passed_on_by_routers_that_are_alive() {
+fn sums_are_relayed_by_live_routers() {
     let members = registered(27);
     let all: Vec<&Member> = members.iter().collect();
     let alive: BTreeSet<host::Id> = members[9..]
@@ -234,23 +234,23 @@
         let relays = relays(&all, &alive, round);
         let mut reached: Vec<u32> = Vec::new();
         for relay in &relays {
-            assert!(relay.others.is_empty() || alive.contains(&relay.member.host));
+            assert!(relay.targets.is_empty() || alive.contains(&relay.member.host));
             assert!(
-                relay.others.len() <= 5,
+                relay.targets.len() <= 5,
                 "{} are passed on to",
-                relay.others.len()
+                relay.targets.len()
             );
             reached.push(sums::hash(relay.member.host.as_str()));
-            reached.extend(&relay.others);
+            reached.extend(&relay.targets);
             first.insert(relay.member.host.clone());
         }
         reached.sort_unstable();
-        let mut wanted: Vec<_> = all
+        let mut expected: Vec<_> = all
             .iter()
             .map(|member| sums::hash(member.host.as_str()))
             .collect();
-        wanted.sort_unstable();
-        assert_eq!(reached, wanted, "each is reached once");
+        expected.sort_unstable();
+        assert_eq!(reached, expected, "each is reached once");
         assert!(relays.len() <= 5, "{} are sent to", relays.len());
     }
     assert_eq!(first.len(), 18, "all that are alive take their turns");
@@ -259,7 +259,7 @@
 /// A router is taken for dead by the others of its zone, which tell it nothing,
 /// and still adds up. Its sum would hide nearly all requests of the zone.
 #[test]
-fn a_partial_sum_does_not_count() {
+fn partial_sums_are_ignored() {
     let sum = |routers, running| Sum {
         zone: 7,
         routers,
@@ -270,15 +270,15 @@
         ..sum(1, 1)
     };
     let mut aggregator = Sums::default();
-    aggregator.heard(sum(28, 60), START);
-    aggregator.heard(sum(3, 5), START);
-    assert_eq!(aggregator.total(&own, START), [load(1, 61)]);
-    aggregator.heard(sum(20, 40), START);
-    assert_eq!(aggregator.total(&own, START), [load(1, 41)]);
+    aggregator.record_zone(sum(28, 60), START);
+    aggregator.record_zone(sum(3, 5), START);
+    assert_eq!(aggregator.fleet_sum(&own, START), [load(1, 61)]);
+    aggregator.record_zone(sum(20, 40), START);
+    assert_eq!(aggregator.fleet_sum(&own, START), [load(1, 41)]);
     let later = START + Duration::from_secs(1);
-    aggregator.heard(sum(3, 5), later);
+    aggregator.record_zone(sum(3, 5), later);
     assert_eq!(
-        aggregator.total(&own, later),
+        aggregator.fleet_sum(&own, later),
         [load(1, 6)],
         "nobody else is left"
     );
--- a/crates/gateway/tests/decisions/configurations.rs
+++ b/crates/gateway/tests/decisions/configurations.rs
@@ -4,8 +4,8 @@
 
 use gateway::{
     peers::{
-        Digest, FAN_OUT, INTERVAL, Origin, Part, QUIET_FAN_OUT, Roll, Versions, WATCHERS, fetch,
-        turn,
+        Digest, FAN_OUT, INTERVAL, Part, PeerTable, QUIET_FAN_OUT, StoreFallback, Versions,
+        WATCHERS, fetch, gossip_targets,
     },
     source::Member,
 };
@@ -18,15 +18,15 @@
 /// The step of the simulated time.
 const STEP: Duration = Duration::from_millis(5);
 /// The share of datagrams that are lost.
-const LOST: f64 = 0.02;
+const LOSS_RATE: f64 = 0.02;
 /// What a link of 10 Mbit/s carries.
 const LINK_BYTES_PER_S: f64 = 1_250_000.0;
 /// In force everywhere by then, counted from when those that watch the store know it.
-const IN_FORCE: Duration = Duration::from_secs(4);
+const MAX_PROPAGATION: Duration = Duration::from_secs(4);
 /// Reads of the store beside those that watch it, whatever the size of the fleet.
-const MOST_STORE_READS: usize = 2 * WATCHERS;
+const MAX_STORE_READS: usize = 2 * WATCHERS;
 /// How long a router counts as heard.
-const HEARD: Duration = Duration::from_secs(60);
+const PEER_TIMEOUT: Duration = Duration::from_secs(60);
 
 const OLD: u64 = 1;
 const NEW: u64 = 2;
@@ -39,15 +39,15 @@
 }
 
 struct Router {
-    knows: bool,
+    is_up_to_date: bool,
     is_up: bool,
-    roll: Roll,
-    origin: Origin,
+    table: PeerTable,
+    store_fallback: StoreFallback,
     transfer: Option<Transfer>,
     /// When it asks again after a router that was busy.
-    asks_at: Option<Instant>,
-    has_news: bool,
-    told: usize,
+    retry_at: Option<Instant>,
+    has_update: bool,
+    gossip_offset: usize,
 }
 
 struct Fleet {
@@ -86,14 +86,14 @@
     fn new(count: usize, bytes: f64, seed: u64) -> Self {
         let members = registered(count);
         let routers = (0..count).map(|index| Router {
-            knows: index % (count / WATCHERS) == 0,
+            is_up_to_date: index % (count / WATCHERS) == 0,
             is_up: true,
-            roll: Roll::default(),
-            origin: Origin::default(),
+            table: PeerTable::default(),
+            store_fallback: StoreFallback::default(),
             transfer: None,
-            asks_at: None,
-            has_news: true,
-            told: index,
+            retry_at: None,
+            has_update: true,
+            gossip_offset: index,
         });
         Self {
             positions: members
@@ -110,9 +110,9 @@
         }
     }
 
-    fn all_know(&self) -> bool {
+    fn all_up_to_date(&self) -> bool {
         let mut up = self.routers.iter().filter(|router| router.is_up);
-        up.all(|router| router.knows)
+        up.all(|router| router.is_up_to_date)
     }
 
     fn kill(&mut self, index: usize) {
@@ -121,34 +121,42 @@
             let transfer = self.routers[other].transfer;
             if transfer.is_some_and(|transfer| transfer.from == index) {
                 self.routers[other].transfer = None;
-                self.failed(other, index);
+                self.fetch_failed(other, index);
             }
         }
     }
 
-    fn failed(&mut self, asking: usize, asked: usize) {
-        self.routers[asking].roll.forget(address(asked));
-        self.routers[asking].origin.peer_failed();
-        self.catch_up(asking);
+    fn fetch_failed(&mut self, requester: usize, responder: usize) {
+        self.routers[requester]
+            .table
+            .mark_failed(address(responder));
+        self.routers[requester].store_fallback.peer_failed();
+        self.catch_up(requester);
     }
 
-    fn tell(&mut self, index: usize, most: usize) {
-        let told = self.routers[index].told;
-        self.routers[index].told += most;
+    fn gossip(&mut self, index: usize, count: usize) {
+        let gossip_offset = self.routers[index].gossip_offset;
+        self.routers[index].gossip_offset += count;
         let own = self.members[index].host.clone();
-        let version = if self.routers[index].knows { NEW } else { OLD };
+        let version = if self.routers[index].is_up_to_date {
+            NEW
+        } else {
+            OLD
+        };
         let digest = Digest::new(own.clone(), versions(version), true, Vec::new(), Vec::new());
-        let targets = turn(&self.members, &own, told, most);
+        let targets = gossip_targets(&self.members, &own, gossip_offset, count);
         let targets: Vec<_> = targets
             .iter()
             .map(|target| self.positions[&target.host])
             .collect();
         for target in targets {
-            if self.random.random_bool(LOST) || !self.routers[target].is_up {
+            if self.random.random_bool(LOSS_RATE) || !self.routers[target].is_up {
                 continue;
             }
             let (now, from) = (self.now, address(index));
-            self.routers[target].roll.heard(&digest, from, now, HEARD);
+            self.routers[target]
+                .table
+                .record(&digest, from, now, PEER_TIMEOUT);
             self.catch_up(target);
         }
     }
@@ -157,43 +165,51 @@
         let now = self.now;
         let random = self.random.random::<u32>() as usize;
         let router = &mut self.routers[index];
-        if router.knows || router.roll.newest_configuration() < NEW {
+        if router.is_up_to_date || router.table.newest_configuration() < NEW {
             return;
         }
-        if router.transfer.is_none() && router.asks_at.is_none() {
+        if router.transfer.is_none() && router.retry_at.is_none() {
             let own = versions(OLD);
-            let far = |_: &host::Id| false;
-            let ahead = router
-                .roll
-                .ahead(Part::Configuration, own, false, far, random, now);
-            if let Some(asked) = ahead {
-                self.ask(index, self::index(asked));
+            let none_in_same_zone = |_: &host::Id| false;
+            let ahead = router.table.select_ahead(
+                Part::Configuration,
+                own,
+                false,
+                none_in_same_zone,
+                random,
+                now,
+            );
+            if let Some(responder) = ahead {
+                self.fetch(index, self::index(responder));
             }
         }
         let is_answering = self.routers[index].transfer.is_some();
-        if self.routers[index].origin.is_store_due(is_answering, now) {
+        if self.routers[index]
+            .store_fallback
+            .is_store_due(is_answering, now)
+        {
             self.store_reads += 1;
-            self.routers[index].origin.store_failed(now);
+            self.routers[index].store_fallback.store_failed(now);
         }
     }
 
-    fn ask(&mut self, asking: usize, asked: usize) {
-        if !self.routers[asked].is_up {
-            self.failed(asking, asked);
+    fn fetch(&mut self, requester: usize, responder: usize) {
+        if !self.routers[responder].is_up {
+            self.fetch_failed(requester, responder);
             return;
         }
-        if self.answers(asked) >= fetch::MOST_LARGE {
+        if self.active_transfers(responder) >= fetch::MAX_LARGE_RESPONSES {
             let pause = Duration::from_millis(self.random.random_range(70..140));
-            self.routers[asking].asks_at = Some(self.now + pause);
+            self.routers[requester].retry_at = Some(self.now + pause);
             return;
         }
-        self.routers[asking].transfer = Some(Transfer {
-            from: asked,
+        self.routers[requester].transfer = Some(Transfer {
+            from: responder,
             bytes: self.bytes,
         });
     }
 
-    fn answers(&self, index: usize) -> usize {
+    fn active_transfers(&self, index: usize) -> usize {
         let transfers = self.routers.iter().filter_map(|router| router.transfer);
         transfers.filter(|transfer| transfer.from == index).count()
     }
@@ -204,7 +220,7 @@
         for transfer in self.routers.iter().filter_map(|router| router.transfer) {
             *sharing.entry(transfer.from).or_default() += 1.0;
         }
-        let is_round = self
+        let is_gossip_round = self
             .now
             .since(START)
             .as_millis()
@@ -213,25 +229,28 @@
             if !self.routers[index].is_up {
                 continue;
             }
-            self.carry(index, &sharing);
-            if self.routers[index].asks_at.is_some_and(|at| at <= self.now) {
-                self.routers[index].asks_at = None;
+            self.advance_transfer(index, &sharing);
+            if self.routers[index]
+                .retry_at
+                .is_some_and(|at| at <= self.now)
+            {
+                self.routers[index].retry_at = None;
                 self.catch_up(index);
             }
-            let has_news = self.routers[index].knows && self.routers[index].has_news;
-            if has_news {
-                self.routers[index].has_news = false;
-                self.tell(index, FAN_OUT);
-            } else if is_round {
-                self.tell(index, QUIET_FAN_OUT);
+            let has_update = self.routers[index].is_up_to_date && self.routers[index].has_update;
+            if has_update {
+                self.routers[index].has_update = false;
+                self.gossip(index, FAN_OUT);
+            } else if is_gossip_round {
+                self.gossip(index, QUIET_FAN_OUT);
             }
-            if is_round {
+            if is_gossip_round {
                 self.catch_up(index);
             }
         }
     }
 
-    fn carry(&mut self, index: usize, sharing: &HashMap<usize, f64>) {
+    fn advance_transfer(&mut self, index: usize, sharing: &HashMap<usize, f64>) {
         let router = &mut self.routers[index];
         let Some(transfer) = &mut router.transfer else {
             return;
@@ -240,13 +259,13 @@
         transfer.bytes -= rate * STEP.as_secs_f64();
         if transfer.bytes <= 0.0 {
             router.transfer = None;
-            router.knows = true;
+            router.is_up_to_date = true;
         }
     }
 
     /// Runs until all know the configuration, or for too long.
     fn run(&mut self) -> Duration {
-        while !self.all_know() && self.now.since(START) < IN_FORCE * 4 {
+        while !self.all_up_to_date() && self.now.since(START) < MAX_PROPAGATION * 4 {
             self.step();
         }
         self.now.since(START)
@@ -265,29 +284,29 @@
     for seed in 0..3 {
         let mut fleet = Fleet::new(count, bytes, seed);
         let taken = fleet.run();
-        assert!(taken < IN_FORCE, "seed {seed}: {taken:?}");
+        assert!(taken < MAX_PROPAGATION, "seed {seed}: {taken:?}");
         let reads = fleet.store_reads;
-        assert!(reads <= MOST_STORE_READS, "seed {seed}: {reads}");
+        assert!(reads <= MAX_STORE_READS, "seed {seed}: {reads}");
     }
 }
 
 /// The same where three of those that read it from the store die while they pass it on.
 #[parameterized(today = { 85 }, planned = { 1000 })]
-fn a_configuration_reaches_all_though_readers_die(count: usize) {
+fn a_configuration_reaches_all_when_watchers_die(count: usize) {
     for seed in 0..3 {
         let mut fleet = Fleet::new(count, 80_000.0, seed);
         for _ in 0..20 {
             fleet.step();
         }
-        let readers: Vec<usize> = (0..count)
+        let watchers: Vec<usize> = (0..count)
             .filter(|index| index % (count / WATCHERS) == 0)
             .collect();
-        for &reader in &readers[..3] {
-            fleet.kill(reader);
+        for &watcher in &watchers[..3] {
+            fleet.kill(watcher);
         }
         let taken = fleet.run();
-        assert!(taken < IN_FORCE, "seed {seed}: {taken:?}");
+        assert!(taken < MAX_PROPAGATION, "seed {seed}: {taken:?}");
         let reads = fleet.store_reads;
-        assert!(reads <= MOST_STORE_READS, "seed {seed}: {reads}");
+        assert!(reads <= MAX_STORE_READS, "seed {seed}: {reads}");
     }
 }
--- a/crates/gateway/tests/decisions/explore.rs
+++ b/crates/gateway/tests/decisions/explore.rs
@@ -10,7 +10,7 @@
 use gateway::{
     budget::{Allowance, Budget},
     fence::{self, Bound, Fence},
-    mirror::Mirror,
+    replica::Replica,
     source::{Batch, Row},
 };
 use units::{backend, host, time::Instant};
@@ -27,12 +27,12 @@
     check: impl Fn(&S),
 ) -> usize {
     let mut seen = HashSet::from([key(&start)]);
-    let mut open = VecDeque::from([start]);
-    while let Some(state) = open.pop_front() {
+    let mut frontier = VecDeque::from([start]);
+    while let Some(state) = frontier.pop_front() {
         check(&state);
         for state in next(&state) {
             if seen.insert(key(&state)) {
-                open.push_back(state);
+                frontier.push_back(state);
             }
         }
     }
@@ -40,7 +40,11 @@
 }
 
 /// All ways in which two routers may act in one step.
-fn pairs<S: Clone, E: Copy>(state: &S, events: &[E], apply: impl Fn(&mut S, usize, E)) -> Vec<S> {
+fn joint_steps<S: Clone, E: Copy>(
+    state: &S,
+    events: &[E],
+    apply: impl Fn(&mut S, usize, E),
+) -> Vec<S> {
     let mut states = Vec::new();
     for &first in events {
         for &second in events {
@@ -72,7 +76,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct Cold {
+struct ColdStart {
     step: usize,
     /// How many registrations each router knows; the first is that of router 0.
     known: [usize; 2],
@@ -82,7 +86,7 @@
     sent: VecDeque<u8>,
 }
 
-impl Cold {
+impl ColdStart {
     fn now(&self) -> Instant {
         START + STEP * u32::try_from(self.step).expect("a short run")
     }
@@ -106,7 +110,7 @@
         let now = self.now();
         let known: Vec<host::Id> = members(self.known[router]);
         let own = host(&format!("r{router}"));
-        let share = fence::share(BOUND, &own, &known, &favourite());
+        let share = fence::share(BOUND, &own, &known, &server_led_by_router_1());
         if let Some(share) = share.filter(|_| self.fences[router].is_open(now)) {
             self.fences[router].pass(share, now);
             *self.sent.back_mut().expect("this step") += 1;
@@ -129,7 +133,7 @@
 
 /// A server that router 1 sends to before router 0 does, which registers first:
 /// until it knows itself registered, only that keeps it from sending, too.
-fn favourite() -> backend::Server {
+fn server_led_by_router_1() -> backend::Server {
     let one_only = Bound {
         rate: 1.0,
         most: 1.0,
@@ -151,8 +155,8 @@
 /// in any order of that they send too much, the server falls over, and all its
 /// callers get nothing.
 #[test]
-fn two_routers_never_flood_a_cold_server() {
-    let start = Cold {
+fn two_routers_never_exceed_the_slow_start_limit() {
+    let start = ColdStart {
         step: 0,
         known: [0, 0],
         fences: [Fence::default(); 2],
@@ -160,7 +164,7 @@
         sent: VecDeque::from([0; SECOND]),
     };
     let events = [Event::Idle, Event::Send, Event::Learn, Event::Restart];
-    let next = |state: &Cold| {
+    let next = |state: &ColdStart| {
         if state.step >= SECOND {
             return Vec::new();
         }
@@ -168,9 +172,9 @@
         state.step += 1;
         state.sent.pop_front();
         state.sent.push_back(0);
-        pairs(&state, &events, Cold::apply)
+        joint_steps(&state, &events, ColdStart::apply)
     };
-    let states = explore(start, Cold::key, next, |state| {
+    let states = explore(start, ColdStart::key, next, |state| {
         let sent: u32 = state.sent.iter().copied().map(u32::from).sum();
         assert!(f64::from(sent) <= BOUND.most, "{state:?}");
     });
@@ -178,12 +182,12 @@
 }
 
 #[derive(Clone, Debug)]
-struct Repeats {
+struct Retries {
     step: u32,
     budgets: [Budget; 2],
     /// First arrivals and repeats so far.
     arrivals: u32,
-    repeats: u32,
+    retries: u32,
     restarts: u8,
 }
 
@@ -198,15 +202,15 @@
 /// again with a budget that knows nothing of before. If together they repeat
 /// more, a service in trouble gets the more work the worse it is off.
 #[test]
-fn two_routers_never_repeat_more_than_allowed() {
-    let start = Repeats {
+fn two_routers_never_exceed_the_retry_budget() {
+    let start = Retries {
         step: 0,
         budgets: [0, 1].map(|_| Budget::new(ALLOWANCE, 2, START)),
         arrivals: 0,
-        repeats: 0,
+        retries: 0,
         restarts: 0,
     };
-    let next = |state: &Repeats| {
+    let next = |state: &Retries| {
         if state.step >= 6 {
             return Vec::new();
         }
@@ -221,7 +225,7 @@
                         state.budgets[router].first_arrival(2);
                         state.arrivals += 1;
                     }
-                    1 => state.repeats += u32::from(state.budgets[router].take(2, now)),
+                    1 => state.retries += u32::from(state.budgets[router].take(2, now)),
                     _ if state.restarts == 0 => {
                         state.restarts = 1;
                         state.budgets[router] = Budget::new(ALLOWANCE, 2, now);
@@ -233,41 +237,41 @@
         }
         states
     };
-    let key = |state: &Repeats| format!("{state:?}");
+    let key = |state: &Retries| format!("{state:?}");
     let states = explore(start, key, next, |state| {
         let allowed = ALLOWANCE.ratio * f64::from(state.arrivals) + ALLOWANCE.burst;
-        assert!(f64::from(state.repeats) <= allowed, "{state:?}");
+        assert!(f64::from(state.retries) <= allowed, "{state:?}");
     });
     assert!(states > 1_000, "{states}");
 }
 
 /// The newest version that the store holds in the exploration.
-const NEWEST: u64 = 3;
+const LATEST_VERSION: u64 = 3;
 
 #[derive(Clone, Debug)]
-struct Rows {
+struct ReplicaState {
     stored: u64,
-    mirrors: [Mirror; 2],
+    replicas: [Replica; 2],
     /// Whether a version was ever in force that is older than the one before it.
-    has_reverted: bool,
+    has_rolled_back: bool,
     restarts: u8,
 }
 
-impl Rows {
+impl ReplicaState {
     fn in_force(&self, router: usize) -> u64 {
-        let rows = self.mirrors[router].rows();
+        let rows = self.replicas[router].rows();
         rows.map(|row| row.version).max().unwrap_or(0)
     }
 
-    fn take(&mut self, router: usize, batch: &Batch) {
+    fn merge(&mut self, router: usize, batch: &Batch) {
         let before = self.in_force(router);
-        self.mirrors[router].merge(batch);
-        self.has_reverted |= self.in_force(router) < before;
+        self.replicas[router].merge(batch);
+        self.has_rolled_back |= self.in_force(router) < before;
     }
 
     fn key(&self) -> impl Hash + Eq + use<> {
-        let rows = [0, 1].map(|router| (self.in_force(router), self.mirrors[router].newest()));
-        (self.stored, rows, self.has_reverted, self.restarts)
+        let rows = [0, 1].map(|router| (self.in_force(router), self.replicas[router].newest()));
+        (self.stored, rows, self.has_rolled_back, self.restarts)
     }
 }
 
@@ -280,7 +284,7 @@
     Batch {
         rows: vec![row],
         version,
-        is_whole: true,
+        is_snapshot: true,
     }
 }
 
@@ -289,45 +293,45 @@
 /// that is in force ever gave way to an older one, a key that was taken away
 /// would be good again.
 #[test]
-fn two_routers_never_go_back_to_an_older_configuration() {
-    let start = Rows {
+fn two_routers_never_roll_back_a_configuration() {
+    let start = ReplicaState {
         stored: 1,
-        mirrors: [Mirror::default(), Mirror::default()],
-        has_reverted: false,
+        replicas: [Replica::default(), Replica::default()],
+        has_rolled_back: false,
         restarts: 0,
     };
-    let next = |state: &Rows| {
+    let next = |state: &ReplicaState| {
         let mut states = Vec::new();
-        let mut push = |change: &dyn Fn(&mut Rows)| {
+        let mut push = |change: &dyn Fn(&mut ReplicaState)| {
             let mut state = state.clone();
             change(&mut state);
             states.push(state);
         };
-        push(&|state| state.stored = (state.stored + 1).min(NEWEST));
+        push(&|state| state.stored = (state.stored + 1).min(LATEST_VERSION));
         for router in 0..2 {
             for version in 1..=state.stored {
-                push(&|state| state.take(router, &read(version)));
+                push(&|state| state.merge(router, &read(version)));
             }
-            for known in 0..=NEWEST {
+            for known in 0..=LATEST_VERSION {
                 push(&|state| {
-                    let batch = state.mirrors[1 - router].since(known);
-                    state.take(router, &batch);
+                    let batch = state.replicas[1 - router].since(known);
+                    state.merge(router, &batch);
                 });
             }
             if state.restarts == 0 {
                 push(&|state| {
                     state.restarts = 1;
-                    state.mirrors[router] = Mirror::default();
+                    state.replicas[router] = Replica::default();
                 });
             }
         }
         states
     };
-    let states = explore(start, Rows::key, next, |state| {
-        assert!(!state.has_reverted, "{state:?}");
+    let states = explore(start, ReplicaState::key, next, |state| {
+        assert!(!state.has_rolled_back, "{state:?}");
         // Whatever happened, one fresh read brings a router up to date.
         let mut state = state.clone();
-        state.take(0, &read(state.stored));
+        state.merge(0, &read(state.stored));
         assert_eq!(state.in_force(0), state.stored);
     });
     assert!(states > 50, "{states}");
@@ -335,7 +339,7 @@
 
 /// The exploration itself: a bound that is too small is seen to be broken.
 #[test]
-fn the_exploration_finds_what_can_happen() {
+fn the_exploration_reaches_every_state() {
     let next = |state: &BTreeMap<u8, u8>| {
         let mut states = Vec::new();
         for counter in 0..2 {
@@ -346,10 +350,10 @@
         }
         states
     };
-    let most = std::cell::Cell::new(0);
+    let highest = std::cell::Cell::new(0);
     let states = explore(BTreeMap::new(), BTreeMap::clone, next, |state| {
-        most.set(most.get().max(state.values().sum()));
+        highest.set(highest.get().max(state.values().sum()));
     });
-    assert_eq!(most.get(), 6);
+    assert_eq!(highest.get(), 6);
     assert_eq!(states, 16);
 }
--- a/crates/gateway/tests/decisions/reads.rs
+++ b/crates/gateway/tests/decisions/reads.rs
@@ -156,11 +156,11 @@
         routers: u16::MAX,
         loads: gateway::load::Report::Whole(loads.collect()),
         reads: reads.news(START),
-        others: vec![u32::MAX; 10],
+        relay_to: vec![u32::MAX; 10],
     };
     let frame = Frame::Total(total);
     assert!(frame.encode().is_err());
-    let Ok(Frame::Total(told)) = Frame::decode(&frame.encode_fitting().expect("it fits")) else {
+    let Ok(Frame::Total(told)) = Frame::decode(&frame.encode_truncated().expect("it fits")) else {
         panic!("another frame");
     };
     let gateway::load::Report::Whole(loads) = told.loads else {
@@ -185,9 +185,9 @@
             ends: Vec::new(),
         },
         reads: reads.news(START),
-        others: vec![u32::MAX; 6],
+        relay_to: vec![u32::MAX; 6],
     };
-    let bytes = Frame::Total(total).encode_fitting().expect("it fits");
+    let bytes = Frame::Total(total).encode_truncated().expect("it fits");
     let Ok(Frame::Total(told)) = Frame::decode(&bytes) else {
         panic!("another frame");
     };
--- a/crates/gateway/tests/decisions/mirror.rs
+++ b/crates/gateway/tests/decisions/replica.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use gateway::{
-    mirror::Mirror,
+    replica::Replica,
     source::{Batch, Row},
 };
 
@@ -14,11 +14,11 @@
     }
 }
 
-fn batch(rows: Vec<Row>, version: u64, is_whole: bool) -> Batch {
+fn batch(rows: Vec<Row>, version: u64, is_snapshot: bool) -> Batch {
     Batch {
         rows,
         version,
-        is_whole,
+        is_snapshot,
     }
 }
 
@@ -27,105 +27,105 @@
 /// works again.
 #[test]
 fn an_older_row_never_replaces_a_newer_one() {
-    let mut mirror = Mirror::default();
-    mirror.merge(&batch(vec![row("config", 7, Some("new"))], 7, false));
+    let mut replica = Replica::default();
+    replica.merge(&batch(vec![row("config", 7, Some("new"))], 7, false));
     let stale = batch(vec![row("config", 5, Some("old"))], 9, true);
-    assert_eq!(mirror.merge(&stale), []);
-    assert_eq!(mirror.rows().next().unwrap().version, 7);
+    assert_eq!(replica.merge(&stale), []);
+    assert_eq!(replica.rows().next().unwrap().version, 7);
 }
 
 /// The history is gone, so a change that was missed shows only by the absence
 /// of its row in a whole read.
 #[test]
-fn a_row_that_a_whole_read_lacks_is_gone() {
-    let mut mirror = Mirror::default();
+fn a_row_missing_from_a_snapshot_is_removed() {
+    let mut replica = Replica::default();
     let rows = vec![row("a", 1, Some("x")), row("b", 2, Some("y"))];
-    mirror.merge(&batch(rows, 2, true));
-    let changed = mirror.merge(&batch(vec![row("b", 2, Some("y"))], 9, true));
+    replica.merge(&batch(rows, 2, true));
+    let changed = replica.merge(&batch(vec![row("b", 2, Some("y"))], 9, true));
     assert_eq!(changed, [row("a", 9, None)]);
 }
 
 /// Guards against routers that ask others for ever for a removal that they know of by a whole read.
 #[test]
-fn a_router_that_read_a_removal_is_not_behind() {
-    let mut watcher = Mirror::default();
-    let mut reader = Mirror::default();
-    for mirror in [&mut watcher, &mut reader] {
-        mirror.merge(&batch(vec![row("a", 1, Some("x"))], 1, true));
+fn a_removal_learned_from_a_snapshot_is_not_fetched_again() {
+    let mut watcher = Replica::default();
+    let mut reader = Replica::default();
+    for replica in [&mut watcher, &mut reader] {
+        replica.merge(&batch(vec![row("a", 1, Some("x"))], 1, true));
     }
     watcher.merge(&batch(vec![row("a", 3, None)], 3, false));
     reader.merge(&batch(Vec::new(), 4, true));
-    reader.merge_passed_on(&watcher.since(reader.newest()));
+    reader.merge_relayed(&watcher.since(reader.newest()));
     assert!(reader.newest() >= watcher.newest(), "it would ask again");
-    watcher.merge_passed_on(&reader.since(watcher.newest()));
+    watcher.merge_relayed(&reader.since(watcher.newest()));
     assert_eq!(watcher.newest(), reader.newest(), "nor is the other behind");
 }
 
 /// The same read, but stale: it was made before the row was written.
 #[test]
-fn a_row_newer_than_a_whole_read_stays() {
-    let mut mirror = Mirror::default();
-    mirror.merge(&batch(vec![row("a", 8, Some("x"))], 8, false));
-    assert_eq!(mirror.merge(&batch(Vec::new(), 6, true)), []);
-    assert_eq!(mirror.rows().count(), 1);
+fn a_row_newer_than_a_snapshot_is_kept() {
+    let mut replica = Replica::default();
+    replica.merge(&batch(vec![row("a", 8, Some("x"))], 8, false));
+    assert_eq!(replica.merge(&batch(Vec::new(), 6, true)), []);
+    assert_eq!(replica.rows().count(), 1);
 }
 
 #[test]
-fn changes_are_passed_on_with_their_removals() {
-    let mut mirror = Mirror::default();
+fn changes_are_relayed_with_tombstones() {
+    let mut replica = Replica::default();
     let rows = vec![row("a", 1, Some("x")), row("b", 2, Some("y"))];
-    mirror.merge(&batch(rows, 2, false));
-    mirror.merge(&batch(vec![row("a", 3, None)], 3, false));
-    let mut other = Mirror::default();
+    replica.merge(&batch(rows, 2, false));
+    replica.merge(&batch(vec![row("a", 3, None)], 3, false));
+    let mut other = Replica::default();
     other.merge(&batch(vec![row("a", 1, Some("x"))], 1, false));
-    let changed = other.merge_passed_on(&mirror.since(other.newest()));
+    let changed = other.merge_relayed(&replica.since(other.newest()));
     assert_eq!(changed, [row("b", 2, Some("y")), row("a", 3, None)]);
     assert_eq!(other.newest(), 3);
 }
 
 /// Guards against servers that left and come back by what a router that is behind tells one that starts.
 #[test]
-fn a_row_that_was_gone_at_a_whole_read_does_not_come_back() {
-    let mut behind = Mirror::default();
+fn a_row_missing_from_a_snapshot_is_not_restored_by_a_peer() {
+    let mut behind = Replica::default();
     behind.merge(&batch(
         vec![row("a", 1, Some("x")), row("b", 2, Some("y"))],
         2,
         true,
     ));
-    let mut started = Mirror::default();
-    started.merge(&batch(vec![row("b", 2, Some("y"))], 5, true));
-    assert_eq!(started.merge_passed_on(&behind.since(0)), []);
-    let keys: Vec<_> = started.rows().map(|row| row.key.as_str()).collect();
+    let mut restarted = Replica::default();
+    restarted.merge(&batch(vec![row("b", 2, Some("y"))], 5, true));
+    assert_eq!(restarted.merge_relayed(&behind.since(0)), []);
+    let keys: Vec<_> = restarted.rows().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["b"]);
 }
 
 /// Guards against servers that left and stay with a router that is told the rest by one that started.
 #[test]
-fn a_router_that_started_passes_removals_on() {
-    let mut behind = Mirror::default();
+fn a_restarted_router_relays_removals() {
+    let mut behind = Replica::default();
     behind.merge(&batch(
         vec![row("a", 1, Some("x")), row("b", 2, Some("y"))],
         2,
         true,
     ));
-    let mut started = Mirror::default();
-    started.merge(&batch(
+    let mut restarted = Replica::default();
+    restarted.merge(&batch(
         vec![row("b", 2, Some("y")), row("c", 4, Some("z"))],
         5,
         true,
     ));
-    behind.merge_passed_on(&started.since(behind.newest()));
+    behind.merge_relayed(&restarted.since(behind.newest()));
     let keys: Vec<_> = behind.rows().map(|row| row.key.as_str()).collect();
     assert_eq!(keys, ["b", "c"]);
 }
 
 /// Guards against whole answers to routers that lack a few changes.
 #[test]
-fn changes_after_a_whole_read_are_passed_on_alone() {
-    let mut watcher = Mirror::default();
+fn changes_after_a_snapshot_are_relayed_alone() {
+    let mut watcher = Replica::default();
     watcher.merge(&batch(vec![row("a", 1, Some("x"))], 2, true));
     watcher.merge(&batch(vec![row("b", 3, Some("y"))], 3, false));
-    let passed_on = watcher.since(2);
-    assert_eq!(passed_on.rows, [row("b", 3, Some("y"))]);
-    assert!(!passed_on.is_whole);
+    let relayed = watcher.since(2);
+    assert_eq!(relayed.rows, [row("b", 3, Some("y"))]);
+    assert!(!relayed.is_snapshot);
 }
--- a/crates/gateway/tests/decisions/mirrors.rs
+++ b/crates/gateway/tests/decisions/replicas.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use gateway::{
-    mirror::Mirror,
+    replica::Replica,
     source::{Batch, Row},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -15,10 +15,10 @@
 const WATCHERS: usize = 2;
 const STEPS: usize = 400;
 /// After so many rounds without a change nobody may be behind.
-const ROUNDS: usize = 6;
+const SETTLE_ROUNDS: usize = 6;
 
 /// Seeds that showed a fault and are beyond those that are always played.
-const FOUND: [u64; 1] = [2295];
+const REGRESSION_SEEDS: [u64; 1] = [2295];
 
 /// The rows of one topic, with all that ever happened to them.
 #[derive(Default)]
@@ -29,72 +29,72 @@
 }
 
 impl Store {
-    fn change(&mut self, key: u64, is_there: bool) {
+    fn change(&mut self, key: u64, is_present: bool) {
         self.version += 1;
         let version = self.version;
         let value = Bytes::from(version.to_string()).into();
         self.changes.push(Row {
             key: format!("k{key}"),
             version,
-            value: is_there.then_some(value),
+            value: is_present.then_some(value),
         });
     }
 
     /// The last change of each row up to a version.
-    fn last(&self, version: u64) -> BTreeMap<&str, &Row> {
+    fn latest_rows(&self, version: u64) -> BTreeMap<&str, &Row> {
         let changes = self.changes.iter().filter(|row| row.version <= version);
         changes.map(|row| (row.key.as_str(), row)).collect()
     }
 
     fn read(&self) -> Batch {
-        let rows = self.last(self.version).into_values();
+        let rows = self.latest_rows(self.version).into_values();
         Batch {
             rows: rows.filter(|row| row.value.is_some()).cloned().collect(),
             version: self.version,
-            is_whole: true,
+            is_snapshot: true,
         }
     }
 
     fn changes(&self, after: u64) -> Batch {
-        let rows = self.last(self.version).into_values();
+        let rows = self.latest_rows(self.version).into_values();
         Batch {
             rows: rows.filter(|row| row.version > after).cloned().collect(),
             version: self.version,
-            is_whole: false,
+            is_snapshot: false,
         }
     }
 }
 
 #[derive(Default)]
 struct Router {
-    mirror: Mirror,
+    replica: Replica,
     /// What it follows the store from, once it has read everything.
     after: Option<u64>,
     /// Tells its starts apart.
-    start: u64,
+    incarnation: u64,
 }
 
 /// A batch that is under way to one start of a router.
-struct Answer {
+struct Response {
     to: usize,
-    start: u64,
+    incarnation: u64,
     batch: Batch,
-    is_own: bool,
+    is_from_store: bool,
 }
 
-struct World {
+struct Simulation {
     store: Store,
     routers: Vec<Router>,
-    answers: Vec<Answer>,
+    responses: Vec<Response>,
     random: SmallRng,
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64) -> Self {
         Self {
             store: Store::default(),
             routers: (0..ROUTERS).map(|_| Router::default()).collect(),
-            answers: Vec::new(),
+            responses: Vec::new(),
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -104,25 +104,25 @@
         match self.random.random_range(0..12) {
             0..2 => {
                 let key = self.random.random_range(0..KEYS);
-                let is_there = self.random.random_bool(0.5);
-                self.store.change(key, is_there);
+                let is_present = self.random.random_bool(0.5);
+                self.store.change(key, is_present);
             }
             // A change of another topic.
             2 => self.store.version += 1,
             3 if self.random.random_bool(0.2) => {
-                let start = self.routers[router].start + 1;
+                let incarnation = self.routers[router].incarnation + 1;
                 self.routers[router] = Router {
-                    start,
+                    incarnation,
                     ..Router::default()
                 };
             }
-            3..6 => self.ask_store(router),
-            6..9 => self.ask_router(router),
+            3..6 => self.poll_store(router),
+            6..9 => self.fetch_from_peer(router),
             _ => self.deliver(),
         }
     }
 
-    fn ask_store(&mut self, router: usize) {
+    fn poll_store(&mut self, router: usize) {
         let batch = match self.routers[router].after {
             None => self.store.read(),
             Some(after) if router < WATCHERS => self.store.changes(after),
@@ -132,14 +132,14 @@
     }
 
     /// Asks one that knows more for that, or one that holds other rows for all.
-    fn ask_router(&mut self, router: usize) {
-        let own = &self.routers[router].mirror;
-        let (known, sum) = (own.newest(), own.sum());
+    fn fetch_from_peer(&mut self, router: usize) {
+        let own = &self.routers[router].replica;
+        let (known, checksum) = (own.newest(), own.checksum());
         let others: Vec<(usize, u64)> = (0..ROUTERS)
             .filter_map(|other| {
-                let mirror = &self.routers[other].mirror;
-                let differs = mirror.newest() == known && mirror.sum() != sum;
-                match mirror.newest() > known {
+                let replica = &self.routers[other].replica;
+                let differs = replica.newest() == known && replica.checksum() != checksum;
+                match replica.newest() > known {
                     true => Some((other, known)),
                     false => differs.then_some((other, 0)),
                 }
@@ -149,48 +149,48 @@
             return;
         }
         let (other, since) = others[self.random.random_range(0..others.len())];
-        let batch = self.routers[other].mirror.since(since);
+        let batch = self.routers[other].replica.since(since);
         self.send(router, batch, false);
     }
 
-    fn send(&mut self, to: usize, batch: Batch, is_own: bool) {
-        let start = self.routers[to].start;
-        self.answers.push(Answer {
+    fn send(&mut self, to: usize, batch: Batch, is_from_store: bool) {
+        let incarnation = self.routers[to].incarnation;
+        self.responses.push(Response {
             to,
-            start,
+            incarnation,
             batch,
-            is_own,
+            is_from_store,
         });
     }
 
     /// One of the answers arrives, whichever was asked for first.
     fn deliver(&mut self) {
-        if self.answers.is_empty() {
+        if self.responses.is_empty() {
             return;
         }
-        let index = self.random.random_range(0..self.answers.len());
-        let answer = self.answers.swap_remove(index);
-        let router = &mut self.routers[answer.to];
-        if router.start != answer.start {
+        let index = self.random.random_range(0..self.responses.len());
+        let response = self.responses.swap_remove(index);
+        let router = &mut self.routers[response.to];
+        if router.incarnation != response.incarnation {
             return;
         }
-        if answer.is_own {
-            router.mirror.merge(&answer.batch);
-            router.after = router.after.max(Some(answer.batch.version));
+        if response.is_from_store {
+            router.replica.merge(&response.batch);
+            router.after = router.after.max(Some(response.batch.version));
         } else {
-            router.mirror.merge_passed_on(&answer.batch);
+            router.replica.merge_relayed(&response.batch);
         }
-        self.check(answer.to);
+        self.check(response.to);
     }
 
     /// A router knows all that happened up to the version that it tells others.
     fn check(&self, router: usize) {
-        let mirror = &self.routers[router].mirror;
-        let held: BTreeMap<&str, u64> = mirror
+        let replica = &self.routers[router].replica;
+        let held: BTreeMap<&str, u64> = replica
             .rows()
             .map(|row| (row.key.as_str(), row.version))
             .collect();
-        for (key, row) in self.store.last(mirror.newest()) {
+        for (key, row) in self.store.latest_rows(replica.newest()) {
             match held.get(key) {
                 Some(&version) => assert!(
                     version > row.version || (version == row.version && row.value.is_some()),
@@ -198,7 +198,7 @@
                     row.version
                 ),
                 None => assert!(
-                    row.value.is_none() || self.is_gone_later(row),
+                    row.value.is_none() || self.is_removed_later(row),
                     "{key} is missing since {}",
                     row.version
                 ),
@@ -207,7 +207,7 @@
     }
 
     /// Whether a newer change took the row away; the router may have read that.
-    fn is_gone_later(&self, row: &Row) -> bool {
+    fn is_removed_later(&self, row: &Row) -> bool {
         let later = self.store.changes.iter();
         let mut later = later.filter(|change| change.key == row.key);
         later.any(|change| change.version > row.version && change.value.is_none())
@@ -215,19 +215,19 @@
 
     /// All are told all, and nobody asks for ever.
     fn settle(&mut self) {
-        for _ in 0..ROUNDS {
+        for _ in 0..SETTLE_ROUNDS {
             for router in 0..ROUTERS {
-                self.ask_store(router);
-                self.ask_router(router);
+                self.poll_store(router);
+                self.fetch_from_peer(router);
             }
-            while !self.answers.is_empty() {
+            while !self.responses.is_empty() {
                 self.deliver();
             }
         }
         let newest: BTreeSet<u64> = self
             .routers
             .iter()
-            .map(|router| router.mirror.newest())
+            .map(|router| router.replica.newest())
             .collect();
         assert_eq!(
             newest.len(),
@@ -236,7 +236,7 @@
         );
         let expected: Vec<Row> = self.store.read().rows;
         for router in &self.routers {
-            let rows: Vec<Row> = router.mirror.rows().cloned().collect();
+            let rows: Vec<Row> = router.replica.rows().cloned().collect();
             assert_eq!(rows, expected);
         }
     }
@@ -244,13 +244,13 @@
 
 /// Guards against rows that come back, and against routers that take themselves for behind for ever.
 #[test]
-fn routers_that_start_and_tell_each_other_agree_with_the_store() {
-    for seed in (0..300).chain(FOUND) {
+fn replicas_converge_with_the_store() {
+    for seed in (0..300).chain(REGRESSION_SEEDS) {
         println!("seed {seed}");
-        let mut world = World::new(seed);
+        let mut simulation = Simulation::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            simulation.step();
         }
-        world.settle();
+        simulation.settle();
     }
 }
--- a/crates/gateway/tests/decisions/roster.rs
+++ b/crates/gateway/tests/decisions/roster.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_removed_server_is_gone_at_once() {
+fn a_removed_server_is_dropped_at_once() {
     let mut roster = Roster::default();
     roster.apply(present("s0", 1), START);
     assert!(roster.apply(absent("s0", 2), START));
@@ -32,7 +32,7 @@
 /// They are written anew within two seconds. A router that drops them at once
 /// refuses every request for as long.
 #[test]
-fn entries_that_lapsed_in_an_outage_may_come_back() {
+fn entries_that_lapsed_in_an_outage_may_return() {
     let mut roster = Roster::default();
     roster.apply(present("s0", 1), START);
     roster.apply(present("s1", 2), START);
@@ -51,26 +51,29 @@
 /// was back. Taken for one whose entry lapsed, the server would go on getting
 /// requests for two seconds.
 #[test]
-fn entries_do_not_lapse_while_others_are_served() {
+fn entries_do_not_lapse_while_the_store_serves_other_routers() {
     let mut roster = Roster::default();
     roster.apply(present("s0", 1), START);
     roster.store_returned(START);
     roster.apply(absent("s0", 3), START);
     assert_eq!(roster.usable().count(), 1);
-    let soon = START + Duration::from_millis(200);
-    assert!(roster.store_was_steady(soon));
+    let shortly_after = START + Duration::from_millis(200);
+    assert!(roster.store_was_stable(shortly_after));
     assert!(roster.is_empty());
-    roster.apply(present("s1", 4), soon);
-    assert!(roster.apply(absent("s1", 5), soon), "nor do later ones");
+    roster.apply(present("s1", 4), shortly_after);
+    assert!(
+        roster.apply(absent("s1", 5), shortly_after),
+        "nor do later ones"
+    );
 }
 
 /// A server that said that it leaves does not come back after an outage.
 #[test]
-fn a_leaving_server_does_not_lapse() {
+fn a_draining_server_does_not_lapse() {
     let mut roster = Roster::default();
-    let mut leaving = entry("s0", "a");
-    leaving.is_draining = true;
-    roster.apply(Change::Present(leaving), START);
+    let mut draining = entry("s0", "a");
+    draining.is_draining = true;
+    roster.apply(Change::Present(draining), START);
     roster.store_returned(START);
     assert!(roster.apply(absent("s0", 3), START));
     assert!(roster.is_empty());
@@ -89,7 +92,7 @@
 }
 
 #[test]
-fn a_zone_that_is_out_gets_nothing_until_it_is_back() {
+fn an_evacuated_zone_is_unusable_until_it_returns() {
     let mut roster = Roster::default();
     roster.apply(present("s0", 1), START);
     let zones = BTreeSet::from(["a".parse().unwrap()]);
@@ -118,7 +121,7 @@
 /// lapsed. It refuses what names the old one, and callers whose request may be
 /// sent to one server only are refused with it.
 #[test]
-fn a_server_is_over_once_its_address_is_taken_by_a_later_start() {
+fn a_server_is_superseded_by_a_later_start_at_its_address() {
     let mut roster = Roster::default();
     roster.apply(started("old", 1, 10), START);
     roster.apply(started("other", 2, 5), START);
@@ -129,7 +132,7 @@
 
 /// Entries come in any order, and routers have to agree on the servers.
 #[test]
-fn the_latest_start_counts_in_whatever_order_entries_come() {
+fn the_latest_start_wins_in_any_order() {
     let mut roster = Roster::default();
     roster.apply(started("new", 1, 20), START);
     roster.apply(started("old", 1, 10), START);
@@ -141,7 +144,7 @@
 /// An address that a server of another service has taken says nothing sure: the
 /// entry may be another writer's.
 #[test]
-fn an_entry_of_another_service_ends_no_server() {
+fn an_entry_of_another_service_supersedes_no_server() {
     let mut roster = Roster::default();
     roster.apply(started("s0", 1, 10), START);
     let mut foreign = entry("foreign", "a");
@@ -156,7 +159,7 @@
 /// The clock of a server's host was set back before the server started again. Taken
 /// for the earlier one, the server that runs would get nothing.
 #[test]
-fn a_start_that_seems_earlier_ends_no_server() {
+fn a_start_with_an_earlier_clock_supersedes_no_server() {
     let mut roster = Roster::default();
     roster.apply(started("old", 1, 20), START);
     let mut entry = entry("new", "a");
--- a/crates/gateway/tests/decisions/value.rs
+++ b/crates/gateway/tests/decisions/value.rs
@@ -5,20 +5,20 @@
 use proptest::prelude::*;
 
 /// A text that repeats itself, as configurations do.
-fn repeated() -> Bytes {
+fn repetitive() -> Bytes {
     let routes = (0..2000).map(|index| format!("{{\"name\":\"r-{index}\",\"timeout_ms\":1000}}"));
     Bytes::from(routes.collect::<String>())
 }
 
 #[test]
-fn a_value_that_repeats_itself_becomes_small_and_comes_back() {
-    let value = Value::from(repeated());
+fn a_repetitive_value_compresses_and_round_trips() {
+    let value = Value::from(repetitive());
     let packed = value.packed().expect("its packed form").clone();
     assert!(packed.len() * 5 < value.len(), "{}", packed.len());
     let unpacked = Value::unpack(packed.clone(), value.len()).expect("the value");
     assert_eq!(unpacked, value);
-    let passed_on = unpacked.packed().expect("the form that came");
-    assert_eq!(packed.as_ptr(), passed_on.as_ptr(), "it is not packed anew");
+    let relayed = unpacked.packed().expect("the form that came");
+    assert_eq!(packed.as_ptr(), relayed.as_ptr(), "it is not packed anew");
 }
 
 #[test]
@@ -29,7 +29,7 @@
 /// Guards against a peer whose few bytes fill the memory.
 #[test]
 fn a_value_that_is_longer_than_announced_is_refused() {
-    let value = Value::from(repeated());
+    let value = Value::from(repetitive());
     let packed = value.packed().expect("its packed form").clone();
     assert!(Value::unpack(packed.clone(), value.len() - 1).is_err());
     assert!(Value::unpack(packed, value.len() + 1).is_err());
@@ -37,7 +37,7 @@
 
 proptest! {
     #[test]
-    fn any_value_comes_back(bytes in proptest::collection::vec(any::<u8>(), 0..20_000)) {
+    fn any_value_round_trips(bytes in proptest::collection::vec(any::<u8>(), 0..20_000)) {
         let value = Value::from(Bytes::from(bytes));
         if let Some(packed) = value.packed() {
             prop_assert_eq!(Value::unpack(packed.clone(), value.len()), Ok(value));
@@ -45,7 +45,7 @@
     }
 
     #[test]
-    fn any_bytes_are_refused_or_unpacked(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic_the_decompressor(bytes in proptest::collection::vec(any::<u8>(), 0..200)) {
         // Neither may panic.
         drop(Value::unpack(Bytes::from(bytes), 100));
     }
--- a/crates/gateway/tests/decisions/versions.rs
+++ b/crates/gateway/tests/decisions/versions.rs
@@ -32,7 +32,7 @@
         routers: 2,
     };
     let host = "r0".parse().expect("a name");
-    let digest = Digest::new(host, versions, true, Vec::new(), Vec::new()).with_sum(u64::MAX);
+    let digest = Digest::new(host, versions, true, Vec::new(), Vec::new()).with_checksum(u64::MAX);
     Frame::Digest(digest.with_loads(Report::Whole(vec![load(1, 2)]), vec![READ]))
 }
 
@@ -68,7 +68,7 @@
             ends: Vec::new(),
         },
         reads: vec![READ, READ],
-        others: vec![1, 2],
+        relay_to: vec![1, 2],
     })
 }
 
@@ -76,12 +76,12 @@
 /// minutes. What one side could not read, it would decide without. The bytes
 /// are those that the version before wrote.
 #[parameterized(
-    of_news = { digest(), "0002723007ac0202ffffffffffffffffff010100010001010208c0020001ef9baf05f8acd19101904e" },
-    of_loads = { loads(), "0101020501ac02020105100001ef9baf05f8acd19101904e" },
-    of_a_zone = { sum(), "0209270001f0a2040308c00200" },
-    of_the_fleet = { total(), "034d27010101010002ef9baf05f8acd19101904eef9baf05f8acd19101904e020102" },
+    digest_frame = { digest(), "0002723007ac0202ffffffffffffffffff010100010001010208c0020001ef9baf05f8acd19101904e" },
+    loads_frame = { loads(), "0101020501ac02020105100001ef9baf05f8acd19101904e" },
+    sum_frame = { sum(), "0209270001f0a2040308c00200" },
+    total_frame = { total(), "034d27010101010002ef9baf05f8acd19101904eef9baf05f8acd19101904e020102" },
 )]
-fn datagrams_are_those_of_the_version_before(frame: Frame, recorded: &str) {
+fn datagrams_match_the_previous_version(frame: Frame, recorded: &str) {
     let bytes = frame.encode().expect("it fits");
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
     assert_eq!(hex, recorded);
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -4,8 +4,8 @@
 
 use bytes::Bytes;
 use gateway::{
-    mirror::{Mirror, Mirrors},
     peers::{Part, Versions, fetch},
+    replica::{Replica, Replicas},
     source::{Batch, Row, Topic},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -29,7 +29,7 @@
     Bytes::from(bytes)
 }
 
-fn mirror(key: &str, version: u64, value: Bytes) -> Mirror {
+fn replica(key: &str, version: u64, value: Bytes) -> Replica {
     let batch = Batch {
         rows: vec![Row {
             key: String::from(key),
@@ -37,22 +37,22 @@
             value: Some(value.into()),
         }],
         version,
-        is_whole: true,
+        is_snapshot: true,
     };
-    let mut mirror = Mirror::default();
-    mirror.merge(&batch);
-    mirror
+    let mut replica = Replica::default();
+    replica.merge(&batch);
+    replica
 }
 
 /// A router that knows one configuration and one server.
 async fn router(value: Bytes) -> SocketAddr {
-    let mirrors: Mirrors = BTreeMap::from([
-        (Topic::Configuration, mirror("config", 5, value)),
-        (Topic::Servers, mirror("s1", 6, Bytes::from_static(b"{}"))),
+    let replicas: Replicas = BTreeMap::from([
+        (Topic::Configuration, replica("config", 5, value)),
+        (Topic::Servers, replica("s1", 6, Bytes::from_static(b"{}"))),
     ]);
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("its address");
-    let (sender, receiver) = watch::channel(Arc::new(mirrors));
+    let (sender, receiver) = watch::channel(Arc::new(replicas));
     tokio::spawn(async move {
         let _keep = sender;
         fetch::serve(listener, key(), receiver).await;
@@ -68,7 +68,7 @@
         .await
         .expect("a port");
     link.limit(LINK_BYTES_PER_S);
-    let answered = fetch::ask(link.address(), &key(), Versions::default()).await;
+    let answered = fetch::request(link.address(), &key(), Versions::default()).await;
     let batches = answered.expect("the rows");
     let (_, batch) = &batches[0];
     assert_eq!(Some(&value[..]), batch.rows[0].value.as_deref());
@@ -82,7 +82,7 @@
         .expect("a port");
     link.limit(LINK_BYTES_PER_S);
     let known = Part::Rest.of(Versions::default());
-    let batches = fetch::ask(link.address(), &key(), known).await;
+    let batches = fetch::request(link.address(), &key(), known).await;
     let batches = batches.expect("the rows");
     let topics: Vec<_> = batches.iter().map(|(topic, _)| *topic).collect();
     assert_eq!(
@@ -104,12 +104,12 @@
     link.limit(LINK_BYTES_PER_S);
     let all = Versions::default();
     let mut asking = JoinSet::new();
-    for _ in 0..2 * fetch::MOST_LARGE {
+    for _ in 0..2 * fetch::MAX_LARGE_RESPONSES {
         let address = link.address();
-        asking.spawn(async move { fetch::ask(address, &key(), all).await });
+        asking.spawn(async move { fetch::request(address, &key(), all).await });
     }
     let first = asking.join_next().await.expect("an end").expect("no panic");
     assert!(matches!(first, Err(fetch::Failure::Busy)), "{first:?}");
-    let rest = fetch::ask(address, &key(), Part::Rest.of(all)).await;
+    let rest = fetch::request(address, &key(), Part::Rest.of(all)).await;
     rest.expect("what is small comes all the same");
 }
