--- a/crates/gateway/src/peers/table.rs
+++ b/crates/gateway/src/peers/table.rs
@@ -159,12 +159,12 @@
             ahead.retain(|(is_same_zone, _)| *is_same_zone);
         }
         let since = *pace.behind_since.get_or_insert(now);
-        let timeout = if is_watching {
+        let grace = if is_watching {
             BEHIND_GRACE
         } else {
             Duration::ZERO
         };
-        if now < pace.next_request_at.max(since + timeout) {
+        if now < pace.next_request_at.max(since + grace) {
             return None;
         }
         pace.next_request_at = now + part.interval();
