--- a/crates/gateway/src/peers/catch_up.rs
+++ b/crates/gateway/src/peers/catch_up.rs
@@ -120,9 +120,9 @@
         }
     }
 
-    pub(super) fn complete(&mut self, end: Completion) {
+    pub(super) fn complete(&mut self, completion: Completion) {
         let now = self.clock.now();
-        match end {
+        match completion {
             Completion::Store { is_newer } => {
                 self.in_flight.store = false;
                 if !is_newer {
--- a/crates/gateway/tests/decisions/peers.rs
+++ b/crates/gateway/tests/decisions/peers.rs
@@ -229,9 +229,9 @@
 #[test]
 fn the_rest_is_fetched_during_a_configuration_transfer() {
     let mut table = PeerTable::default();
-    let mut news = digest("r1", 6);
-    news.versions.servers = 2;
-    table.record(&news, at(1), START, PEER_TIMEOUT);
+    let mut update = digest("r1", 6);
+    update.versions.servers = 2;
+    table.record(&update, at(1), START, PEER_TIMEOUT);
     let mut select = |part| table.select_ahead(part, own(5), false, |_| false, 0, START);
     assert_eq!(select(Part::Configuration), Some(at(1)));
     assert_eq!(select(Part::Rest), Some(at(1)));
