--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -25,11 +25,11 @@
 use wire::seal::{Opener, Sealer};
 
 pub use aggregators::{AGGREGATORS, Aggregators};
-pub use digest::{Digest, Frame, Total, Versions, loads};
+pub use digest::{Digest, FleetTotal, Frame, Versions, loads};
 pub use directory::Directory;
 pub use relays::{Relay, relays};
 pub use store_fallback::StoreFallback;
-pub use sums::{Sum, Sums};
+pub use sums::{LoadSums, ZoneSum};
 pub use table::{Part, PeerTable};
 pub use targets::gossip_targets;
 pub use watchers::{WATCHERS, Watcher, Watchers};
--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -6,7 +6,7 @@
 use units::{availability, time::Instant};
 use wire::seal::Tag;
 
-use super::{AGGREGATORS, FAN_OUT, Frame, Sum, Total, relays, sums, task::Task};
+use super::{AGGREGATORS, FAN_OUT, FleetTotal, Frame, ZoneSum, relays, sums, task::Task};
 use crate::{
     dispatch,
     load::{Load, Report},
@@ -44,7 +44,7 @@
         let sum = self
             .sums
             .zone_sum(sums::hash(own_zone.as_str()), &self.own_loads, now);
-        let total = self.sums.fleet_sum(&sum, now);
+        let total = self.sums.fleet_total(&sum, now);
         self.publish_loads(&total);
         self.send_sum(&sum, now).await;
         // The aggregators alternate, so that each router receives one total per round.
@@ -53,10 +53,10 @@
         }
     }
 
-    async fn send_sum(&mut self, sum: &Sum, now: Instant) {
+    async fn send_sum(&mut self, sum: &ZoneSum, now: Instant) {
         let members = Arc::clone(&self.inputs.members.borrow());
         let zones: BTreeSet<_> = members.iter().map(|member| &member.zone).collect();
-        let frame = Frame::Sum {
+        let frame = Frame::ZoneSum {
             zone: sum.zone,
             routers: sum.routers,
             loads: self.zone_reporter.next(&sum.loads, now),
@@ -84,14 +84,14 @@
             &self.sums.active_routers(),
             self.rounds / AGGREGATORS,
         ) {
-            let total = Total {
+            let total = FleetTotal {
                 aggregator: sums::hash(own.host.as_str()),
                 routers,
                 loads: loads.clone(),
                 reads: reads.clone(),
                 relay_to: relay.targets,
             };
-            self.send_to(&Frame::Total(total), relay.member).await;
+            self.send_to(&Frame::FleetTotal(total), relay.member).await;
         }
     }
 
@@ -117,7 +117,7 @@
             aggregators.sum_received(hash, now);
         }
         let loads = self.peer_loads.entry(hash).or_default().take(loads);
-        let sum = Sum {
+        let sum = ZoneSum {
             zone,
             routers,
             loads,
@@ -132,7 +132,7 @@
     }
 
     /// Applies the loads of the whole fleet and relays them.
-    pub(super) async fn receive_total(&mut self, total: Total) {
+    pub(super) async fn receive_total(&mut self, total: FleetTotal) {
         let now = self.clock.now();
         let zone = self.inputs.own.zone.clone();
         self.aggregators
@@ -150,7 +150,7 @@
         self.publish_loads(&loads);
     }
 
-    async fn relay_total(&mut self, total: &Total) {
+    async fn relay_total(&mut self, total: &FleetTotal) {
         if total.relay_to.is_empty() {
             return;
         }
@@ -160,7 +160,7 @@
             let hash = sums::hash(member.host.as_str());
             member.zone == own.zone && member.host != own.host && total.relay_to.contains(&hash)
         };
-        let frame = Frame::Total(Total {
+        let frame = Frame::FleetTotal(FleetTotal {
             relay_to: Vec::new(),
             ..total.clone()
         });
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -85,7 +85,7 @@
         reads: Vec<Read>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
-    Sum {
+    ZoneSum {
         /// The hash of the zone's name.
         zone: u32,
         /// The number of routers that the sum covers.
@@ -96,12 +96,12 @@
         reads: Vec<Read>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
-    Total(Total),
+    FleetTotal(FleetTotal),
 }
 
 /// The loads of the whole fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Total {
+pub struct FleetTotal {
     /// The hash of the aggregator's host name; other routers may relay the total.
     pub aggregator: u32,
     /// The number of routers of the zone that reported their loads to the aggregator.
@@ -185,8 +185,8 @@
         match self {
             Self::Digest(Digest { reads, .. })
             | Self::Loads { reads, .. }
-            | Self::Sum { reads, .. }
-            | Self::Total(Total { reads, .. }) => reads,
+            | Self::ZoneSum { reads, .. }
+            | Self::FleetTotal(FleetTotal { reads, .. }) => reads,
         }
     }
 
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -19,7 +19,7 @@
 pub(super) const MAX_AGE: Duration = Duration::from_millis(700);
 /// The summed loads of the routers of one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Sum {
+pub struct ZoneSum {
     /// The hash of the zone's name.
     pub zone: u32,
     /// The number of routers that the sum covers.
@@ -41,12 +41,12 @@
 /// of its zone. The aggregators exchange the sums of their zones and send the fleet total
 /// to all routers of their own zone.
 #[derive(Clone, Debug, Default)]
-pub struct Sums {
+pub struct LoadSums {
     routers: BTreeMap<host::Id, (Vec<Load>, Instant)>,
-    zones: BTreeMap<u32, (Sum, Instant)>,
+    zones: BTreeMap<u32, (ZoneSum, Instant)>,
 }
 
-impl Sums {
+impl LoadSums {
     /// Records the loads of a router of this zone.
     pub fn record_router(&mut self, host: host::Id, loads: Vec<Load>, now: Instant) {
         self.routers.insert(host, (loads, now + MAX_AGE));
@@ -57,8 +57,8 @@
     /// An aggregator that the other routers of its zone take for dead may still send a sum
     /// of the few reports that it receives. Accepted as the sum of its zone, it would hide
     /// most requests, so partial sums are ignored while a fuller one is current.
-    pub fn record_zone(&mut self, sum: Sum, now: Instant) {
-        let keeps_known = |(known, expires_at): &(Sum, Instant)| {
+    pub fn record_zone(&mut self, sum: ZoneSum, now: Instant) {
+        let keeps_known = |(known, expires_at): &(ZoneSum, Instant)| {
             now < *expires_at && is_partial(sum.routers, known.routers)
         };
         if self.zones.get(&sum.zone).is_some_and(keeps_known) {
@@ -73,10 +73,10 @@
     }
 
     /// The sum of this router's zone, including its `own` loads.
-    pub fn zone_sum(&mut self, zone: u32, own: &[Load], now: Instant) -> Sum {
+    pub fn zone_sum(&mut self, zone: u32, own: &[Load], now: Instant) -> ZoneSum {
         self.routers.retain(|_, (_, expires_at)| now < *expires_at);
         let routers = self.routers.values().map(|(loads, _)| loads.as_slice());
-        Sum {
+        ZoneSum {
             zone,
             routers: u16::try_from(self.routers.len() + 1).unwrap_or(u16::MAX),
             loads: add_loads(routers.chain([own])),
@@ -84,7 +84,7 @@
     }
 
     /// The sum over all zones, given that of this router's zone.
-    pub fn fleet_sum(&mut self, own: &Sum, now: Instant) -> Vec<Load> {
+    pub fn fleet_total(&mut self, own: &ZoneSum, now: Instant) -> Vec<Load> {
         self.zones
             .retain(|zone, (_, expires_at)| now < *expires_at && *zone != own.zone);
         let zones = self.zones.values().map(|(sum, _)| sum.loads.as_slice());
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -11,8 +11,8 @@
 use wire::seal::{Audience, Boot, Key, Opener, Sealer, Tag};
 
 use super::{
-    Aggregators, Digest, Directory, FAN_OUT, Frame, INITIAL_FAN_OUT, INTERVAL, Inputs, Outputs,
-    PeerTable, QUIET_FAN_OUT, StoreFallback, Sums, Versions, Watchers,
+    Aggregators, Digest, Directory, FAN_OUT, Frame, INITIAL_FAN_OUT, INTERVAL, Inputs, LoadSums,
+    Outputs, PeerTable, QUIET_FAN_OUT, StoreFallback, Versions, Watchers,
     catch_up::{Completion, InFlight},
     digest, gossip_targets, sums,
 };
@@ -43,7 +43,7 @@
     boots: BTreeMap<Tag, Boot>,
     pub(super) directory: Directory,
     pub(super) table: PeerTable,
-    pub(super) sums: Sums,
+    pub(super) sums: LoadSums,
     /// The last digest that this router sent, without its loads.
     last_digest: Option<Digest>,
     /// The loads that this router last reported.
@@ -107,7 +107,7 @@
             boots: BTreeMap::new(),
             directory: Directory::default(),
             table: PeerTable::default(),
-            sums: Sums::default(),
+            sums: LoadSums::default(),
             last_digest: None,
             own_loads: Vec::new(),
             aggregators: BTreeMap::new(),
@@ -356,7 +356,7 @@
                 self.queue_reads(&reads, now);
                 self.apply_reads(reads);
             }
-            Ok(Frame::Sum {
+            Ok(Frame::ZoneSum {
                 zone,
                 routers,
                 loads,
@@ -367,7 +367,7 @@
                 self.fleet_reads.pass_on(&reads, now);
                 self.apply_reads(reads);
             }
-            Ok(Frame::Total(total)) => self.receive_total(total).await,
+            Ok(Frame::FleetTotal(total)) => self.receive_total(total).await,
             Err(_) => logging::event!(debug, "digest_malformed"),
         }
     }
--- a/crates/gateway/tests/decisions/aggregation.rs
+++ b/crates/gateway/tests/decisions/aggregation.rs
@@ -5,7 +5,7 @@
 use gateway::{
     evidence::Ends,
     load::{Heard, Load, Report, Teller},
-    peers::{AGGREGATORS, Aggregators, Frame, Sum, Sums, Total, relays, sums},
+    peers::{AGGREGATORS, Aggregators, FleetTotal, Frame, LoadSums, ZoneSum, relays, sums},
     source::Member,
 };
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
 /// flight at the same server. Each alone sees a free server, but together they fill it.
 #[test]
 fn zone_loads_are_summed() {
-    let mut aggregator = Sums::default();
+    let mut aggregator = LoadSums::default();
     for index in 0..28 {
         aggregator.record_router(
             host(&format!("a{index}")),
@@ -37,7 +37,7 @@
         let loads = vec![load(1, 28)];
         let routers = 28;
         aggregator.record_zone(
-            Sum {
+            ZoneSum {
                 zone,
                 routers,
                 loads,
@@ -48,7 +48,7 @@
     let own = [load(1, 2)];
     let sum = aggregator.zone_sum(6, &own, START);
     assert_eq!(sum.loads, [load(1, 30), load(2, 56)]);
-    let total = aggregator.fleet_sum(&sum, START);
+    let total = aggregator.fleet_total(&sum, START);
     assert_eq!(total, [load(1, 86), load(2, 56)]);
     assert_eq!(sums::subtract(&total, &own), [load(1, 84), load(2, 56)]);
 }
@@ -57,28 +57,28 @@
 /// every router would count only its own requests.
 #[test]
 fn a_sum_over_many_servers_keeps_the_busiest() {
-    let mut aggregator = Sums::default();
+    let mut aggregator = LoadSums::default();
     let own: Vec<_> = (0..3000)
         .map(|server| load(server, (server % 700) as u16))
         .collect();
     let sum = aggregator.zone_sum(6, &own, START);
     let least = sum.loads.iter().map(|load| load.running).min();
     assert!(least >= Some(600), "{least:?}");
-    let frame = Frame::Sum {
+    let frame = Frame::ZoneSum {
         zone: sum.zone,
         routers: sum.routers,
         loads: Teller::default().next(&sum.loads, START),
         reads: Vec::new(),
     };
     assert!(frame.encode().is_ok());
-    let total = Total {
+    let total = FleetTotal {
         aggregator: u32::MAX,
         routers: u16::MAX,
-        loads: Teller::default().next(&aggregator.fleet_sum(&sum, START), START),
+        loads: Teller::default().next(&aggregator.fleet_total(&sum, START), START),
         reads: Vec::new(),
         relay_to: vec![u32::MAX; 10],
     };
-    assert!(Frame::Total(total).encode().is_ok());
+    assert!(Frame::FleetTotal(total).encode().is_ok());
 }
 
 /// Guards against slow detection of a failing server: each of 28 routers sees a single
@@ -93,13 +93,13 @@
         },
         ..load(1, 0)
     };
-    let mut aggregator = Sums::default();
+    let mut aggregator = LoadSums::default();
     for index in 0..28 {
         aggregator.record_router(host(&format!("a{index}")), vec![with_failures(16)], START);
     }
     let own = [with_failures(16)];
     let sum = aggregator.zone_sum(6, &own, START);
-    let total = aggregator.fleet_sum(&sum, START);
+    let total = aggregator.fleet_total(&sum, START);
     assert_eq!(total, [with_failures(29 * 16)]);
     assert_eq!(sums::subtract(&total, &own), [with_failures(28 * 16)]);
 }
@@ -107,10 +107,10 @@
 /// Guards against loads of a dead router or a disconnected zone that are counted forever.
 #[test]
 fn expired_loads_are_ignored() {
-    let mut aggregator = Sums::default();
+    let mut aggregator = LoadSums::default();
     aggregator.record_router(host("a1"), vec![load(1, 9)], START);
     aggregator.record_zone(
-        Sum {
+        ZoneSum {
             zone: 7,
             routers: 1,
             loads: vec![load(1, 9)],
@@ -119,7 +119,7 @@
     );
     let later = START + Duration::from_secs(1);
     let sum = aggregator.zone_sum(6, &[], later);
-    assert_eq!(aggregator.fleet_sum(&sum, later), []);
+    assert_eq!(aggregator.fleet_total(&sum, later), []);
 }
 
 fn ended(server: u32, failed: u16, completed: u16) -> Load {
@@ -268,25 +268,25 @@
 /// routers take an aggregator for dead and send it nothing, but it still sends sums.
 #[test]
 fn partial_sums_are_ignored() {
-    let sum = |routers, running| Sum {
+    let sum = |routers, running| ZoneSum {
         zone: 7,
         routers,
         loads: vec![load(1, running)],
     };
-    let own = Sum {
+    let own = ZoneSum {
         zone: 6,
         ..sum(1, 1)
     };
-    let mut aggregator = Sums::default();
+    let mut aggregator = LoadSums::default();
     aggregator.record_zone(sum(28, 60), START);
     aggregator.record_zone(sum(3, 5), START);
-    assert_eq!(aggregator.fleet_sum(&own, START), [load(1, 61)]);
+    assert_eq!(aggregator.fleet_total(&own, START), [load(1, 61)]);
     aggregator.record_zone(sum(20, 40), START);
-    assert_eq!(aggregator.fleet_sum(&own, START), [load(1, 41)]);
+    assert_eq!(aggregator.fleet_total(&own, START), [load(1, 41)]);
     let later = START + Duration::from_secs(1);
     aggregator.record_zone(sum(3, 5), later);
     assert_eq!(
-        aggregator.fleet_sum(&own, later),
+        aggregator.fleet_total(&own, later),
         [load(1, 6)],
         "the fuller sum has expired"
     );
--- a/crates/gateway/tests/decisions/reads.rs
+++ b/crates/gateway/tests/decisions/reads.rs
@@ -8,7 +8,7 @@
     evidence::Ends,
     load::Load,
     metrics::Metrics,
-    peers::{Frame, Total},
+    peers::{FleetTotal, Frame},
     pool::{Outcome, Part, Place, Pool},
     reads::{self, Read, Reads},
     roster,
@@ -151,16 +151,17 @@
     for index in 0..60 {
         reads.note(u32::MAX, &part(u64::from(u32::MAX) - index, 30_000), START);
     }
-    let total = Total {
+    let total = FleetTotal {
         aggregator: u32::MAX,
         routers: u16::MAX,
         loads: gateway::load::Report::Whole(loads.collect()),
         reads: reads.news(START),
         relay_to: vec![u32::MAX; 10],
     };
-    let frame = Frame::Total(total);
+    let frame = Frame::FleetTotal(total);
     assert!(frame.encode().is_err());
-    let Ok(Frame::Total(told)) = Frame::decode(&frame.encode_truncated().expect("it fits")) else {
+    let Ok(Frame::FleetTotal(told)) = Frame::decode(&frame.encode_truncated().expect("it fits"))
+    else {
         panic!("another frame");
     };
     let gateway::load::Report::Whole(loads) = told.loads else {
@@ -177,7 +178,7 @@
     for index in 0..60 {
         reads.note(index << 18, &part(u64::from(index), 10_000), START);
     }
-    let total = Total {
+    let total = FleetTotal {
         aggregator: u32::MAX,
         routers: 39,
         loads: gateway::load::Report::Change {
@@ -187,8 +188,10 @@
         reads: reads.news(START),
         relay_to: vec![u32::MAX; 6],
     };
-    let bytes = Frame::Total(total).encode_truncated().expect("it fits");
-    let Ok(Frame::Total(told)) = Frame::decode(&bytes) else {
+    let bytes = Frame::FleetTotal(total)
+        .encode_truncated()
+        .expect("it fits");
+    let Ok(Frame::FleetTotal(told)) = Frame::decode(&bytes) else {
         panic!("another frame");
     };
     assert!(told.reads.len() >= 50, "{}", told.reads.len());
--- a/crates/gateway/tests/decisions/versions.rs
+++ b/crates/gateway/tests/decisions/versions.rs
@@ -3,7 +3,7 @@
 use gateway::{
     evidence::Ends,
     load::{Load, Report},
-    peers::{Digest, Frame, Total, Versions},
+    peers::{Digest, FleetTotal, Frame, Versions},
     reads::Read,
 };
 use yare::parameterized;
@@ -51,7 +51,7 @@
 }
 
 fn sum() -> Frame {
-    Frame::Sum {
+    Frame::ZoneSum {
         zone: 9,
         routers: 39,
         loads: Report::Whole(vec![load(70_000, 3)]),
@@ -60,7 +60,7 @@
 }
 
 fn total() -> Frame {
-    Frame::Total(Total {
+    Frame::FleetTotal(FleetTotal {
         aggregator: 77,
         routers: 39,
         loads: Report::Change {
@@ -78,8 +78,8 @@
 #[parameterized(
     digest_frame = { digest(), "0002723007ac0202ffffffffffffffffff010100010001010208c0020001ef9baf05f8acd19101904e" },
     loads_frame = { loads(), "0101020501ac02020105100001ef9baf05f8acd19101904e" },
-    sum_frame = { sum(), "0209270001f0a2040308c00200" },
-    total_frame = { total(), "034d27010101010002ef9baf05f8acd19101904eef9baf05f8acd19101904e020102" },
+    zone_sum_frame = { sum(), "0209270001f0a2040308c00200" },
+    fleet_total_frame = { total(), "034d27010101010002ef9baf05f8acd19101904eef9baf05f8acd19101904e020102" },
 )]
 fn datagrams_match_the_previous_version(frame: Frame, recorded: &str) {
     let bytes = frame.encode().expect("the frame fits one datagram");
