--- a/crates/gateway/src/peers/table.rs
+++ b/crates/gateway/src/peers/table.rs
@@ -21,8 +21,8 @@
 
 /// A part of the store that is fetched in a separate request.
 ///
-/// A configuration may be large. Fetched in the same request, it would delay the update that
-/// a server leaves until all its bytes are transferred.
+/// A configuration may be large. Fetched in the same request, it would delay the notification
+/// that a server leaves until all its bytes are transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Part {
     /// The configuration.
