--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -172,8 +172,8 @@
 
     /// The number of peers to contact in a round.
     ///
-    /// Watchers use the full fan-out in each round: their own heartbeats are how the others
-    /// learn which routers watch the store and which of these it answers.
+    /// Watchers use the full fan-out in each round: only by their heartbeats do the others
+    /// learn which routers watch the store, and whether it answers them.
     fn fan_out(&self, has_update: bool) -> usize {
         let is_watching = *self.outputs.is_watching.borrow();
         let others = self.inputs.members.borrow().len();
@@ -320,7 +320,7 @@
     async fn local_state(&self) -> dispatch::News {
         let (reply, answer) = oneshot::channel();
         self.notify_dispatch(dispatch::Message::News(reply));
-        // The receiver lives as long as the process.
+        // The dispatch task lives as long as the process.
         answer.await.unwrap_or_default()
     }
 
