--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -61,6 +61,7 @@
     /// The checksum over all rows that it holds.
     pub checksum: u64,
     /// Whether the store has answered this router, or a watcher known to it, for some time.
+    #[serde(rename = "is_steady")]
     pub is_store_stable: bool,
     /// The routers known to watch the store.
     pub watchers: Vec<Watcher>,
--- a/crates/gateway/src/peers/watchers.rs
+++ b/crates/gateway/src/peers/watchers.rs
@@ -40,6 +40,7 @@
     /// Its heartbeat counter, which keeps growing across restarts.
     pub heartbeat: u64,
     /// Whether the store answers it.
+    #[serde(rename = "is_served")]
     pub is_store_reachable: bool,
 }
 
