--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -4,7 +4,7 @@
 
 use std::{collections::BTreeMap, net, time::Duration};
 
-use fleet::{Action, Fleet, Heard, Seed, spread};
+use fleet::{Action, Fleet, Received, Seed, revision_sync};
 use units::{availability, host, revision, time::Instant};
 use wire::{heartbeat, seal};
 
@@ -105,7 +105,7 @@
 #[derive(Debug)]
 struct Node {
     fleet: Fleet,
-    spread: spread::Spread,
+    spread: revision_sync::RevisionSync,
     sealer: seal::Sealer,
     zone: availability::Zone,
     tag: seal::Tag,
@@ -170,7 +170,11 @@
             let seed = random.hash();
             nodes.push(Node {
                 fleet: Fleet::new(settings, identity, BOOT, seed, Instant::ZERO),
-                spread: spread::Spread::new(spread::Settings::default(), seed, Instant::ZERO),
+                spread: revision_sync::RevisionSync::new(
+                    revision_sync::Settings::default(),
+                    seed,
+                    Instant::ZERO,
+                ),
                 sealer: seal::Sealer::new(&key, &host, BOOT),
                 tag: seal::Tag::new(&host),
                 zone,
@@ -226,14 +230,14 @@
             Event::Polled(node) => {
                 let revision = self.table(self.now - TABLE_TIME / 2);
                 self.apply(node, revision);
-                let outcome = spread::Outcome::Shows(revision);
-                self.nodes[node].spread.answered(outcome, self.now);
+                let outcome = revision_sync::Outcome::Succeeded(revision);
+                self.nodes[node].spread.record_outcome(outcome, self.now);
             }
             Event::Fetched(node, from) => {
-                let revision = self.nodes[from].spread.own().unwrap_or_default();
+                let revision = self.nodes[from].spread.applied().unwrap_or_default();
                 self.apply(node, revision);
-                let outcome = spread::Outcome::Shows(revision);
-                self.nodes[node].spread.answered(outcome, self.now);
+                let outcome = revision_sync::Outcome::Succeeded(revision);
+                self.nodes[node].spread.record_outcome(outcome, self.now);
                 self.drive(node);
             }
         }
@@ -252,27 +256,29 @@
     fn drive(&mut self, node: usize) {
         let target = &mut self.nodes[node];
         let zone = target.zone.clone();
-        target.spread.routers(target.fleet.live(&zone));
-        let duty = target.fleet.has_poll_duty();
-        target.spread.duty(duty, self.now);
+        target
+            .spread
+            .set_zone_routers(target.fleet.live_count(&zone));
+        let duty = target.fleet.is_designated_poller();
+        target.spread.set_designated_poller(duty, self.now);
         if !target.ready && target.spread.is_ready(self.now) {
             target.ready = true;
             self.give(node, fleet::Event::Ready);
         }
         match self.nodes[node].spread.step(self.now) {
-            spread::Step::Poll => {
+            revision_sync::Step::Poll => {
                 if self.counts() {
                     self.nodes[node].polls += 1;
                 }
                 self.queue.push(self.now + TABLE_TIME, Event::Polled(node));
             }
-            spread::Step::Fetch { address, .. } => {
+            revision_sync::Step::Fetch { address, .. } => {
                 let from = self.addresses[&address];
                 let round_trip = self.latency(node, from) * 2;
                 self.queue
                     .push(self.now + round_trip, Event::Fetched(node, from));
             }
-            spread::Step::Wait(_) => {}
+            revision_sync::Step::Wait(_) => {}
         }
     }
 
@@ -281,12 +287,12 @@
         for action in actions {
             match action {
                 Action::Send(send) => self.send(node, send),
-                Action::Newer {
+                Action::NewerRevision {
                     revision,
                     host,
                     address,
                 } => {
-                    self.nodes[node].spread.heard(host, address, revision);
+                    self.nodes[node].spread.add_source(host, address, revision);
                     self.drive(node);
                 }
                 _ => {}
@@ -324,14 +330,14 @@
         let frame = heartbeat::Frame::decode(&message.payload).expect("it was encoded just now");
         let sender = &self.nodes[message.from];
         let own = seal::Audience::Process(self.nodes[node].tag, BOOT);
-        let heard = Heard {
+        let heard = Received {
             from: net::SocketAddr::from(([10, 0, 0, message.from as u8], 7000)),
             tag: sender.tag,
             boot: BOOT,
             fresh: message.audience == own,
             frame,
         };
-        self.give(node, fleet::Event::Heard(Box::new(heard)));
+        self.give(node, fleet::Event::Heartbeat(Box::new(heard)));
     }
 
     fn traffic(&self) -> Traffic {
--- a/crates/fleet/benches/membership.rs
+++ b/crates/fleet/benches/membership.rs
@@ -3,7 +3,7 @@
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use fleet::{Event, Fleet, Heard, Settings};
+use fleet::{Event, Fleet, Received, Settings};
 use units::{backend, host, revision, time::Instant};
 use wire::{
     heartbeat::{Frame, Identity, Kind, Load, Phase},
@@ -24,7 +24,7 @@
     }
 }
 
-fn heard(index: usize, version: u32) -> Event {
+fn received(index: usize, version: u32) -> Event {
     let identity = identity(index);
     let frame = Frame {
         kind: Kind::Beat,
@@ -41,7 +41,7 @@
         totals: [].into_iter().collect(),
         strikes: [].into_iter().collect(),
     };
-    Event::Heard(Box::new(Heard {
+    Event::Heartbeat(Box::new(Received {
         from: identity.address,
         tag: seal::Tag::new(&identity.host),
         boot: Boot(1),
@@ -55,7 +55,7 @@
     let now = Instant::from_millis(1000);
     let mut fleet = Fleet::new(Settings::default(), identity(0), Boot(1), 1, now);
     for index in 1..size {
-        fleet.handle(heard(index, 1), now);
+        fleet.handle(received(index, 1), now);
     }
     (fleet, now)
 }
@@ -69,7 +69,7 @@
             bencher.iter_batched(
                 || {
                     version += 1;
-                    heard(1, version)
+                    received(1, version)
                 },
                 |event| black_box(fleet.handle(event, now)),
                 criterion::BatchSize::SmallInput,
@@ -92,7 +92,7 @@
                     if now.as_micros().is_multiple_of(1_000_000) {
                         version += 1;
                         (1..size).for_each(|index| {
-                            fleet.handle(heard(index, version), now);
+                            fleet.handle(received(index, version), now);
                         });
                     }
                     let start = std::time::Instant::now();
--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -20,7 +20,7 @@
 
 /// A heartbeat that was received, opened and decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Heard {
+pub struct Received {
     /// Where the datagram came from.
     pub from: net::SocketAddr,
     /// The sender's tag, from the seal.
@@ -39,7 +39,7 @@
     /// The time of one [`crate::Settings::tick`] passed.
     Tick,
     /// A heartbeat arrived.
-    Heard(Box<Heard>),
+    Heartbeat(Box<Received>),
     /// The platform gave its list of live routers, which may lag.
     Hosts(Vec<Seed>),
     /// This router applied a revision of the configuration.
@@ -86,10 +86,10 @@
         /// Its phase.
         phase: heartbeat::Phase,
     },
-    /// This router's own right to act as an owner changed; see [`crate::Fleet::is_sure`].
-    Sure(bool),
-    /// A router has a higher revision than this one: hand it to [`crate::spread::Spread`].
-    Newer {
+    /// This router's own right to act as an owner changed; see [`crate::Fleet::is_view_trusted`].
+    ViewTrusted(bool),
+    /// A router has a higher revision than this one: hand it to [`crate::revision_sync::RevisionSync`].
+    NewerRevision {
         /// The revision.
         revision: revision::Id,
         /// The router that applied it.
@@ -103,5 +103,5 @@
     Strike(Strike),
     /// The boot number is too low, since a clock went back: make the
     /// [`seal::Sealer`] and the [`seal::Opener`] anew with this one.
-    Reboot(seal::Boot),
+    BootChanged(seal::Boot),
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The state of one router's membership.
 
-mod hear;
-mod reach;
-mod speak;
+mod join;
+mod receive;
+mod send;
 mod timers;
 mod view;
 
@@ -18,11 +18,11 @@
     Region, Settings,
     event::{Action, Event, Seed},
     flap::Flaps,
-    load::Zones,
-    pause::Pause,
-    roster::{Change, Roster},
-    rumor::Rumors,
+    load::ZoneTotals,
+    member_list::{Change, MemberList},
+    pause::PauseDetector,
     strike::Strikes,
+    update_queue::UpdateQueue,
 };
 
 /// Actions that follow from one event.
@@ -42,18 +42,18 @@
     revision: revision::Id,
     load: heartbeat::Load,
     version: u32,
-    roster: Roster,
-    zones: Zones,
-    rumors: Rumors,
+    member_list: MemberList,
+    zone_totals: ZoneTotals,
+    update_queue: UpdateQueue,
     strikes: Strikes,
     flaps: Flaps,
-    pause: Pause,
-    was_sure: bool,
-    told_load: heartbeat::Load,
+    pause_detector: PauseDetector,
+    was_trusted: bool,
+    reported_load: heartbeat::Load,
     /// The hosts of the region on the platform's list.
     listed: BTreeMap<host::Id, Seed>,
     /// The hosts of other regions on the platform's list.
-    distant: BTreeMap<host::Id, Seed>,
+    remote: BTreeMap<host::Id, Seed>,
     rng: ChaCha8Rng,
     timers: timers::Timers,
 }
@@ -70,8 +70,12 @@
         Self {
             region: Region::of(&identity.zone),
             zone_tag: heartbeat::ZoneTag::new(&identity.zone),
-            roster: Roster::new(identity.host.clone(), identity.zone.clone()),
-            pause: Pause::new(now, settings.pause, settings.grace),
+            member_list: MemberList::new(identity.host.clone(), identity.zone.clone()),
+            pause_detector: PauseDetector::new(
+                now,
+                settings.pause_threshold,
+                settings.grace_period,
+            ),
             timers: timers::Timers::new(now),
             settings,
             identity,
@@ -84,14 +88,14 @@
             revision: revision::Id::default(),
             load: heartbeat::Load::default(),
             version: 0,
-            zones: Zones::default(),
-            rumors: Rumors::default(),
+            zone_totals: ZoneTotals::default(),
+            update_queue: UpdateQueue::default(),
             strikes: Strikes::default(),
             flaps: Flaps::default(),
-            was_sure: false,
-            told_load: heartbeat::Load::default(),
+            was_trusted: false,
+            reported_load: heartbeat::Load::default(),
             listed: BTreeMap::new(),
-            distant: BTreeMap::new(),
+            remote: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -99,13 +103,13 @@
     /// Takes in an event and says what follows.
     pub fn handle(&mut self, event: Event, now: time::Instant) -> Actions {
         let mut out = Actions::new();
-        if self.pause.observe(now) {
-            self.wake(now);
+        if self.pause_detector.observe(now) {
+            self.handle_resume(now);
         }
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Heard(heard) => self.hear(&heard, now, &mut out),
-            Event::Hosts(seeds) => self.list(seeds),
+            Event::Heartbeat(received) => self.receive(&received, now, &mut out),
+            Event::Hosts(seeds) => self.set_hosts(seeds),
             Event::Applied(revision) => self.applied(revision, now),
             Event::Ready => self.set_ready(now),
             Event::Load(load) => self.load = load,
@@ -117,17 +121,17 @@
             Event::Leaving => self.enter(heartbeat::Phase::Leaving, now),
             Event::Left => self.leave(now, &mut out),
         }
-        self.report(now, &mut out);
+        self.report_trust(now, &mut out);
         out
     }
 
-    fn list(&mut self, seeds: Vec<Seed>) {
-        let own = self.identity.host.clone();
-        let others = seeds.into_iter().filter(|seed| seed.host != own);
-        let (listed, distant) = others.partition::<Vec<_>, _>(|s| self.region.contains(&s.zone));
+    fn set_hosts(&mut self, seeds: Vec<Seed>) {
+        let local = self.identity.host.clone();
+        let others = seeds.into_iter().filter(|seed| seed.host != local);
+        let (listed, remote) = others.partition::<Vec<_>, _>(|s| self.region.contains(&s.zone));
         let by_host = |seed: Seed| (seed.host.clone(), seed);
         self.listed = listed.into_iter().map(by_host).collect();
-        self.distant = distant.into_iter().map(by_host).collect();
+        self.remote = remote.into_iter().map(by_host).collect();
     }
 
     fn applied(&mut self, revision: revision::Id, now: time::Instant) {
@@ -146,10 +150,10 @@
         now: time::Instant,
     ) {
         let [a, b, c, d, ..] = attempt.0.to_le_bytes();
-        let learned = self
+        let recorded = self
             .strikes
-            .learn(fingerprint, [a, b, c, d], expires_at, now);
-        if learned.is_some() {
+            .record(fingerprint, [a, b, c, d], expires_at, now);
+        if recorded.is_some() {
             self.timers.push(now);
         }
     }
@@ -167,11 +171,11 @@
         ) {
             return;
         }
-        if self.timers.hold_until > now && !self.zone_has_owner() {
+        if self.timers.hold_down_until > now && !self.zone_has_owner() {
             // When all routers of a zone flap, somebody has to serve.
-            self.timers.hold_until = time::Instant::ZERO;
+            self.timers.hold_down_until = time::Instant::ZERO;
         }
-        let phase = if self.ready && self.timers.hold_until <= now {
+        let phase = if self.ready && self.timers.hold_down_until <= now {
             heartbeat::Phase::Ready
         } else {
             heartbeat::Phase::Starting
@@ -181,7 +185,7 @@
 
     /// Whether another router of the zone may own engines, so that this one can be spared.
     fn zone_has_owner(&self) -> bool {
-        self.roster
+        self.member_list
             .live_in_zone()
             .any(|member| member.phase.may_own())
     }
@@ -195,82 +199,84 @@
             self.incarnation.refutation += 1;
         }
         self.phase = phase;
-        self.tell_of_self(now);
+        self.queue_local_update(now);
     }
 
-    fn tell_of_self(&mut self, now: time::Instant) {
+    fn queue_local_update(&mut self, now: time::Instant) {
         let host = self.identity.host.clone();
-        self.rumors.add(&host);
+        self.update_queue.enqueue(&host);
         self.timers.push(now);
     }
 
     /// How many routers of the region are thought to run.
     fn size(&self) -> usize {
-        self.roster.live().count() + 1
+        self.member_list.live().count() + 1
     }
 
     /// Takes in a claim about another router.
-    fn learn(
+    fn apply_update(
         &mut self,
-        claim: &heartbeat::Member,
+        update: &heartbeat::Member,
         now: time::Instant,
         out: &mut Actions,
     ) -> Change {
-        let before = self.roster.get(&claim.host);
+        let before = self.member_list.get(&update.host);
         let was_live = before.is_some_and(|member| member.phase.is_live());
         let boot = before.map(|member| member.incarnation.boot);
-        let change = self.roster.learn(claim, &self.settings, now);
+        let change = self.member_list.apply_update(update, &self.settings, now);
         if change == Change::None {
             return change;
         }
-        let returned = claim.phase.is_live() && (!was_live || boot != Some(claim.incarnation.boot));
+        let returned =
+            update.phase.is_live() && (!was_live || boot != Some(update.incarnation.boot));
         if returned {
-            self.flaps.note(&claim.host, &self.settings, now);
-            self.timers.reach_fast(now, &self.settings);
+            self.flaps.record_join(&update.host, &self.settings, now);
+            self.timers.reconnect_fast(now, &self.settings);
         }
-        self.rumors.add(&claim.host);
+        self.update_queue.enqueue(&update.host);
         self.timers.changed_at = now;
         self.timers.push(now);
         if change == Change::Phase {
             out.push(Action::Phase {
-                host: claim.host.clone(),
-                phase: claim.phase,
+                host: update.host.clone(),
+                phase: update.phase,
             });
         }
         change
     }
 
     /// Denies a claim that this router does not run, or runs as another process.
-    fn refute(&mut self, claim: &heartbeat::Member, now: time::Instant, out: &mut Actions) {
-        if claim.incarnation.boot > self.incarnation.boot {
+    fn refute(&mut self, update: &heartbeat::Member, now: time::Instant, out: &mut Actions) {
+        if update.incarnation.boot > self.incarnation.boot {
             // A clock went back, or a process with this name ran elsewhere. The
             // others ignore all that this one says, until its boot is higher.
             self.incarnation = heartbeat::Incarnation {
-                boot: seal::Boot(claim.incarnation.boot.0 + 1),
+                boot: seal::Boot(update.incarnation.boot.0 + 1),
                 refutation: 0,
             };
-            out.push(Action::Reboot(self.incarnation.boot));
-            self.tell_of_self(now);
+            out.push(Action::BootChanged(self.incarnation.boot));
+            self.queue_local_update(now);
             return;
         }
-        let order = (claim.incarnation, claim.phase);
-        if order <= (self.incarnation, self.phase) {
+        let update_order = (update.incarnation, update.phase);
+        if update_order <= (self.incarnation, self.phase) {
             return;
         }
-        self.incarnation.refutation = claim.incarnation.refutation + 1;
-        if claim.phase == heartbeat::Phase::Down {
-            self.given_up(now);
+        self.incarnation.refutation = update.incarnation.refutation + 1;
+        if update.phase == heartbeat::Phase::Down {
+            self.handle_declared_down(now);
         }
-        self.tell_of_self(now);
+        self.queue_local_update(now);
     }
 
     /// Others took over this router's engines: it waits until all know of its return.
-    fn given_up(&mut self, now: time::Instant) {
-        self.pause.settle(now + self.settings.settle);
+    fn handle_declared_down(&mut self, now: time::Instant) {
+        self.pause_detector
+            .delay_until(now + self.settings.settle_time);
         let host = self.identity.host.clone();
-        self.flaps.note(&host, &self.settings, now);
-        let hold = self.flaps.hold(&host, &self.settings);
-        self.timers.hold_until = self.timers.hold_until.max(now + hold);
+        self.flaps.record_join(&host, &self.settings, now);
+        let hold_down = self.flaps.hold_down(&host, &self.settings);
+        self.timers.hold_down_until = self.timers.hold_down_until.max(now + hold_down);
         self.settle_phase(now);
     }
 
@@ -278,26 +284,26 @@
     ///
     /// The others seem silent because this process did not run. Without a new
     /// start of all watches it would declare them all suspect at once.
-    fn wake(&mut self, now: time::Instant) {
-        self.pause
-            .distrust(now, self.settings.grace, self.version + 1);
-        for member in self.roster.iter_mut() {
-            if member.watched_at.is_some() {
-                member.watched_at = Some(now);
+    fn handle_resume(&mut self, now: time::Instant) {
+        self.pause_detector
+            .distrust(now, self.settings.grace_period, self.version + 1);
+        for member in self.member_list.iter_mut() {
+            if member.watched_since.is_some() {
+                member.watched_since = Some(now);
             }
             if member.phase == heartbeat::Phase::Suspect {
-                member.down_at = now + self.settings.suspicion;
+                member.down_at = now + self.settings.suspicion_timeout;
             }
         }
         self.timers.rejoin(now);
     }
 
     /// Reports what changed by the event or by the time.
-    fn report(&mut self, now: time::Instant, out: &mut Actions) {
-        let sure = self.is_sure(now);
-        if sure != self.was_sure {
-            self.was_sure = sure;
-            out.push(Action::Sure(sure));
+    fn report_trust(&mut self, now: time::Instant, out: &mut Actions) {
+        let trusted = self.is_view_trusted(now);
+        if trusted != self.was_trusted {
+            self.was_trusted = trusted;
+            out.push(Action::ViewTrusted(trusted));
         }
     }
 }
--- a/crates/fleet/src/fleet/reach.rs
+++ b/crates/fleet/src/fleet/join.rs
@@ -4,7 +4,7 @@
 use units::{host, time};
 use wire::{heartbeat, seal};
 
-use super::{Actions, Fleet, speak::Content};
+use super::{Actions, Fleet, send::Content};
 
 /// The time between attempts to join.
 const JOIN_TICKS: u32 = 3;
@@ -17,21 +17,21 @@
             return;
         }
         self.timers.join_at = now + self.settings.tick * JOIN_TICKS;
-        let live: Vec<host::Id> = self.roster.live().map(|m| m.host.clone()).collect();
+        let live: Vec<host::Id> = self.member_list.live().map(|m| m.host.clone()).collect();
         for host in live.sample(&mut self.rng, JOIN_FANOUT) {
             self.send_join(host, now, out);
         }
-        let listed: Vec<host::Id> = self.unknown();
+        let listed: Vec<host::Id> = self.unknown_hosts();
         for host in listed.sample(&mut self.rng, JOIN_FANOUT) {
-            self.introduce(heartbeat::Kind::Join, host, now, out);
+            self.send_introduction(heartbeat::Kind::Join, host, now, out);
         }
     }
 
     /// Ends: tells the watchers and a few others at once, since no tick follows.
     pub(super) fn leave(&mut self, now: time::Instant, out: &mut Actions) {
         self.enter(heartbeat::Phase::Left, now);
-        let live: Vec<host::Id> = self.roster.live().map(|m| m.host.clone()).collect();
-        let mut targets: Vec<host::Id> = self.roster.watchers().to_vec();
+        let live: Vec<host::Id> = self.member_list.live().map(|m| m.host.clone()).collect();
+        let mut targets: Vec<host::Id> = self.member_list.watchers().to_vec();
         targets.extend(live.sample(&mut self.rng, self.settings.fanout).cloned());
         for host in &targets {
             self.send_to(heartbeat::Kind::Beat, host, Content::PUSH, now, out);
@@ -40,62 +40,62 @@
 
     /// Probes a router that is down or was never heard, so that halves of a
     /// fleet that was cut in two find each other again.
-    pub(super) fn reach(&mut self, now: time::Instant, out: &mut Actions) {
-        if now < self.timers.reach_at {
+    pub(super) fn reconnect(&mut self, now: time::Instant, out: &mut Actions) {
+        if now < self.timers.reconnect_at {
             return;
         }
-        let fast = now < self.timers.reach_fast_until;
-        let wait = if fast {
+        let fast = now < self.timers.fast_reconnect_until;
+        let interval = if fast {
             self.settings.tick * 2
         } else {
-            self.settings.reach
+            self.settings.reconnect_interval
         };
-        self.timers.reach_at = now + wait.mul_f64(self.rng.random_range(0.8..1.2));
-        let down = self.roster.iter();
+        self.timers.reconnect_at = now + interval.mul_f64(self.rng.random_range(0.8..1.2));
+        let down = self.member_list.iter();
         let down = down.filter(|member| member.phase == heartbeat::Phase::Down);
         let mut hosts: Vec<host::Id> = down.map(|member| member.host.clone()).collect();
-        hosts.extend(self.unknown());
+        hosts.extend(self.unknown_hosts());
         if let Some(host) = hosts.choose(&mut self.rng) {
             let host = host.clone();
-            self.introduce(heartbeat::Kind::Probe, &host, now, out);
+            self.send_introduction(heartbeat::Kind::Probe, &host, now, out);
         }
     }
 
     /// The hosts of the region's list that are no members.
-    fn unknown(&self) -> Vec<host::Id> {
+    fn unknown_hosts(&self) -> Vec<host::Id> {
         let listed = self.listed.keys();
-        let unknown = listed.filter(|host| self.roster.get(host).is_none());
+        let unknown = listed.filter(|host| self.member_list.get(host).is_none());
         unknown.cloned().collect()
     }
 
-    pub(super) fn reach_distant(&mut self, now: time::Instant, out: &mut Actions) {
-        if now < self.timers.distant_at {
+    pub(super) fn probe_remote_if_due(&mut self, now: time::Instant, out: &mut Actions) {
+        if now < self.timers.remote_probe_at {
             return;
         }
-        let spread = self.rng.random_range(0.8..1.2);
-        self.timers.distant_at = now + self.settings.distant.mul_f64(spread);
-        self.probe_distant(now, out);
+        let jitter = self.rng.random_range(0.8..1.2);
+        self.timers.remote_probe_at = now + self.settings.remote_probe_interval.mul_f64(jitter);
+        self.probe_remote(now, out);
     }
 
-    pub(super) fn probe_distant(&mut self, now: time::Instant, out: &mut Actions) {
-        let hosts: Vec<&host::Id> = self.distant.keys().collect();
+    pub(super) fn probe_remote(&mut self, now: time::Instant, out: &mut Actions) {
+        let hosts: Vec<&host::Id> = self.remote.keys().collect();
         let Some(host) = hosts.choose(&mut self.rng) else {
             return;
         };
         let host = (*host).clone();
-        self.introduce(heartbeat::Kind::Probe, &host, now, out);
+        self.send_introduction(heartbeat::Kind::Probe, &host, now, out);
     }
 
     /// Tells a listed or a lost host who this router is; the host's boot is not known.
-    fn introduce(
+    fn send_introduction(
         &mut self,
         kind: heartbeat::Kind,
         host: &host::Id,
         now: time::Instant,
         out: &mut Actions,
     ) {
-        let listed = self.listed.get(host).or_else(|| self.distant.get(host));
-        let known = self.roster.get(host).map(|member| member.address);
+        let listed = self.listed.get(host).or_else(|| self.remote.get(host));
+        let known = self.member_list.get(host).map(|member| member.address);
         let Some(to) = listed.map(|seed| seed.address).or(known) else {
             return;
         };
--- a/crates/fleet/src/fleet/speak.rs
+++ b/crates/fleet/src/fleet/send.rs
@@ -11,7 +11,7 @@
     event::{Action, Send},
     load,
     member::Member,
-    roster,
+    member_list,
 };
 
 /// How often a router passes on one and the same summary of another.
@@ -41,19 +41,19 @@
         identity: false,
     };
     /// A beat to a router of another zone that watches this one.
-    pub(super) const OUTSIDE: Self = Self {
+    pub(super) const OTHER_ZONE: Self = Self {
         totals: 1,
         ..Self::BEAT
     };
     /// A beat to a router below this one in the tree of the zone.
-    pub(super) const DOWN: Self = Self {
+    pub(super) const TO_CHILD: Self = Self {
         totals: 3,
         ..Self::BEAT
     };
     /// A beat to the router above this one in the tree of the zone.
-    pub(super) const UP: Self = Self {
+    pub(super) const TO_PARENT: Self = Self {
         subtree: true,
-        ..Self::DOWN
+        ..Self::TO_CHILD
     };
     /// What others told of themselves, for a random router of the zone.
     pub(super) const GOSSIP: Self = Self {
@@ -104,12 +104,12 @@
         now: time::Instant,
         out: &mut Actions,
     ) {
-        let Some(member) = self.roster.get(host) else {
+        let Some(member) = self.member_list.get(host) else {
             return;
         };
         let (to, audience) = (member.address, member.audience());
         let content = Content {
-            identity: content.identity || !member.acquainted,
+            identity: content.identity || !member.knows_identity,
             ..content
         };
         let frame = self.frame(kind, Some(host), content, now);
@@ -122,36 +122,41 @@
     }
 
     /// Tells `to` what this router holds of it, so that it can deny it.
-    pub(super) fn confront(&mut self, host: &host::Id, now: time::Instant, out: &mut Actions) {
-        let Some(member) = self.roster.get(host) else {
+    pub(super) fn request_refutation(
+        &mut self,
+        host: &host::Id,
+        now: time::Instant,
+        out: &mut Actions,
+    ) {
+        let Some(member) = self.member_list.get(host) else {
             return;
         };
-        let (to, audience, claim) = (member.address, member.audience(), member.claim());
+        let (to, audience, update) = (member.address, member.audience(), member.to_update());
         let mut frame = self.frame(
             heartbeat::Kind::Beat,
             Some(host),
             Content::INTRODUCTION,
             now,
         );
-        frame.updates.push(claim);
+        frame.updates.push(update);
         self.send(to, audience, frame, out);
     }
 
     /// Sends the whole list of members, this router left out, in a few heartbeats.
     pub(super) fn send_members(&mut self, host: &host::Id, now: time::Instant, out: &mut Actions) {
-        let claims: Vec<heartbeat::Member> = self
-            .roster
+        let updates: Vec<heartbeat::Member> = self
+            .member_list
             .iter()
             .filter(|member| member.host != *host)
-            .map(Member::claim)
+            .map(Member::to_update)
             .collect();
-        let Some(member) = self.roster.get(host) else {
+        let Some(member) = self.member_list.get(host) else {
             return;
         };
         let (to, audience) = (member.address, member.audience());
-        for part in claims.chunks(heartbeat::MAX_UPDATES) {
+        for chunk in updates.chunks(heartbeat::MAX_UPDATES) {
             let mut frame = self.frame(heartbeat::Kind::Beat, Some(host), Content::default(), now);
-            frame.updates = part.iter().cloned().collect();
+            frame.updates = chunk.iter().cloned().collect();
             self.send(to, audience, frame, out);
         }
     }
@@ -165,7 +170,7 @@
     ) -> heartbeat::Frame {
         self.version += 1;
         let same_zone = to
-            .and_then(|host| self.roster.get(host))
+            .and_then(|host| self.member_list.get(host))
             .is_some_and(|member| member.zone == self.identity.zone);
         let summaries = if same_zone { content.summaries } else { 0 };
         heartbeat::Frame {
@@ -177,7 +182,7 @@
             load: self.load,
             digest: self.digest(),
             identity: content.identity.then(|| self.identity.clone()),
-            updates: self.news(content.updates),
+            updates: self.queued_updates(content.updates),
             subtree: content.subtree.then(|| self.subtree(now)),
             summaries: self.summaries(summaries, to, now),
             totals: self.totals(content.totals, same_zone, now),
@@ -187,22 +192,25 @@
 
     /// The hash of what this router knows of the live members, itself included.
     pub(super) fn digest(&self) -> [u8; 4] {
-        (self.roster.digest() ^ roster::hash(&self.own_claim())).to_le_bytes()
+        (self.member_list.digest() ^ member_list::digest_of(&self.local_update())).to_le_bytes()
     }
 
-    fn news(&mut self, count: usize) -> SmallVec<[heartbeat::Member; 2]> {
-        let hosts = self.rumors.take(count, self.size());
-        hosts.iter().filter_map(|host| self.claim(host)).collect()
+    fn queued_updates(&mut self, count: usize) -> SmallVec<[heartbeat::Member; 2]> {
+        let hosts = self.update_queue.take(count, self.size());
+        hosts
+            .iter()
+            .filter_map(|host| self.update_for(host))
+            .collect()
     }
 
-    fn claim(&self, host: &host::Id) -> Option<heartbeat::Member> {
+    fn update_for(&self, host: &host::Id) -> Option<heartbeat::Member> {
         if *host == self.identity.host {
-            return Some(self.own_claim());
+            return Some(self.local_update());
         }
-        self.roster.get(host).map(Member::claim)
+        self.member_list.get(host).map(Member::to_update)
     }
 
-    fn own_claim(&self) -> heartbeat::Member {
+    fn local_update(&self) -> heartbeat::Member {
         heartbeat::Member {
             host: self.identity.host.clone(),
             zone: self.identity.zone.clone(),
@@ -224,19 +232,26 @@
         }
         let expiry = self.settings.load_expiry;
         let zone = &self.identity.zone;
-        let mut order: Vec<&mut Member> = self
-            .roster
+        let mut candidates: Vec<&mut Member> = self
+            .member_list
             .iter_mut()
             .filter(|member| member.zone == *zone && member.phase.is_live())
-            .filter(|member| to != Some(&member.host) && member.told < SUMMARY_TRANSMISSIONS)
-            .filter(|member| member.told_at.is_some_and(|at| now.since(at) <= expiry))
+            .filter(|member| {
+                to != Some(&member.host) && member.summary_transmissions < SUMMARY_TRANSMISSIONS
+            })
+            .filter(|member| member.reported_at.is_some_and(|at| now.since(at) <= expiry))
             .collect();
-        order.sort_by_key(|member| (member.told, std::cmp::Reverse(member.told_at)));
-        order
+        candidates.sort_by_key(|member| {
+            (
+                member.summary_transmissions,
+                std::cmp::Reverse(member.reported_at),
+            )
+        });
+        candidates
             .into_iter()
             .take(count)
             .map(|member| {
-                member.told += 1;
+                member.summary_transmissions += 1;
                 member.summary()
             })
             .collect()
@@ -252,20 +267,20 @@
         if count == 0 {
             return SmallVec::new();
         }
-        let own = self.own_total(now);
+        let local = self.local_zone_total(now);
         if !same_zone {
-            return own.into_iter().collect();
+            return local.into_iter().collect();
         }
-        let others = self.zones.totals(now);
+        let others = self.zone_totals.totals(now);
         let others = others.filter(|total| total.zone != self.zone_tag);
-        own.into_iter().chain(others).take(count).collect()
+        local.into_iter().chain(others).take(count).collect()
     }
 
     /// The total of the own zone: summed up here at the root of the tree, else as heard.
-    pub(super) fn own_total(&self, now: time::Instant) -> Option<heartbeat::Total> {
-        if !self.roster.place().is_root() {
+    pub(super) fn local_zone_total(&self, now: time::Instant) -> Option<heartbeat::Total> {
+        if !self.member_list.tree_position().is_root() {
             return self
-                .zones
+                .zone_totals
                 .totals(now)
                 .find(|total| total.zone == self.zone_tag);
         }
@@ -280,16 +295,16 @@
 
     /// The sum over this router and those below it in the tree of the zone.
     fn subtree(&self, now: time::Instant) -> heartbeat::Subtree {
-        let own = heartbeat::Subtree {
+        let local = heartbeat::Subtree {
             lowest: self.revision,
             load: self.load,
         };
-        let children = self.roster.place().children.iter();
-        let told = children.filter_map(|host| self.roster.get(host)?.subtree);
-        let recent = told.filter(|(_, at)| now.since(*at) <= self.settings.load_expiry);
-        recent.fold(own, |sum, (part, _)| heartbeat::Subtree {
-            lowest: sum.lowest.min(part.lowest),
-            load: load::add(sum.load, part.load),
+        let children = self.member_list.tree_position().children.iter();
+        let reported = children.filter_map(|host| self.member_list.get(host)?.subtree);
+        let recent = reported.filter(|(_, at)| now.since(*at) <= self.settings.load_expiry);
+        recent.fold(local, |sum, (subtree, _)| heartbeat::Subtree {
+            lowest: sum.lowest.min(subtree.lowest),
+            load: load::add(sum.load, subtree.load),
         })
     }
 }
--- a/crates/fleet/src/fleet/view.rs
+++ b/crates/fleet/src/fleet/view.rs
@@ -26,17 +26,20 @@
 
     /// The other routers of the region that are remembered, in order of their names.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
-        self.roster.iter()
+        self.member_list.iter()
     }
 
     /// What is known of `host`, if it is another router of the region.
     pub fn member(&self, host: &host::Id) -> Option<&Member> {
-        self.roster.get(host)
+        self.member_list.get(host)
     }
 
     /// How many routers of `zone` are live, this one included.
-    pub fn live(&self, zone: &availability::Zone) -> usize {
-        let others = self.roster.live().filter(|member| member.zone == *zone);
+    pub fn live_count(&self, zone: &availability::Zone) -> usize {
+        let others = self
+            .member_list
+            .live()
+            .filter(|member| member.zone == *zone);
         others.count() + usize::from(self.identity.zone == *zone)
     }
 
@@ -44,8 +47,8 @@
     ///
     /// It may not before it joined, and not after a pause until others answered
     /// or the grace passed: they may have taken over meanwhile.
-    pub fn is_sure(&self, now: time::Instant) -> bool {
-        self.pause.is_sure(now)
+    pub fn is_view_trusted(&self, now: time::Instant) -> bool {
+        self.pause_detector.is_view_trusted(now)
     }
 
     /// The routers that own engines, this one included while it is sure of its view.
@@ -53,10 +56,15 @@
         &self,
         now: time::Instant,
     ) -> impl Iterator<Item = (&host::Id, &availability::Zone)> {
-        let own = self.phase.may_own() && self.is_sure(now);
-        let own = own.then_some((&self.identity.host, &self.identity.zone));
-        let others = self.roster.iter().filter(|member| member.phase.may_own());
-        others.map(|member| (&member.host, &member.zone)).chain(own)
+        let local = self.phase.may_own() && self.is_view_trusted(now);
+        let local = local.then_some((&self.identity.host, &self.identity.zone));
+        let others = self
+            .member_list
+            .iter()
+            .filter(|member| member.phase.may_own());
+        others
+            .map(|member| (&member.host, &member.zone))
+            .chain(local)
     }
 
     /// The router that owns `server` of `zone`.
@@ -83,11 +91,14 @@
     ///
     /// Polls at random moments leave long gaps now and then, in which a change
     /// goes unseen. If the one on duty is lost, the others' random polls remain.
-    pub fn has_poll_duty(&self) -> bool {
+    pub fn is_designated_poller(&self) -> bool {
         let hash = |host: &host::Id| xxh3::xxh3_64(host.as_str().as_bytes());
-        let own = hash(&self.identity.host);
-        let mut others = self.roster.live_in_zone().filter(|m| m.phase.may_own());
-        self.phase.may_own() && others.all(|member| hash(&member.host) > own)
+        let local = hash(&self.identity.host);
+        let mut others = self
+            .member_list
+            .live_in_zone()
+            .filter(|m| m.phase.may_own());
+        self.phase.may_own() && others.all(|member| hash(&member.host) > local)
     }
 
     /// The sum of the load over the engines of this router's zone.
@@ -95,12 +106,12 @@
     /// It is the total that came down the tree of the zone, or, until one came,
     /// the sum of what was heard of single routers.
     pub fn zone_load(&self, now: time::Instant) -> heartbeat::Load {
-        if let Some(total) = self.own_total(now) {
+        if let Some(total) = self.local_zone_total(now) {
             return total.load;
         }
-        self.roster
+        self.member_list
             .live_in_zone()
-            .filter(|member| self.is_told(member, now))
+            .filter(|member| self.has_recent_report(member, now))
             .fold(self.load, |sum, member| load::add(sum, member.load))
     }
 
@@ -108,7 +119,7 @@
     ///
     /// What is older than [`Settings::load_expiry`] is left out.
     pub fn region_load(&self, now: time::Instant) -> heartbeat::Load {
-        load::add(self.zone_load(now), self.zones.others(self.zone_tag))
+        load::add(self.zone_load(now), self.zone_totals.others(self.zone_tag))
     }
 
     /// What is known of the strikes against a request.
@@ -125,9 +136,9 @@
         self.strikes.causes(fingerprint, now)
     }
 
-    fn is_told(&self, member: &Member, now: time::Instant) -> bool {
+    fn has_recent_report(&self, member: &Member, now: time::Instant) -> bool {
         member
-            .told_at
+            .reported_at
             .is_some_and(|at| now.since(at) <= self.settings.load_expiry)
     }
 }
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -12,8 +12,8 @@
 
 /// The sums over the zones of the region.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Zones {
-    known: BTreeMap<heartbeat::ZoneTag, Sum>,
+pub(crate) struct ZoneTotals {
+    sums: BTreeMap<heartbeat::ZoneTag, Sum>,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -24,15 +24,15 @@
     load: heartbeat::Load,
 }
 
-impl Zones {
+impl ZoneTotals {
     /// Takes over a total that is newer than what is known.
-    pub(crate) fn learn(&mut self, total: &heartbeat::Total, now: time::Instant) {
+    pub(crate) fn update(&mut self, total: &heartbeat::Total, now: time::Instant) {
         let taken_at = now - Duration::from_millis(u64::from(total.age));
-        let known = self.known.get(&total.zone);
+        let known = self.sums.get(&total.zone);
         if known.is_some_and(|sum| sum.taken_at >= taken_at) {
             return;
         }
-        if known.is_none() && self.known.len() >= MAX_ZONES {
+        if known.is_none() && self.sums.len() >= MAX_ZONES {
             return;
         }
         let sum = Sum {
@@ -40,12 +40,12 @@
             lowest: total.lowest,
             load: total.load,
         };
-        self.known.insert(total.zone, sum);
+        self.sums.insert(total.zone, sum);
     }
 
     /// What is known of all zones.
     pub(crate) fn totals(&self, now: time::Instant) -> impl Iterator<Item = heartbeat::Total> {
-        self.known.iter().map(move |(zone, sum)| heartbeat::Total {
+        self.sums.iter().map(move |(zone, sum)| heartbeat::Total {
             zone: *zone,
             age: u32::try_from(now.since(sum.taken_at).as_millis()).unwrap_or(u32::MAX),
             lowest: sum.lowest,
@@ -54,15 +54,15 @@
     }
 
     /// The sum over all zones but `own`.
-    pub(crate) fn others(&self, own: heartbeat::ZoneTag) -> heartbeat::Load {
-        let others = self.known.iter().filter(|(zone, _)| **zone != own);
+    pub(crate) fn others(&self, local: heartbeat::ZoneTag) -> heartbeat::Load {
+        let others = self.sums.iter().filter(|(zone, _)| **zone != local);
         others.fold(heartbeat::Load::default(), |sum, (_, zone)| {
             add(sum, zone.load)
         })
     }
 
     pub(crate) fn expire(&mut self, age: Duration, now: time::Instant) {
-        self.known.retain(|_, sum| now.since(sum.taken_at) <= age);
+        self.sums.retain(|_, sum| now.since(sum.taken_at) <= age);
     }
 }
 
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -23,49 +23,49 @@
     /// The load that it last told of.
     pub load: heartbeat::Load,
     /// When it told of the revision and the load.
-    pub told_at: Option<time::Instant>,
+    pub reported_at: Option<time::Instant>,
     pub(crate) tag: seal::Tag,
     pub(crate) short_tag: heartbeat::Tag,
     pub(crate) version: u32,
-    pub(crate) heard_at: Option<time::Instant>,
+    pub(crate) last_heartbeat_at: Option<time::Instant>,
     /// Since when this router watches it, if it does.
-    pub(crate) watched_at: Option<time::Instant>,
+    pub(crate) watched_since: Option<time::Instant>,
     /// Until when it is watched although the ring does not say so.
-    pub(crate) alarm_until: time::Instant,
+    pub(crate) outage_probe_until: time::Instant,
     /// What it last told of itself and the routers below it, and when.
     pub(crate) subtree: Option<(heartbeat::Subtree, time::Instant)>,
     pub(crate) down_at: time::Instant,
-    pub(crate) forget_at: time::Instant,
-    pub(crate) acquainted: bool,
-    pub(crate) told: u8,
+    pub(crate) remove_at: time::Instant,
+    pub(crate) knows_identity: bool,
+    pub(crate) summary_transmissions: u8,
 }
 
 impl Member {
-    pub(crate) fn new(claim: heartbeat::Member) -> Self {
+    pub(crate) fn new(update: heartbeat::Member) -> Self {
         Self {
-            tag: seal::Tag::new(&claim.host),
-            short_tag: heartbeat::Tag::new(&claim.host),
-            host: claim.host,
-            zone: claim.zone,
-            address: claim.address,
-            incarnation: claim.incarnation,
-            phase: claim.phase,
+            tag: seal::Tag::new(&update.host),
+            short_tag: heartbeat::Tag::new(&update.host),
+            host: update.host,
+            zone: update.zone,
+            address: update.address,
+            incarnation: update.incarnation,
+            phase: update.phase,
             revision: revision::Id::default(),
             load: heartbeat::Load::default(),
-            told_at: None,
+            reported_at: None,
             version: 0,
-            heard_at: None,
-            watched_at: None,
-            alarm_until: time::Instant::ZERO,
+            last_heartbeat_at: None,
+            watched_since: None,
+            outage_probe_until: time::Instant::ZERO,
             subtree: None,
             down_at: time::Instant::NEVER,
-            forget_at: time::Instant::NEVER,
-            acquainted: false,
-            told: 0,
+            remove_at: time::Instant::NEVER,
+            knows_identity: false,
+            summary_transmissions: 0,
         }
     }
 
-    pub(crate) fn claim(&self) -> heartbeat::Member {
+    pub(crate) fn to_update(&self) -> heartbeat::Member {
         heartbeat::Member {
             host: self.host.clone(),
             zone: self.zone.clone(),
@@ -91,12 +91,14 @@
 
     /// Since when nothing was heard of a watched router.
     pub(crate) fn silent_since(&self) -> Option<time::Instant> {
-        self.watched_at
-            .map(|watched| self.heard_at.map_or(watched, |heard| heard.max(watched)))
+        self.watched_since.map(|since| {
+            self.last_heartbeat_at
+                .map_or(since, |received| received.max(since))
+        })
     }
 
     /// Takes over what the router says of itself, if it is newer than what is known.
-    pub(crate) fn tell(
+    pub(crate) fn apply_report(
         &mut self,
         version: u32,
         revision: revision::Id,
@@ -109,8 +111,8 @@
         self.version = version;
         self.revision = revision;
         self.load = load;
-        self.told_at = Some(now);
-        self.told = 0;
+        self.reported_at = Some(now);
+        self.summary_transmissions = 0;
         true
     }
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/member_list.rs
@@ -6,7 +6,7 @@
 use wire::{heartbeat, seal};
 use xxhash_rust::xxh3;
 
-use crate::{member::Member, ring::Ring, settings::Settings, tree::Place};
+use crate::{member::Member, ring::Ring, settings::Settings, tree::Position};
 
 /// How many members are remembered; of those that ended, the oldest are dropped.
 const MAX_MEMBERS: usize = 2048;
@@ -17,38 +17,38 @@
     /// The claim says nothing new.
     None,
     /// The claim is new, the phase is the same as before.
-    Renewed,
+    Incarnation,
     /// The member entered another phase, restarted, or is new.
     Phase,
 }
 
 /// The other routers of the region, this one left out.
 #[derive(Clone, Debug)]
-pub(crate) struct Roster {
-    own: host::Id,
+pub(crate) struct MemberList {
+    local_host: host::Id,
     zone: availability::Zone,
     members: BTreeMap<host::Id, Member>,
     tags: BTreeMap<seal::Tag, host::Id>,
     short_tags: BTreeMap<heartbeat::Tag, host::Id>,
     watchers: Vec<host::Id>,
-    place: Place,
+    tree_position: Position,
     digest: u32,
     /// Whether routers came or went since the watchers were computed.
-    stale: bool,
+    watchers_stale: bool,
 }
 
-impl Roster {
-    pub(crate) fn new(own: host::Id, zone: availability::Zone) -> Self {
+impl MemberList {
+    pub(crate) fn new(local_host: host::Id, zone: availability::Zone) -> Self {
         Self {
-            own,
+            local_host,
             zone,
             members: BTreeMap::new(),
             tags: BTreeMap::new(),
             short_tags: BTreeMap::new(),
             watchers: Vec::new(),
-            place: Place::default(),
+            tree_position: Position::default(),
             digest: 0,
-            stale: true,
+            watchers_stale: true,
         }
     }
 
@@ -96,41 +96,41 @@
     }
 
     /// This router's place in the tree of its zone.
-    pub(crate) fn place(&self) -> &Place {
-        &self.place
+    pub(crate) fn tree_position(&self) -> &Position {
+        &self.tree_position
     }
 
     /// Takes in a claim if it overrides what is known.
-    pub(crate) fn learn(
+    pub(crate) fn apply_update(
         &mut self,
-        claim: &heartbeat::Member,
+        update: &heartbeat::Member,
         settings: &Settings,
         now: time::Instant,
     ) -> Change {
-        let Some(member) = self.members.get_mut(&claim.host) else {
-            return self.insert(claim, settings, now);
+        let Some(member) = self.members.get_mut(&update.host) else {
+            return self.insert(update, settings, now);
         };
-        let order = (claim.incarnation, claim.phase);
+        let order = (update.incarnation, update.phase);
         if order <= (member.incarnation, member.phase) {
             return Change::None;
         }
-        self.digest ^= hash(&member.claim()) ^ hash(claim);
-        let same = member.phase == claim.phase;
-        let before = (member.phase.is_live(), watches(member.phase));
-        let restarted = claim.incarnation.boot != member.incarnation.boot;
+        self.digest ^= digest_of(&member.to_update()) ^ digest_of(update);
+        let same_phase = member.phase == update.phase;
+        let old_state = (member.phase.is_live(), can_watch(member.phase));
+        let restarted = update.incarnation.boot != member.incarnation.boot;
         if restarted {
-            *member = Member::new(claim.clone());
+            *member = Member::new(update.clone());
         }
-        member.zone = claim.zone.clone();
-        member.address = claim.address;
-        member.incarnation = claim.incarnation;
-        member.phase = claim.phase;
+        member.zone = update.zone.clone();
+        member.address = update.address;
+        member.incarnation = update.incarnation;
+        member.phase = update.phase;
         schedule(member, settings, now);
-        if restarted || before != (claim.phase.is_live(), watches(claim.phase)) {
-            self.stale = true;
+        if restarted || old_state != (update.phase.is_live(), can_watch(update.phase)) {
+            self.watchers_stale = true;
         }
-        if same && !restarted {
-            Change::Renewed
+        if same_phase && !restarted {
+            Change::Incarnation
         } else {
             Change::Phase
         }
@@ -138,29 +138,29 @@
 
     fn insert(
         &mut self,
-        claim: &heartbeat::Member,
+        update: &heartbeat::Member,
         settings: &Settings,
         now: time::Instant,
     ) -> Change {
-        if self.members.len() >= MAX_MEMBERS && !self.drop_ended() {
+        if self.members.len() >= MAX_MEMBERS && !self.evict_oldest_tombstone() {
             return Change::None;
         }
-        let mut member = Member::new(claim.clone());
+        let mut member = Member::new(update.clone());
         schedule(&mut member, settings, now);
-        self.digest ^= hash(claim);
-        let host = claim.host.clone();
+        self.digest ^= digest_of(update);
+        let host = update.host.clone();
         self.tags.insert(member.tag, host.clone());
         self.short_tags.insert(member.short_tag, host.clone());
         self.members.insert(host, member);
-        self.stale = true;
+        self.watchers_stale = true;
         Change::Phase
     }
 
     /// Forgets the members whose tombstones are old enough.
-    pub(crate) fn forget(&mut self, now: time::Instant) {
+    pub(crate) fn remove_expired(&mut self, now: time::Instant) {
         let expired: Vec<host::Id> = self
             .iter()
-            .filter(|member| !member.phase.is_live() && member.forget_at <= now)
+            .filter(|member| !member.phase.is_live() && member.remove_at <= now)
             .map(|member| member.host.clone())
             .collect();
         for host in &expired {
@@ -168,9 +168,9 @@
         }
     }
 
-    fn drop_ended(&mut self) -> bool {
-        let ended = self.iter().filter(|member| !member.phase.is_live());
-        let oldest = ended.min_by_key(|member| member.forget_at);
+    fn evict_oldest_tombstone(&mut self) -> bool {
+        let tombstones = self.iter().filter(|member| !member.phase.is_live());
+        let oldest = tombstones.min_by_key(|member| member.remove_at);
         let Some(host) = oldest.map(|member| member.host.clone()) else {
             return false;
         };
@@ -185,59 +185,59 @@
     }
 
     /// Has the watchers computed anew.
-    pub(crate) fn outdate(&mut self) {
-        self.stale = true;
+    pub(crate) fn mark_watchers_stale(&mut self) {
+        self.watchers_stale = true;
     }
 
     /// Computes anew who watches whom, if routers came or went.
     ///
     /// A router that is watched from now on is probed at once: its former
     /// watchers may have died together with it.
-    pub(crate) fn rewatch(&mut self, settings: &Settings, now: time::Instant) {
-        if !std::mem::take(&mut self.stale) {
+    pub(crate) fn recompute_watchers(&mut self, settings: &Settings, now: time::Instant) {
+        if !std::mem::take(&mut self.watchers_stale) {
             return;
         }
-        let own = (&self.own, &self.zone, true);
+        let local = (&self.local_host, &self.zone, true);
         let others = self
             .live()
-            .map(|member| (&member.host, &member.zone, watches(member.phase)));
-        let ring = Ring::new(others.chain([own]));
+            .map(|member| (&member.host, &member.zone, can_watch(member.phase)));
+        let ring = Ring::new(others.chain([local]));
         let zone = self.live_in_zone().map(|member| &member.host);
-        self.place = Place::new(&self.own, zone.chain([&self.own]));
-        let mut watchers: Vec<host::Id> = self.place.neighbours().cloned().collect();
+        self.tree_position = Position::new(&self.local_host, zone.chain([&self.local_host]));
+        let mut watchers: Vec<host::Id> = self.tree_position.neighbours().cloned().collect();
         let mut watched = watchers.clone();
-        watched.extend(ring.watched(&self.own).cloned());
-        watchers.extend(ring.watcher(&self.own).cloned());
+        watched.extend(ring.watched(&self.local_host).cloned());
+        watchers.extend(ring.watcher(&self.local_host).cloned());
         watchers.sort();
         watchers.dedup();
         self.watchers = watchers;
-        self.watch(&watched, settings, now);
+        self.set_watched(&watched, settings, now);
     }
 
-    fn watch(&mut self, watched: &[host::Id], settings: &Settings, now: time::Instant) {
+    fn set_watched(&mut self, watched: &[host::Id], settings: &Settings, now: time::Instant) {
         let start = now - settings.probe_after;
         for member in self.members.values_mut() {
             let watch = watched.contains(&member.host);
-            let keep = watch || member.alarm_until > now;
-            member.watched_at = member.watched_at.or(watch.then_some(start));
-            member.watched_at = member.watched_at.filter(|_| keep);
+            let keep = watch || member.outage_probe_until > now;
+            member.watched_since = member.watched_since.or(watch.then_some(start));
+            member.watched_since = member.watched_since.filter(|_| keep);
         }
     }
 }
 
 /// Whether a router in this phase is thought to watch others.
-fn watches(phase: heartbeat::Phase) -> bool {
+fn can_watch(phase: heartbeat::Phase) -> bool {
     phase.is_live() && phase != heartbeat::Phase::Suspect
 }
 
 /// The hash of a claim, zero for a member that is not live.
-pub(crate) fn hash(claim: &heartbeat::Member) -> u32 {
-    if !claim.phase.is_live() {
+pub(crate) fn digest_of(update: &heartbeat::Member) -> u32 {
+    if !update.phase.is_live() {
         return 0;
     }
-    let heartbeat::Incarnation { boot, refutation } = claim.incarnation;
-    let seed = boot.0 ^ u64::from(refutation).rotate_left(32) ^ claim.phase as u64;
-    let hash = xxh3::xxh3_64_with_seed(claim.host.as_str().as_bytes(), seed);
+    let heartbeat::Incarnation { boot, refutation } = update.incarnation;
+    let seed = boot.0 ^ u64::from(refutation).rotate_left(32) ^ update.phase as u64;
+    let hash = xxh3::xxh3_64_with_seed(update.host.as_str().as_bytes(), seed);
     let [a, b, c, d, ..] = hash.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
 }
@@ -245,12 +245,12 @@
 /// Sets when a suspected member is given up and an ended one forgotten.
 fn schedule(member: &mut Member, settings: &Settings, now: time::Instant) {
     member.down_at = match member.phase {
-        heartbeat::Phase::Suspect => now + settings.suspicion,
+        heartbeat::Phase::Suspect => now + settings.suspicion_timeout,
         _ => time::Instant::NEVER,
     };
-    member.forget_at = if member.phase.is_live() {
+    member.remove_at = if member.phase.is_live() {
         time::Instant::NEVER
     } else {
-        now + settings.tombstone
+        now + settings.tombstone_timeout
     };
 }
--- a/crates/fleet/src/owner.rs
+++ b/crates/fleet/src/owner.rs
@@ -21,6 +21,6 @@
     let score = |host: &host::Id| xxh3::xxh3_64_with_seed(host.as_str().as_bytes(), seed);
     routers
         .into_iter()
-        .max_by_key(|(host, place)| (*place == zone, score(host), *host))
+        .max_by_key(|(host, router_zone)| (*router_zone == zone, score(host), *host))
         .map(|(host, _)| host)
 }
--- a/crates/fleet/src/spread.rs
+++ b/crates/fleet/src/revision_sync.rs
@@ -20,31 +20,31 @@
 pub struct Settings {
     /// The time between two polls of the table by all live routers of a zone together,
     /// the one on duty left out.
-    pub zone_poll: Duration,
+    pub zone_poll_interval: Duration,
     /// The time between two polls by the router on duty.
-    pub duty_poll: Duration,
+    pub designated_poll_interval: Duration,
     /// The least time between two polls by one router, unless it is on duty.
-    pub poll_min: Duration,
+    pub poll_interval_min: Duration,
     /// The most time between two polls by one router while the table answers.
-    pub poll_max: Duration,
+    pub poll_interval_max: Duration,
     /// The most time between two polls while the table does not answer.
     pub backoff_max: Duration,
     /// The time after which a fetch or a poll without an answer is given up.
     pub timeout: Duration,
     /// How long a fresh router looks for a higher revision before it is ready with the one it has.
-    pub settle: Duration,
+    pub settle_time: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            zone_poll: Duration::from_millis(1000),
-            duty_poll: Duration::from_millis(1500),
-            poll_min: Duration::from_millis(2000),
-            poll_max: Duration::from_secs(60),
+            zone_poll_interval: Duration::from_millis(1000),
+            designated_poll_interval: Duration::from_millis(1500),
+            poll_interval_min: Duration::from_millis(2000),
+            poll_interval_max: Duration::from_secs(60),
             backoff_max: Duration::from_secs(30),
             timeout: Duration::from_millis(1000),
-            settle: Duration::from_millis(1500),
+            settle_time: Duration::from_millis(1500),
         }
     }
 }
@@ -71,7 +71,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// It was answered; the revision that the answer shows.
-    Shows(revision::Id),
+    Succeeded(revision::Id),
     /// It was not answered, or not in full.
     Failed,
 }
@@ -84,59 +84,59 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Asked {
-    Nobody,
-    Peer(time::Instant),
-    Table(time::Instant),
+enum Call {
+    Idle,
+    Fetch(time::Instant),
+    Poll(time::Instant),
 }
 
 /// One router's knowledge of revisions.
 #[derive(Debug)]
-pub struct Spread {
+pub struct RevisionSync {
     settings: Settings,
     rng: ChaCha8Rng,
-    own: Option<revision::Id>,
+    applied: Option<revision::Id>,
     sources: Vec<Source>,
-    asked: Asked,
+    pending: Call,
     poll_at: time::Instant,
     failures: u32,
     /// Whether the next poll is to fall anywhere within the interval.
-    scatter: bool,
-    settled_at: time::Instant,
-    seen: revision::Id,
-    routers: u32,
-    duty: bool,
+    randomize_next_poll: bool,
+    settle_deadline: time::Instant,
+    highest_seen: revision::Id,
+    zone_routers: u32,
+    designated_poller: bool,
 }
 
-impl Spread {
+impl RevisionSync {
     /// The state of a router that starts without a configuration.
     pub fn new(settings: Settings, seed: u64, now: time::Instant) -> Self {
-        let settled_at = now + settings.settle;
+        let settle_deadline = now + settings.settle_time;
         Self {
             settings,
             rng: ChaCha8Rng::seed_from_u64(seed),
-            own: None,
+            applied: None,
             sources: Vec::new(),
-            asked: Asked::Nobody,
+            pending: Call::Idle,
             poll_at: now,
             failures: 0,
-            scatter: true,
-            settled_at,
-            seen: revision::Id::default(),
-            routers: 1,
-            duty: false,
+            randomize_next_poll: true,
+            settle_deadline,
+            highest_seen: revision::Id::default(),
+            zone_routers: 1,
+            designated_poller: false,
         }
     }
 
     /// The revision that is in force here, if there is one.
-    pub fn own(&self) -> Option<revision::Id> {
-        self.own
+    pub fn applied(&self) -> Option<revision::Id> {
+        self.applied
     }
 
     /// Takes note of a router that has `revision`.
-    pub fn heard(&mut self, host: host::Id, address: net::SocketAddr, revision: revision::Id) {
-        self.seen = self.seen.max(revision);
-        if Some(revision) <= self.own {
+    pub fn add_source(&mut self, host: host::Id, address: net::SocketAddr, revision: revision::Id) {
+        self.highest_seen = self.highest_seen.max(revision);
+        if Some(revision) <= self.applied {
             return;
         }
         self.sources.retain(|source| source.host != host);
@@ -150,17 +150,19 @@
     }
 
     /// Takes note of how many routers of the zone, this one included, share the polls.
-    pub fn routers(&mut self, routers: usize) {
-        self.routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
+    pub fn set_zone_routers(&mut self, routers: usize) {
+        self.zone_routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
     }
 
     /// Takes note of whether this router has the zone's poll duty,
-    /// see [`crate::Fleet::has_poll_duty`].
-    pub fn duty(&mut self, duty: bool, now: time::Instant) {
-        if duty && !self.duty && self.failures == 0 {
-            self.poll_at = self.poll_at.min(now + self.settings.duty_poll);
+    /// see [`crate::Fleet::is_designated_poller`].
+    pub fn set_designated_poller(&mut self, designated: bool, now: time::Instant) {
+        if designated && !self.designated_poller && self.failures == 0 {
+            self.poll_at = self
+                .poll_at
+                .min(now + self.settings.designated_poll_interval);
         }
-        self.duty = duty;
+        self.designated_poller = designated;
     }
 
     /// Asks whether `revision` may be put in force; it is then the own one.
@@ -168,10 +170,10 @@
     /// A configuration never reverts: the answer is false for a revision that
     /// is lower than or the same as the present one, wherever it comes from.
     pub fn apply(&mut self, revision: revision::Id) -> bool {
-        if Some(revision) <= self.own {
+        if Some(revision) <= self.applied {
             return false;
         }
-        self.own = Some(revision);
+        self.applied = Some(revision);
         self.sources.retain(|source| source.revision > revision);
         true
     }
@@ -182,19 +184,19 @@
     /// cannot be had, it serves with the one it has after a while, since a zone
     /// that is cut off has to go on.
     pub fn is_ready(&self, now: time::Instant) -> bool {
-        self.own
-            .is_some_and(|own| own >= self.seen || now >= self.settled_at)
+        self.applied
+            .is_some_and(|applied| applied >= self.highest_seen || now >= self.settle_deadline)
     }
 
     /// Decides what to do next; a question that is to be asked counts as asked.
     pub fn step(&mut self, now: time::Instant) -> Step {
-        match self.asked {
-            Asked::Peer(until) | Asked::Table(until) if now < until => return Step::Wait(until),
-            Asked::Peer(_) | Asked::Table(_) => self.answered(Outcome::Failed, now),
-            Asked::Nobody => {}
+        match self.pending {
+            Call::Fetch(until) | Call::Poll(until) if now < until => return Step::Wait(until),
+            Call::Fetch(_) | Call::Poll(_) => self.record_outcome(Outcome::Failed, now),
+            Call::Idle => {}
         }
         if let Some(source) = self.sources.first() {
-            self.asked = Asked::Peer(now + self.settings.timeout);
+            self.pending = Call::Fetch(now + self.settings.timeout);
             return Step::Fetch {
                 host: source.host.clone(),
                 address: source.address,
@@ -202,38 +204,38 @@
             };
         }
         if now >= self.poll_at {
-            self.asked = Asked::Table(now + self.settings.timeout);
+            self.pending = Call::Poll(now + self.settings.timeout);
             return Step::Poll;
         }
         Step::Wait(self.poll_at)
     }
 
     /// Takes note of how the last question went, after its revisions were applied.
-    pub fn answered(&mut self, outcome: Outcome, now: time::Instant) {
-        match (self.asked, outcome) {
-            (Asked::Nobody, _) => {}
-            (Asked::Peer(_), _) => self.peer_answered(),
-            (Asked::Table(_), Outcome::Shows(revision)) => {
-                self.seen = self.seen.max(revision);
+    pub fn record_outcome(&mut self, outcome: Outcome, now: time::Instant) {
+        match (self.pending, outcome) {
+            (Call::Idle, _) => {}
+            (Call::Fetch(_), _) => self.finish_fetch(),
+            (Call::Poll(_), Outcome::Succeeded(revision)) => {
+                self.highest_seen = self.highest_seen.max(revision);
                 self.failures = 0;
                 self.poll_at = now + self.interval();
             }
-            (Asked::Table(_), Outcome::Failed) => {
+            (Call::Poll(_), Outcome::Failed) => {
                 self.failures = self.failures.saturating_add(1);
-                self.scatter = true;
+                self.randomize_next_poll = true;
                 self.poll_at = now + self.backoff();
             }
         }
-        self.asked = Asked::Nobody;
+        self.pending = Call::Idle;
     }
 
     /// Drops the source that was asked: either it is satisfied, or another
     /// one, or the table, is asked next.
-    fn peer_answered(&mut self) {
+    fn finish_fetch(&mut self) {
         if !self.sources.is_empty() {
             self.sources.remove(0);
         }
-        if self.sources.is_empty() && self.own < Some(self.seen) {
+        if self.sources.is_empty() && self.applied < Some(self.highest_seen) {
             self.poll_at = time::Instant::ZERO;
         }
     }
@@ -244,25 +246,34 @@
     /// poll together ever after and all wait together in between, and a change
     /// would be seen late. So the first wait is drawn from the whole interval.
     fn interval(&mut self) -> Duration {
-        if self.duty {
-            return self.spread_out(self.settings.duty_poll);
+        if self.designated_poller {
+            return self.with_jitter(self.settings.designated_poll_interval);
         }
-        let share = self.settings.zone_poll.saturating_mul(self.routers);
-        let share = share.clamp(self.settings.poll_min, self.settings.poll_max);
-        if std::mem::take(&mut self.scatter) {
+        let share = self
+            .settings
+            .zone_poll_interval
+            .saturating_mul(self.zone_routers);
+        let share = share.clamp(
+            self.settings.poll_interval_min,
+            self.settings.poll_interval_max,
+        );
+        if std::mem::take(&mut self.randomize_next_poll) {
             return share.mul_f64(self.rng.random_range(0.0..1.0));
         }
-        self.spread_out(share)
+        self.with_jitter(share)
     }
 
     fn backoff(&mut self) -> Duration {
         let doublings = self.failures.saturating_sub(1).min(8);
-        let wait = self.settings.poll_min.saturating_mul(1 << doublings);
+        let wait = self
+            .settings
+            .poll_interval_min
+            .saturating_mul(1 << doublings);
         let wait = wait.min(self.settings.backoff_max);
-        self.spread_out(wait)
+        self.with_jitter(wait)
     }
 
-    fn spread_out(&mut self, duration: Duration) -> Duration {
+    fn with_jitter(&mut self, duration: Duration) -> Duration {
         duration.mul_f64(self.rng.random_range(0.8..1.2))
     }
 }
--- a/crates/fleet/src/ring.rs
+++ b/crates/fleet/src/ring.rs
@@ -35,7 +35,7 @@
     hash: u64,
     host: host::Id,
     zone: availability::Zone,
-    watches: bool,
+    can_watch: bool,
 }
 
 impl Ring {
@@ -46,11 +46,11 @@
     {
         let mut nodes: Vec<Node> = routers
             .into_iter()
-            .map(|(host, zone, watches)| Node {
+            .map(|(host, zone, can_watch)| Node {
                 hash: xxh3::xxh3_64(host.as_str().as_bytes()),
                 host: host.clone(),
                 zone: zone.clone(),
-                watches,
+                can_watch,
             })
             .collect();
         nodes.sort();
@@ -66,10 +66,10 @@
 
     /// The routers that `host` watches.
     pub(crate) fn watched(&self, host: &host::Id) -> impl Iterator<Item = &host::Id> {
-        let own = self.position(host);
+        let local = self.position(host);
         let pairs = self.nodes.iter().zip(&self.watchers);
         pairs
-            .filter(move |(_, watcher)| own.is_some() && **watcher == own)
+            .filter(move |(_, watcher)| local.is_some() && **watcher == local)
             .map(|(node, _)| &node.host)
     }
 
@@ -84,17 +84,17 @@
     let inner = inner(nodes);
     (0..nodes.len())
         .map(|index| {
-            let after = || (index + 1..nodes.len()).chain(0..index);
-            let able = || after().filter(|other| nodes[*other].watches);
-            let outside = |other: &usize| nodes[*other].zone != nodes[index].zone;
-            let has_room = |other: &usize| !inner[*other] && watched[*other] < MAX_WATCHED;
-            let free = able().find(|other| outside(other) && has_room(other));
-            let any = || {
-                able()
-                    .find(|other| outside(other))
-                    .or_else(|| able().next())
+            let successors = || (index + 1..nodes.len()).chain(0..index);
+            let eligible = || successors().filter(|other| nodes[*other].can_watch);
+            let in_other_zone = |other: &usize| nodes[*other].zone != nodes[index].zone;
+            let has_capacity = |other: &usize| !inner[*other] && watched[*other] < MAX_WATCHED;
+            let preferred = eligible().find(|other| in_other_zone(other) && has_capacity(other));
+            let fallback = || {
+                eligible()
+                    .find(|other| in_other_zone(other))
+                    .or_else(|| eligible().next())
             };
-            let watcher = free.or_else(any)?;
+            let watcher = preferred.or_else(fallback)?;
             watched[watcher] += 1;
             Some(watcher)
         })
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -12,65 +12,65 @@
     pub tick: Duration,
     /// The time between the beats to the routers that watch this one and to
     /// those next to it in the tree of its zone.
-    pub beat: Duration,
+    pub heartbeat_interval: Duration,
     /// The silence after which a watched router is probed.
     pub probe_after: Duration,
     /// The silence after which a watched router is suspected.
     pub suspect_after: Duration,
     /// The time in which a suspected router may deny it.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
     /// The time between heartbeats to a random router of the zone that tell of single routers.
-    pub gossip: Duration,
+    pub gossip_interval: Duration,
     /// The time between probes of routers that are down or only listed.
-    pub reach: Duration,
+    pub reconnect_interval: Duration,
     /// The time between probes of routers in other regions.
-    pub distant: Duration,
+    pub remote_probe_interval: Duration,
     /// The gap between two ticks after which the process counts as having been paused.
-    pub pause: Duration,
+    pub pause_threshold: Duration,
     /// How long a router that joins, or was paused, waits to hear from others before it acts alone.
-    pub grace: Duration,
+    pub grace_period: Duration,
     /// How long a router that others had given up waits, so that all know of its return.
-    pub settle: Duration,
+    pub settle_time: Duration,
     /// After which age the load of a router or a zone is left out of the mean.
     pub load_expiry: Duration,
     /// For how long a router that is down is remembered and probed.
-    pub tombstone: Duration,
+    pub tombstone_timeout: Duration,
     /// How many routers a piece of news is pushed to.
     pub fanout: usize,
     /// The least time between two pushes.
-    pub push_gap: Duration,
+    pub push_min_interval: Duration,
     /// Within which time the comings of one router are counted as flapping.
     pub flap_window: Duration,
     /// How many comings within the window are allowed.
     pub flap_limit: u32,
     /// The time that a flapping router stays out of ownership at first; it doubles.
-    pub flap_hold: Duration,
+    pub flap_hold_down: Duration,
     /// The longest such time.
-    pub flap_hold_max: Duration,
+    pub flap_hold_down_max: Duration,
 }
 
 impl Default for Settings {
     fn default() -> Self {
         Self {
             tick: Duration::from_millis(100),
-            beat: Duration::from_millis(900),
+            heartbeat_interval: Duration::from_millis(900),
             probe_after: Duration::from_millis(1200),
             suspect_after: Duration::from_millis(1750),
-            suspicion: Duration::from_millis(700),
-            gossip: Duration::from_millis(2000),
-            reach: Duration::from_millis(2000),
-            distant: Duration::from_millis(5000),
-            pause: Duration::from_millis(1000),
-            grace: Duration::from_millis(2000),
-            settle: Duration::from_millis(1000),
+            suspicion_timeout: Duration::from_millis(700),
+            gossip_interval: Duration::from_millis(2000),
+            reconnect_interval: Duration::from_millis(2000),
+            remote_probe_interval: Duration::from_millis(5000),
+            pause_threshold: Duration::from_millis(1000),
+            grace_period: Duration::from_millis(2000),
+            settle_time: Duration::from_millis(1000),
             load_expiry: Duration::from_secs(15),
-            tombstone: Duration::from_secs(600),
+            tombstone_timeout: Duration::from_secs(600),
             fanout: 3,
-            push_gap: Duration::from_millis(50),
+            push_min_interval: Duration::from_millis(50),
             flap_window: Duration::from_secs(60),
             flap_limit: 3,
-            flap_hold: Duration::from_secs(5),
-            flap_hold_max: Duration::from_secs(120),
+            flap_hold_down: Duration::from_secs(5),
+            flap_hold_down_max: Duration::from_secs(120),
         }
     }
 }
--- a/crates/fleet/src/strike.rs
+++ b/crates/fleet/src/strike.rs
@@ -11,9 +11,9 @@
 /// How many strikes of one request are counted.
 const MAX_COUNT: usize = 4;
 /// In how many pushes a strike goes out.
-const PUSHES: usize = 2;
+const PUSH_ROUNDS: usize = 2;
 /// How many strikes may be known for one of them to be pushed again.
-const MAX_URGENT: usize = 16;
+const MAX_PUSHED: usize = 16;
 /// How often one router tells of a strike.
 const TRANSMISSIONS: u8 = 12;
 
@@ -34,7 +34,7 @@
 /// routers saw counts once, and deaths seen by different routers add up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Strikes {
-    known: BTreeMap<Cause, Known>,
+    entries: BTreeMap<Cause, Entry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,14 +44,14 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Entry {
     expires_at: time::Instant,
     remaining: u8,
 }
 
 impl Strikes {
     /// Adds a strike; the new count when it was not known.
-    pub(crate) fn learn(
+    pub(crate) fn record(
         &mut self,
         fingerprint: request::Fingerprint,
         attempt: [u8; 4],
@@ -65,17 +65,17 @@
         let before = self
             .count(fingerprint, now)
             .map_or(0, |strike| strike.count);
-        if expires_at <= now || before >= MAX_COUNT || self.known.contains_key(&cause) {
+        if expires_at <= now || before >= MAX_COUNT || self.entries.contains_key(&cause) {
             return None;
         }
-        if self.known.len() >= MAX_STRIKES {
-            self.drop_first();
+        if self.entries.len() >= MAX_STRIKES {
+            self.evict_earliest();
         }
-        let known = Known {
+        let entry = Entry {
             expires_at,
             remaining: TRANSMISSIONS,
         };
-        self.known.insert(cause, known);
+        self.entries.insert(cause, entry);
         self.count(fingerprint, now)
     }
 
@@ -94,9 +94,9 @@
             attempt: [u8::MAX; 4],
         };
         let live = self
-            .known
+            .entries
             .range(first..=last)
-            .map(|(_, known)| known.expires_at);
+            .map(|(_, entry)| entry.expires_at);
         let live: SmallVec<[time::Instant; MAX_COUNT]> = live.filter(|at| *at > now).collect();
         live.iter().max().map(|expires_at| Strike {
             fingerprint,
@@ -111,9 +111,9 @@
         fingerprint: request::Fingerprint,
         now: time::Instant,
     ) -> SmallVec<[[u8; 4]; MAX_COUNT]> {
-        let known = self.known.iter();
-        known
-            .filter(|(cause, known)| cause.fingerprint == fingerprint && known.expires_at > now)
+        let entries = self.entries.iter();
+        entries
+            .filter(|(cause, entry)| cause.fingerprint == fingerprint && entry.expires_at > now)
             .map(|(cause, _)| cause.attempt)
             .collect()
     }
@@ -122,13 +122,13 @@
     ///
     /// A flood of strikes is not urgent: it rides on beats, or pushes would
     /// take more than the traffic that a router may use.
-    pub(crate) fn is_urgent(&self, fanout: usize) -> bool {
-        let told = |known: &Known| usize::from(TRANSMISSIONS - known.remaining);
+    pub(crate) fn needs_push(&self, fanout: usize) -> bool {
+        let sent = |entry: &Entry| usize::from(TRANSMISSIONS - entry.remaining);
         let fresh = self
-            .known
+            .entries
             .values()
-            .any(|known| told(known) < PUSHES * fanout);
-        fresh && self.known.len() <= MAX_URGENT
+            .any(|entry| sent(entry) < PUSH_ROUNDS * fanout);
+        fresh && self.entries.len() <= MAX_PUSHED
     }
 
     /// Takes up to `count` strikes to tell of, those least told first.
@@ -137,41 +137,44 @@
         count: usize,
         now: time::Instant,
     ) -> SmallVec<[heartbeat::Strike; 2]> {
-        let mut order: Vec<(&Cause, &mut Known)> = self
-            .known
+        let mut order: Vec<(&Cause, &mut Entry)> = self
+            .entries
             .iter_mut()
-            .filter(|(_, known)| known.remaining > 0 && seconds_left(known, now) > 0)
+            .filter(|(_, entry)| entry.remaining > 0 && remaining_seconds(entry, now) > 0)
             .collect();
-        order.sort_by_key(|(_, known)| cmp::Reverse(known.remaining));
+        order.sort_by_key(|(_, entry)| cmp::Reverse(entry.remaining));
         order
             .into_iter()
             .take(count)
-            .map(|(cause, known)| {
-                known.remaining -= 1;
+            .map(|(cause, entry)| {
+                entry.remaining -= 1;
                 heartbeat::Strike {
                     fingerprint: cause.fingerprint,
                     attempt: cause.attempt,
-                    remaining: seconds_left(known, now),
+                    remaining: remaining_seconds(entry, now),
                 }
             })
             .collect()
     }
 
     pub(crate) fn expire(&mut self, now: time::Instant) {
-        self.known.retain(|_, known| known.expires_at > now);
+        self.entries.retain(|_, entry| entry.expires_at > now);
     }
 
-    fn drop_first(&mut self) {
-        let first = self.known.iter().min_by_key(|(_, known)| known.expires_at);
+    fn evict_earliest(&mut self) {
+        let first = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| entry.expires_at);
         if let Some(cause) = first.map(|(cause, _)| *cause) {
-            self.known.remove(&cause);
+            self.entries.remove(&cause);
         }
     }
 }
 
 /// The remaining time in whole seconds, so that it shrinks with every hand-on.
-fn seconds_left(known: &Known, now: time::Instant) -> u16 {
-    u16::try_from(known.expires_at.since(now).as_secs()).unwrap_or(u16::MAX)
+fn remaining_seconds(entry: &Entry, now: time::Instant) -> u16 {
+    u16::try_from(entry.expires_at.since(now).as_secs()).unwrap_or(u16::MAX)
 }
 
 /// When a strike that a heartbeat tells of is forgotten.
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -22,19 +22,19 @@
 
 /// A router's place in the tree of its zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Place {
+pub(crate) struct Position {
     pub(crate) parent: Option<host::Id>,
     pub(crate) children: Vec<host::Id>,
 }
 
-impl Place {
+impl Position {
     /// The place of `own` among the routers of its zone, itself included.
-    pub(crate) fn new<'a>(own: &host::Id, zone: impl Iterator<Item = &'a host::Id>) -> Self {
+    pub(crate) fn new<'a>(local: &host::Id, zone: impl Iterator<Item = &'a host::Id>) -> Self {
         let mut order: Vec<(u64, &host::Id)> = zone
             .map(|host| (xxh3::xxh3_64(host.as_str().as_bytes()), host))
             .collect();
         order.sort();
-        let Some(index) = order.iter().position(|(_, host)| *host == own) else {
+        let Some(index) = order.iter().position(|(_, host)| *host == local) else {
             return Self::default();
         };
         let parent = index.checked_sub(1).map(|index| index / CHILDREN);
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -5,7 +5,7 @@
 
 use fleet::{
     owner,
-    spread::{Outcome, Settings, Spread, Step},
+    revision_sync::{Outcome, RevisionSync, Settings, Step},
 };
 use proptest::{prelude::*, test_runner::RngSeed};
 use units::{availability::Zone, backend::Server, host, revision, time::Instant};
@@ -36,13 +36,13 @@
     )
 }
 
-fn peer(index: usize) -> (host::Id, SocketAddr) {
+fn source(index: usize) -> (host::Id, SocketAddr) {
     let host = format!("router-{index}").parse().unwrap();
     (host, SocketAddr::from(([10, 0, 0, 1], 7000)))
 }
 
-fn fresh() -> Spread {
-    Spread::new(Settings::default(), 1, NOW)
+fn new_sync() -> RevisionSync {
+    RevisionSync::new(Settings::default(), 1, NOW)
 }
 
 proptest! {
@@ -57,56 +57,56 @@
     // only those of the router that left may change; and two routers that hold
     // the same list in another order must not both own an engine.
     #[test]
-    fn only_the_servers_of_a_lost_router_change_owner(
+    fn only_the_servers_of_a_removed_router_change_owner(
         count in 4..60usize,
-        lost: prop::sample::Index,
+        removed_index: prop::sample::Index,
         rotated: prop::sample::Index,
     ) {
         let all = routers(count);
-        let mut fewer = all.clone();
-        let (gone, _) = fewer.remove(lost.index(count));
-        let mut other_order = all.clone();
-        other_order.rotate_left(rotated.index(count));
+        let mut remaining = all.clone();
+        let (removed, _) = remaining.remove(removed_index.index(count));
+        let mut reordered = all.clone();
+        reordered.rotate_left(rotated.index(count));
         for index in 0..60 {
             let (server, zone) = (server(index), zone(index % 3));
             let before = owner_among(&server, &zone, &all).unwrap();
-            prop_assert_eq!(before, owner_among(&server, &zone, &other_order).unwrap());
-            let after = owner_among(&server, &zone, &fewer).unwrap();
-            prop_assert!(before == after || *before == gone);
-            let in_zone = fewer.iter().find(|(host, _)| host == after).unwrap();
-            prop_assert!(in_zone.1 == zone || fewer.iter().all(|router| router.1 != zone));
+            prop_assert_eq!(before, owner_among(&server, &zone, &reordered).unwrap());
+            let after = owner_among(&server, &zone, &remaining).unwrap();
+            prop_assert!(before == after || *before == removed);
+            let in_zone = remaining.iter().find(|(host, _)| host == after).unwrap();
+            prop_assert!(in_zone.1 == zone || remaining.iter().all(|router| router.1 != zone));
         }
     }
 
     // The table, peers and their answers show revisions in any order, old ones
     // among them. One that is put in force must never be followed by a lower one.
     #[test]
-    fn revisions_only_rise(shown in prop::collection::vec((0..4u8, 0..30u64), 1..80)) {
-        let mut spread = fresh();
+    fn applied_revisions_only_increase(operations in prop::collection::vec((0..4u8, 0..30u64), 1..80)) {
+        let mut sync = new_sync();
         let mut highest = None;
         let mut now = NOW;
-        for (kind, number) in shown {
+        for (kind, number) in operations {
             let revision = revision::Id(number);
             now = now + Duration::from_millis(100);
             match kind {
-                0 => spread.heard(peer(number as usize).0, peer(0).1, revision),
-                1 => spread.answered(Outcome::Shows(revision), now),
+                0 => sync.add_source(source(number as usize).0, source(0).1, revision),
+                1 => sync.record_outcome(Outcome::Succeeded(revision), now),
                 2 => {
-                    spread.step(now);
+                    sync.step(now);
                 }
                 _ => {
-                    let taken = spread.apply(revision);
-                    prop_assert_eq!(taken, Some(revision) > highest);
+                    let applied = sync.apply(revision);
+                    prop_assert_eq!(applied, Some(revision) > highest);
                     highest = highest.max(Some(revision));
                 }
             }
-            prop_assert_eq!(spread.own(), highest);
+            prop_assert_eq!(sync.applied(), highest);
         }
     }
 }
 
 #[test]
-fn servers_are_spread_over_the_routers_of_their_zone() {
+fn servers_are_balanced_over_the_routers_of_their_zone() {
     let routers = routers(138);
     let mut owned: BTreeMap<host::Id, usize> = BTreeMap::new();
     for index in 0..1365 {
@@ -119,65 +119,65 @@
 }
 
 #[test]
-fn a_zone_without_routers_is_served_by_the_others() {
+fn a_zone_without_routers_is_owned_by_other_zones() {
     let routers = routers(6);
-    let elsewhere: Zone = "lk-west-9".parse().unwrap();
-    assert!(owner_among(&server(1), &elsewhere, &routers).is_some());
-    assert_eq!(owner_among(&server(1), &elsewhere, &[]), None);
+    let empty_zone: Zone = "lk-west-9".parse().unwrap();
+    assert!(owner_among(&server(1), &empty_zone, &routers).is_some());
+    assert_eq!(owner_among(&server(1), &empty_zone, &[]), None);
 }
 
 // A fresh router hears that others have a newer configuration than the table's
 // answer that it just got. Ready with the old one, it would send work to a
 // server that is drained; waiting for ever, it would be lost to a cut-off zone.
 #[test]
-fn a_fresh_router_takes_the_highest_revision_before_it_is_ready() {
-    let mut spread = fresh();
-    assert!(!spread.is_ready(NOW + Duration::from_secs(60)));
-    assert_eq!(spread.step(NOW), Step::Poll);
-    let (host, address) = peer(1);
-    spread.heard(host.clone(), address, revision::Id(7));
-    assert!(spread.apply(revision::Id(5)));
-    spread.answered(Outcome::Shows(revision::Id(5)), NOW);
-    assert!(!spread.is_ready(NOW));
+fn a_starting_router_applies_the_highest_known_revision_before_it_is_ready() {
+    let mut sync = new_sync();
+    assert!(!sync.is_ready(NOW + Duration::from_secs(60)));
+    assert_eq!(sync.step(NOW), Step::Poll);
+    let (host, address) = source(1);
+    sync.add_source(host.clone(), address, revision::Id(7));
+    assert!(sync.apply(revision::Id(5)));
+    sync.record_outcome(Outcome::Succeeded(revision::Id(5)), NOW);
+    assert!(!sync.is_ready(NOW));
     let fetch = Step::Fetch {
         host,
         address,
         revision: revision::Id(7),
     };
-    assert_eq!(spread.step(NOW), fetch);
-    spread.answered(Outcome::Failed, NOW);
-    assert!(!spread.is_ready(NOW));
-    assert!(spread.is_ready(NOW + Settings::default().settle));
+    assert_eq!(sync.step(NOW), fetch);
+    sync.record_outcome(Outcome::Failed, NOW);
+    assert!(!sync.is_ready(NOW));
+    assert!(sync.is_ready(NOW + Settings::default().settle_time));
 }
 
 // The peer that told of a newer revision dies before it is asked. The table has
 // the revision as well, and must be asked at once.
 #[test]
 fn a_failed_fetch_is_followed_by_a_poll() {
-    let mut spread = fresh();
-    spread.step(NOW);
-    spread.apply(revision::Id(5));
-    spread.answered(Outcome::Shows(revision::Id(5)), NOW);
-    let (host, address) = peer(1);
-    spread.heard(host, address, revision::Id(6));
-    assert!(matches!(spread.step(NOW), Step::Fetch { .. }));
+    let mut sync = new_sync();
+    sync.step(NOW);
+    sync.apply(revision::Id(5));
+    sync.record_outcome(Outcome::Succeeded(revision::Id(5)), NOW);
+    let (host, address) = source(1);
+    sync.add_source(host, address, revision::Id(6));
+    assert!(matches!(sync.step(NOW), Step::Fetch { .. }));
     let timeout = NOW + Settings::default().timeout;
-    assert_eq!(spread.step(NOW), Step::Wait(timeout));
-    assert_eq!(spread.step(timeout), Step::Poll);
+    assert_eq!(sync.step(NOW), Step::Wait(timeout));
+    assert_eq!(sync.step(timeout), Step::Poll);
 }
 
 // The platform is down for a long time. All routers asking it again and again
 // would keep it down when it comes back.
 #[test]
 fn polls_back_off_while_the_table_is_down() {
-    let mut spread = fresh();
+    let mut sync = new_sync();
     let mut now = NOW;
     let mut polls = 0;
     while now < NOW + Duration::from_secs(600) {
-        match spread.step(now) {
+        match sync.step(now) {
             Step::Poll => {
                 polls += 1;
-                spread.answered(Outcome::Failed, now);
+                sync.record_outcome(Outcome::Failed, now);
             }
             Step::Wait(until) => now = until,
             Step::Fetch { .. } => unreachable!("nobody has a configuration"),
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -3,7 +3,7 @@
 
 use std::{fs, net::SocketAddr};
 
-use fleet::{Event, Fleet, Heard, Settings};
+use fleet::{Event, Fleet, Received, Settings};
 use units::{revision, time::Instant};
 use wire::{
     heartbeat::{Frame, Identity, Kind, Load, Phase},
@@ -30,7 +30,7 @@
     }
 }
 
-fn heard(index: usize) -> Event {
+fn received(index: usize) -> Event {
     let identity = identity(index);
     let frame = Frame {
         kind: Kind::Beat,
@@ -47,7 +47,7 @@
         totals: Default::default(),
         strikes: Default::default(),
     };
-    Event::Heard(Box::new(Heard {
+    Event::Heartbeat(Box::new(Received {
         from: identity.address,
         tag: seal::Tag::new(&identity.host),
         boot: Boot(1),
@@ -59,20 +59,20 @@
 // A router may use 256 MB for control. Whatever it keeps of each other router
 // counts as often as there are routers in the region.
 #[test]
-fn a_member_takes_little_memory() {
+fn memory_per_member_is_bounded() {
     let now = Instant::from_millis(1000);
     let before = resident();
     let fleets: Vec<Fleet> = (0..FLEETS)
         .map(|_| {
             let mut fleet = Fleet::new(Settings::default(), identity(0), Boot(1), 1, now);
             for index in 1..=MEMBERS {
-                fleet.handle(heard(index), now);
+                fleet.handle(received(index), now);
             }
             fleet
         })
         .collect();
-    let each = (resident() - before) / (FLEETS * MEMBERS);
-    println!("measure=member_memory members={MEMBERS} value={each} unit=B");
+    let bytes_per_member = (resident() - before) / (FLEETS * MEMBERS);
+    println!("measure=member_memory members={MEMBERS} value={bytes_per_member} unit=B");
     assert_eq!(fleets.len(), FLEETS);
-    assert!(each <= 2048, "{each}");
+    assert!(bytes_per_member <= 2048, "{bytes_per_member}");
 }
--- a/crates/fleet/tests/network/news.rs
+++ b/crates/fleet/tests/network/dissemination.rs
@@ -52,14 +52,14 @@
     let mut median = None;
     while net.now.since(start) < Duration::from_secs(30) {
         net.run_for(Duration::from_millis(50));
-        let close = estimates(net)
+        let close_count = estimates(net)
             .iter()
             .filter(|e| (*e / value - 1.0).abs() <= 0.05)
             .count();
-        if close * 2 >= net.nodes.len() {
+        if close_count * 2 >= net.nodes.len() {
             median.get_or_insert(net.now.since(start));
         }
-        if close == net.nodes.len() {
+        if close_count == net.nodes.len() {
             return (median.unwrap(), net.now.since(start));
         }
     }
@@ -73,7 +73,7 @@
     zone = { 1, 46, 6000 },
     region = { 3, 138, 7500 },
 )]
-fn the_mean_follows_the_load(zones: usize, routers: usize, bound_ms: u64) {
+fn the_mean_load_follows_changes(zones: usize, routers: usize, bound_ms: u64) {
     let mut net = Net::region(2, lossy(), zones, routers);
     set_load(&mut net, 40);
     net.run_for(Duration::from_secs(15));
@@ -115,7 +115,7 @@
 // A request crashed a server on one router, and another server on another. The
 // third router must know of both before its server is next.
 #[test]
-fn strikes_add_up_and_are_known_to_all() {
+fn strikes_are_summed_and_reach_all_routers() {
     let mut net = Net::region(4, lossy(), 3, 30);
     net.run_for(Duration::from_secs(6));
     let fingerprint = request::Fingerprint(99);
@@ -167,17 +167,17 @@
     let mut net = Net::region(5, Conditions::default(), 1, 3);
     net.run_for(Duration::from_secs(4));
     net.reset_counts();
-    for number in 0..5000 {
+    for sequence in 0..5000 {
         let event = Event::Strike {
-            fingerprint: request::Fingerprint(number),
-            attempt: request::Attempt(number),
+            fingerprint: request::Fingerprint(sequence),
+            attempt: request::Attempt(sequence),
             expires_at: net.now + Duration::from_secs(600),
         };
         net.handle(0, event);
     }
     net.run_for(Duration::from_secs(10));
-    let known = (0..5000).filter(|number| {
-        let fingerprint = request::Fingerprint(*number);
+    let known = (0..5000).filter(|sequence| {
+        let fingerprint = request::Fingerprint(*sequence);
         net.nodes[0].fleet.strikes(fingerprint, net.now).is_some()
     });
     assert_eq!(known.count(), 1024);
@@ -209,8 +209,8 @@
             match fault {
                 0 | 1 => net.table = net.table.next(),
                 2 => net.platform_up = !net.platform_up,
-                3 => cut(&mut net, "lk-west-1"),
-                4 => cut(&mut net, "none"),
+                3 => partition_zone(&mut net, "lk-west-1"),
+                4 => partition_zone(&mut net, "none"),
                 5 => net.nodes[node].table_reachable = !net.nodes[node].table_reachable,
                 _ => net.restart(node),
             }
@@ -218,32 +218,32 @@
             while net.now < end {
                 net.run_for(Duration::from_millis(100));
                 for (node, last) in net.nodes.iter().zip(&mut applied) {
-                    let own = (node.boot, node.spread.own().unwrap_or_default());
-                    prop_assert!(own >= *last, "{:?} after {:?}", own, last);
-                    *last = own;
+                    let current = (node.boot, node.sync.applied().unwrap_or_default());
+                    prop_assert!(current >= *last, "{:?} after {:?}", current, last);
+                    *last = current;
                 }
                 let fresh = net.running().filter(|node| node.fleet.phase().may_own());
-                prop_assert!(fresh.into_iter().all(|node| node.spread.own().is_some()));
+                prop_assert!(fresh.into_iter().all(|node| node.sync.applied().is_some()));
             }
         }
-        cut(&mut net, "none");
+        partition_zone(&mut net, "none");
         net.platform_up = true;
         for node in &mut net.nodes {
             node.table_reachable = true;
         }
         net.run_for(Duration::from_secs(40));
         let table = net.table;
-        prop_assert!(net.running().all(|node| node.spread.own() == Some(table)));
+        prop_assert!(net.running().all(|node| node.sync.applied() == Some(table)));
         // From now on a change is in force everywhere within seconds again.
         net.table = table.next();
         net.run_for(Duration::from_secs(5));
-        prop_assert!(net.running().all(|node| node.spread.own() == Some(net.table)));
+        prop_assert!(net.running().all(|node| node.sync.applied() == Some(net.table)));
     }
 }
 
-fn cut(net: &mut Net, zone: &str) {
+fn partition_zone(net: &mut Net, zone: &str) {
     for node in &mut net.nodes {
-        node.side = u8::from(node.zone.as_str() == zone);
+        node.partition = u8::from(node.zone.as_str() == zone);
     }
 }
 
@@ -251,7 +251,7 @@
 // ones, which hold nothing. They have to get the configuration from their
 // peers, or the zone would be lost although all its engines run.
 #[test]
-fn fresh_routers_learn_the_configuration_from_their_peers() {
+fn new_routers_fetch_the_configuration_from_their_peers() {
     let mut net = Net::region(8, lossy(), 3, 9);
     net.table = revision::Id(41);
     net.run_for(Duration::from_secs(6));
@@ -261,7 +261,7 @@
         net.run_for(Duration::from_secs(4));
         net.restart(node);
         net.run_for(Duration::from_secs(4));
-        assert_eq!(net.nodes[node].spread.own(), Some(revision::Id(41)));
+        assert_eq!(net.nodes[node].sync.applied(), Some(revision::Id(41)));
         assert!(net.nodes[node].fleet.phase().may_own());
     }
 }
@@ -269,31 +269,31 @@
 // A router that is cut off from all others has to find out that it is alone,
 // although it watches two routers only, and to serve with what it has.
 #[test]
-fn a_router_that_is_cut_off_finds_out() {
+fn an_isolated_router_detects_that_it_is_alone() {
     let mut net = Net::region(9, Conditions::default(), 3, 60);
     net.run_for(Duration::from_secs(6));
-    net.nodes[5].side = 1;
-    let cut_at = net.now;
+    net.nodes[5].partition = 1;
+    let partitioned_at = net.now;
     while net.nodes[5].fleet.owners(net.now).count() > 1 {
         net.run_for(Duration::from_millis(100));
-        assert!(net.now.since(cut_at) < Duration::from_secs(15));
+        assert!(net.now.since(partitioned_at) < Duration::from_secs(15));
     }
     println!(
         "measure=cut_off routers=60 value={:?}",
-        net.now.since(cut_at)
+        net.now.since(partitioned_at)
     );
-    assert!(net.nodes[5].fleet.is_sure(net.now));
+    assert!(net.nodes[5].fleet.is_view_trusted(net.now));
 }
 
 // A zone of a large region goes dark at once.
 #[test]
-fn a_lost_zone_is_known_within_four_seconds() {
+fn a_lost_zone_is_detected_within_four_seconds() {
     for seed in 10..15 {
-        lose_zone(seed);
+        kill_zone(seed);
     }
 }
 
-fn lose_zone(seed: u64) {
+fn kill_zone(seed: u64) {
     let mut net = Net::region(seed, lossy(), 3, 60);
     net.run_for(Duration::from_secs(6));
     for node in 0..60 {
@@ -301,37 +301,39 @@
             net.kill(node);
         }
     }
-    let killed = net.now;
-    while net.agreeing() < 40 {
+    let killed_at = net.now;
+    while net.converged_count() < 40 {
         net.run_for(Duration::from_millis(50));
         assert!(
-            net.now.since(killed) < Duration::from_secs(4),
+            net.now.since(killed_at) < Duration::from_secs(4),
             "{}",
-            net.agreeing()
+            net.converged_count()
         );
     }
     println!(
         "measure=lost_zone routers=60 seed={seed} value={:?}",
-        net.now.since(killed)
+        net.now.since(killed_at)
     );
 }
 
 #[test]
-fn a_higher_revision_is_told_with_its_source() {
+fn an_unavailable_higher_revision_is_not_applied() {
     let mut net = Net::region(11, Conditions::default(), 1, 2);
     net.run_for(Duration::from_secs(4));
     net.handle(1, Event::Applied(revision::Id(50)));
-    let mut newer = Vec::new();
+    let mut applied_revisions = Vec::new();
     for _ in 0..40 {
         net.run_for(Duration::from_millis(50));
-        newer.extend(net.nodes[0].spread.own());
+        applied_revisions.extend(net.nodes[0].sync.applied());
     }
     assert!(
-        newer.iter().all(|own| *own == revision::Id(1)),
+        applied_revisions
+            .iter()
+            .all(|revision| *revision == revision::Id(1)),
         "a peer without it does not count"
     );
     assert!(matches!(
-        net.log.iter().find(|(_, _, action)| matches!(action, Action::Sure(true))),
+        net.log.iter().find(|(_, _, action)| matches!(action, Action::ViewTrusted(true))),
         Some((at, _, _)) if *at > Instant::ZERO
     ));
 }
--- a/crates/fleet/tests/network/membership.rs
+++ b/crates/fleet/tests/network/membership.rs
@@ -8,13 +8,13 @@
 use units::{availability, backend, time::Instant};
 
 /// How long after the last fault all routers have to agree.
-const CALM: Duration = Duration::from_secs(12);
+const CONVERGENCE_TIME: Duration = Duration::from_secs(12);
 /// For how long two routers may act as the owner of one server.
-const DISAGREEMENT: Duration = Duration::from_millis(1500);
+const MAX_DOUBLE_OWNERSHIP: Duration = Duration::from_millis(1500);
 /// For how long no router may act as the owner of a server after its owner ended.
-const GAP: Duration = Duration::from_millis(4500);
+const MAX_OWNERLESS: Duration = Duration::from_millis(4500);
 /// How often owners are looked at.
-const STEP: Duration = Duration::from_millis(50);
+const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
 /// One fault; the numbers are taken modulo the number of routers.
 #[derive(Clone, Debug)]
@@ -22,9 +22,9 @@
     Kill(usize),
     Restart(usize),
     Pause(usize, u64),
-    Cut(u64),
+    Partition(u64),
     Loss(u8),
-    Quiet(u64),
+    Idle(u64),
 }
 
 fn config(cases: u32, seed: u64) -> ProptestConfig {
@@ -40,7 +40,7 @@
 fn fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         6 => process_fault(),
-        1 => (500..15_000u64).prop_map(Fault::Cut),
+        1 => (500..15_000u64).prop_map(Fault::Partition),
     ]
 }
 
@@ -51,7 +51,7 @@
         any::<usize>().prop_map(Fault::Restart),
         (any::<usize>(), 200..8000u64).prop_map(|(node, ms)| Fault::Pause(node, ms)),
         (0..8u8).prop_map(Fault::Loss),
-        (10..6000u64).prop_map(Fault::Quiet),
+        (10..6000u64).prop_map(Fault::Idle),
     ]
 }
 
@@ -91,24 +91,27 @@
                 net.wake(node);
             }
         }
-        Fault::Cut(ms) => {
+        Fault::Partition(ms) => {
             for node in &mut net.nodes {
-                node.side = u8::from(node.zone.as_str() == "lk-west-1");
+                node.partition = u8::from(node.zone.as_str() == "lk-west-1");
             }
             wait(net, millis(*ms));
             for node in &mut net.nodes {
-                node.side = 0;
+                node.partition = 0;
             }
         }
         Fault::Loss(percent) => net.conditions.loss = f64::from(*percent) / 100.0,
-        Fault::Quiet(ms) => wait(net, millis(*ms)),
+        Fault::Idle(ms) => wait(net, millis(*ms)),
     }
 }
 
 /// Whether all running routers are sure of themselves, and hold those for
 /// owners that take themselves for owners.
-fn agree(net: &Net) -> bool {
-    if !net.running().all(|node| node.fleet.is_sure(net.now)) {
+fn converged(net: &Net) -> bool {
+    if !net
+        .running()
+        .all(|node| node.fleet.is_view_trusted(net.now))
+    {
         return false;
     }
     let mut expected: Vec<_> = net
@@ -133,7 +136,7 @@
     // view would send the requests of one chat to different owners for good,
     // and a user would see refusals from some routers and not from others.
     #[test]
-    fn routers_agree_again_after_any_faults(
+    fn routers_converge_after_any_faults(
         seed: u64,
         routers in 4..14usize,
         faults in prop::collection::vec(fault(), 1..10),
@@ -144,16 +147,16 @@
             inject(&mut net, fault, &mut |net, time| net.run_for(time));
         }
         net.conditions.loss = 0.02;
-        let calm_at = net.now + CALM;
+        let converge_by = net.now + CONVERGENCE_TIME;
         // Loss may bring a false suspicion at any moment, so agreement has to
         // be reached at some sample, not at all of them.
-        let mut agreed = false;
-        net.run_until(calm_at - millis(3000));
-        while net.now < calm_at && !agreed {
+        let mut has_converged = false;
+        net.run_until(converge_by - millis(3000));
+        while net.now < converge_by && !has_converged {
             net.run_for(millis(100));
-            agreed = agree(&net);
+            has_converged = converged(&net);
         }
-        prop_assert!(agreed, "no agreement within {CALM:?}");
+        prop_assert!(has_converged, "no agreement within {CONVERGENCE_TIME:?}");
         let running = net.running().count();
         let live = net.running().map(|node| node.fleet.owners(net.now).count());
         prop_assert!(live.max() <= Some(running));
@@ -164,28 +167,28 @@
     // heartbeats. Two routers that both act as the owner of one engine overload
     // it together, and a user's request is run on an engine that falls over.
     #[test]
-    fn no_two_routers_act_as_owner_for_long(
+    fn double_ownership_and_ownerless_time_are_bounded(
         seed: u64,
         routers in 6..12usize,
         faults in prop::collection::vec(process_fault(), 1..8),
     ) {
         let mut net = Net::region(seed, lossy(), 3, routers);
         net.run_for(millis(5000));
-        let mut watch = Watch::new();
+        let mut monitor = OwnershipMonitor::new();
         for fault in &faults {
-            inject(&mut net, fault, &mut |net, time| watch.run(net, time));
-            watch.run(&mut net, millis(100));
+            inject(&mut net, fault, &mut |net, time| monitor.run(net, time));
+            monitor.run(&mut net, millis(100));
         }
-        watch.run(&mut net, millis(8000));
-        prop_assert!(watch.longest_double <= DISAGREEMENT, "two owners for {:?}", watch.longest_double);
-        prop_assert!(watch.longest_gap <= GAP, "no owner for {:?}", watch.longest_gap);
+        monitor.run(&mut net, millis(8000));
+        prop_assert!(monitor.longest_double <= MAX_DOUBLE_OWNERSHIP, "two owners for {:?}", monitor.longest_double);
+        prop_assert!(monitor.longest_gap <= MAX_OWNERLESS, "no owner for {:?}", monitor.longest_gap);
     }
 
     // A router is frozen until others have taken its engines over, and wakes up.
     // A request that it serves before it has heard from anybody would run
     // beside those of the new owner, on an engine that bears only one's share.
     #[test]
-    fn a_router_that_wakes_does_not_act_before_it_heard(
+    fn a_resumed_router_does_not_act_as_owner_before_it_is_answered(
         seed: u64,
         routers in 3..16usize,
         node: prop::sample::Index,
@@ -196,14 +199,14 @@
         let node = node.index(routers);
         net.pause(node);
         net.run_for(millis(pause));
-        let frozen = &net.nodes[node].fleet;
-        let acts = servers(12).iter().any(|(server, zone)| frozen.owns(server, zone, net.now));
-        prop_assert!(!acts, "before its first event");
+        let paused = &net.nodes[node].fleet;
+        let owns_any = servers(12).iter().any(|(server, zone)| paused.owns(server, zone, net.now));
+        prop_assert!(!owns_any, "before its first event");
         net.wake(node);
         for _ in 0..300 {
             for (server, zone) in servers(12) {
-                let acting = net.acting(&server, &zone);
-                prop_assert!(acting.len() <= 1, "{acting:?} own {server}");
+                let acting_owners = net.acting_owners(&server, &zone);
+                prop_assert!(acting_owners.len() <= 1, "{acting_owners:?} own {server}");
             }
             net.run_for(millis(10));
         }
@@ -213,7 +216,7 @@
     // with the routers that it reaches, and when the network is whole again the
     // halves have to find each other, although each holds the other for dead.
     #[test]
-    fn halves_go_on_alone_and_rejoin(
+    fn partitions_keep_serving_and_rejoin(
         seed: u64,
         routers in 6..20usize,
         cut in 6..120u64,
@@ -221,33 +224,33 @@
         let mut net = Net::region(seed, Conditions::default(), 3, routers);
         net.run_for(millis(4000));
         for node in &mut net.nodes {
-            node.side = u8::from(node.zone.as_str() == "lk-west-1");
+            node.partition = u8::from(node.zone.as_str() == "lk-west-1");
         }
         net.run_for(Duration::from_secs(cut));
-        for side in [0, 1] {
-            let members: Vec<_> = net.nodes.iter().filter(|node| node.side == side).collect();
+        for partition in [0, 1] {
+            let members: Vec<_> = net.nodes.iter().filter(|node| node.partition == partition).collect();
             for node in &members {
                 let owners = node.fleet.owners(net.now).count();
-                prop_assert_eq!(owners, members.len(), "owners on side {} of {}", side, &node.host);
+                prop_assert_eq!(owners, members.len(), "owners on side {} of {}", partition, &node.host);
             }
         }
         for node in &mut net.nodes {
-            node.side = 0;
+            node.partition = 0;
         }
-        net.run_for(CALM);
-        prop_assert!(agree(&net));
-        prop_assert_eq!(net.agreeing(), routers);
+        net.run_for(CONVERGENCE_TIME);
+        prop_assert!(converged(&net));
+        prop_assert_eq!(net.converged_count(), routers);
     }
 
     // The network replays what a router said when it did not know the receiver
     // yet, or sends it to another one. Believed, a recording would bring back a
     // router that is long gone, and users' requests would be sent to it.
     #[test]
-    fn introductions_are_answered_and_not_believed(seed: u64, routers in 3..8usize) {
+    fn introductions_are_answered_but_not_applied(seed: u64, routers in 3..8usize) {
         let mut net = Net::region(seed, Conditions::default(), 3, routers);
         net.run_for(millis(4000));
         let before: Vec<_> = net.nodes[0].fleet.members().cloned().collect();
-        let forged = fleet::Heard {
+        let replayed = fleet::Received {
             from: net.nodes[1].address,
             tag: wire::seal::Tag::new(&net.nodes[1].host),
             boot: wire::seal::Boot(99),
@@ -272,7 +275,7 @@
                 strikes: Default::default(),
             },
         };
-        let event = fleet::Event::Heard(Box::new(forged));
+        let event = fleet::Event::Heartbeat(Box::new(replayed));
         let now = net.now;
         let actions = net.nodes[0].fleet.handle(event, now);
         prop_assert!(actions.iter().all(|action| matches!(action, Action::Send(_))));
@@ -284,19 +287,19 @@
     // than the fleet knows. Its heartbeats look like old ones; ignored, the
     // router would never get engines or requests and nobody would see why.
     #[test]
-    fn a_router_whose_clock_went_back_joins(seed: u64, routers in 3..10usize) {
+    fn a_router_whose_clock_went_back_rejoins(seed: u64, routers in 3..10usize) {
         let mut net = Net::region(seed, Conditions::default(), 3, routers);
         net.run_for(millis(4000));
         net.kill(0);
         net.run_for(millis(500));
-        net.restart_as(0, 0);
-        net.run_for(CALM);
-        prop_assert_eq!(net.agreeing(), routers);
+        net.restart_with_boot(0, 0);
+        net.run_for(CONVERGENCE_TIME);
+        prop_assert_eq!(net.converged_count(), routers);
     }
 }
 
 /// Looks at who acts as an owner, and for how long two do or none does.
-struct Watch {
+struct OwnershipMonitor {
     servers: Vec<(backend::Server, availability::Zone)>,
     double_since: Vec<Option<Instant>>,
     none_since: Vec<Option<Instant>>,
@@ -304,7 +307,7 @@
     longest_gap: Duration,
 }
 
-impl Watch {
+impl OwnershipMonitor {
     fn new() -> Self {
         let servers = servers(12);
         let none = vec![None; servers.len()];
@@ -320,22 +323,22 @@
     fn run(&mut self, net: &mut Net, time: Duration) {
         let end = net.now + time;
         while net.now < end {
-            net.run_for(STEP.min(end.since(net.now)));
-            self.look(net);
+            net.run_for(SAMPLE_INTERVAL.min(end.since(net.now)));
+            self.sample(net);
         }
     }
 
-    fn look(&mut self, net: &Net) {
+    fn sample(&mut self, net: &Net) {
         for (index, (server, zone)) in self.servers.iter().enumerate() {
-            let acting = net.acting(server, zone).len();
+            let acting_owners = net.acting_owners(server, zone).len();
             let double = &mut self.double_since[index];
-            *double = (acting > 1).then(|| double.unwrap_or(net.now));
+            *double = (acting_owners > 1).then(|| double.unwrap_or(net.now));
             let gap = &mut self.none_since[index];
-            *gap = (acting == 0).then(|| gap.unwrap_or(net.now));
-            let long =
+            *gap = (acting_owners == 0).then(|| gap.unwrap_or(net.now));
+            let elapsed =
                 |since: &Option<Instant>| since.map_or(Duration::ZERO, |at| net.now.since(at));
-            self.longest_double = self.longest_double.max(long(&self.double_since[index]));
-            self.longest_gap = self.longest_gap.max(long(&self.none_since[index]));
+            self.longest_double = self.longest_double.max(elapsed(&self.double_since[index]));
+            self.longest_gap = self.longest_gap.max(elapsed(&self.none_since[index]));
         }
     }
 }
@@ -343,7 +346,7 @@
 // A router wakes after others took its engines over, and takes them back. While
 // the others learn of it, requests meet two owners or none.
 #[test]
-fn engines_change_hands_quickly_after_a_wake() {
+fn engine_ownership_settles_quickly_after_a_resume() {
     const SEEDS: u64 = 3;
     const SAMPLE: Duration = Duration::from_millis(10);
     let (mut double, mut none) = (Duration::ZERO, Duration::ZERO);
@@ -355,16 +358,16 @@
         net.run_for(millis(5000));
         net.wake(node);
         for _ in 0..100 {
-            let acting = servers(24)
+            let acting_owners = servers(24)
                 .into_iter()
-                .map(|(server, zone)| net.acting(&server, &zone).len());
-            let acting: Vec<usize> = acting.collect();
-            double += if acting.iter().any(|count| *count > 1) {
+                .map(|(server, zone)| net.acting_owners(&server, &zone).len());
+            let acting_owners: Vec<usize> = acting_owners.collect();
+            double += if acting_owners.iter().any(|count| *count > 1) {
                 SAMPLE
             } else {
                 Duration::ZERO
             };
-            none += if acting.contains(&0) {
+            none += if acting_owners.contains(&0) {
                 SAMPLE
             } else {
                 Duration::ZERO
@@ -385,7 +388,7 @@
 // drops them each time. Users would see their chats moved and cut again and
 // again; the router has to stay out of ownership for growing times.
 #[test]
-fn a_flapping_router_is_held_back() {
+fn a_flapping_router_is_held_down() {
     let mut net = Net::region(3, Conditions::default(), 1, 5);
     net.run_for(millis(4000));
     let mut owned = Vec::new();
@@ -403,14 +406,14 @@
         net.nodes[0].fleet.phase().may_own(),
         "it is taken back when it stays"
     );
-    assert_eq!(net.agreeing(), 5);
+    assert_eq!(net.converged_count(), 5);
 }
 
 // All routers of a zone but one flap and are held back, and then that one dies.
 // If the others were held back still, nobody would own the zone's engines and
 // its users would be refused.
 #[test]
-fn a_zone_of_flapping_routers_is_not_held_back_whole() {
+fn a_zone_of_only_flapping_routers_is_not_held_down() {
     let mut net = Net::region(4, Conditions::default(), 1, 3);
     net.run_for(millis(4000));
     for _ in 0..8 {
@@ -423,21 +426,21 @@
         }
         net.run_for(millis(4000));
     }
-    let owning = |net: &Net| {
+    let owner_count = |net: &Net| {
         net.running()
             .filter(|node| node.fleet.phase().may_own())
             .count()
     };
-    assert_eq!(owning(&net), 1, "the flapping ones are held back");
+    assert_eq!(owner_count(&net), 1, "the flapping ones are held back");
     net.kill(2);
     net.run_for(millis(4000));
-    assert!(owning(&net) >= 1, "somebody has to serve");
+    assert!(owner_count(&net) >= 1, "somebody has to serve");
 }
 
 // A router shuts down in order. It is told apart from a dead one: its engines
 // move at once, not after the detection time, and nobody suspects it.
 #[test]
-fn a_leaving_router_gives_up_its_engines_at_once() {
+fn a_leaving_router_releases_its_engines_at_once() {
     let mut net = Net::region(5, Conditions::default(), 3, 8);
     net.run_for(millis(4000));
     net.log.clear();
--- a/crates/fleet/tests/network/net.rs
+++ b/crates/fleet/tests/network/net.rs
@@ -10,7 +10,7 @@
     time::Duration,
 };
 
-use fleet::{Action, Event, Fleet, Heard, Seed, Settings, spread};
+use fleet::{Action, Event, Fleet, Received, Seed, Settings, revision_sync};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use units::{availability, backend, host, revision, time::Instant};
@@ -48,7 +48,7 @@
 
 pub struct Node {
     pub fleet: Fleet,
-    pub spread: spread::Spread,
+    pub sync: revision_sync::RevisionSync,
     pub host: host::Id,
     pub zone: availability::Zone,
     pub address: SocketAddr,
@@ -56,13 +56,13 @@
     pub boot: u64,
     pub up: bool,
     pub paused: bool,
-    pub said_ready: bool,
+    pub ready_reported: bool,
     pub table_reachable: bool,
     pub sent: usize,
     pub received: usize,
     pub frames: usize,
     pub polls: usize,
-    pub side: u8,
+    pub partition: u8,
     queue: Vec<(usize, Message)>,
     start: u64,
     ticks: u64,
@@ -77,7 +77,7 @@
     bytes: Vec<u8>,
 }
 
-enum Happening {
+enum NetEvent {
     Tick {
         node: usize,
         start: u64,
@@ -99,8 +99,8 @@
 
 struct Scheduled {
     at: Instant,
-    number: u64,
-    happening: Happening,
+    sequence: u64,
+    event: NetEvent,
 }
 
 impl PartialEq for Scheduled {
@@ -119,7 +119,7 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
-        (other.at, other.number).cmp(&(self.at, self.number))
+        (other.at, other.sequence).cmp(&(self.at, self.sequence))
     }
 }
 
@@ -128,14 +128,14 @@
     pub now: Instant,
     pub conditions: Conditions,
     pub settings: Settings,
-    pub spread_settings: spread::Settings,
+    pub sync_settings: revision_sync::Settings,
     pub table: revision::Id,
     pub platform_up: bool,
     pub log: Vec<(Instant, usize, Action)>,
     pub logging: bool,
     addresses: BTreeMap<SocketAddr, usize>,
     queue: BinaryHeap<Scheduled>,
-    number: u64,
+    sequence: u64,
     rng: ChaCha8Rng,
 }
 
@@ -146,14 +146,14 @@
             now: Instant::from_millis(1000),
             conditions,
             settings: Settings::default(),
-            spread_settings: spread::Settings::default(),
+            sync_settings: revision_sync::Settings::default(),
             table: revision::Id(1),
             platform_up: true,
             log: Vec::new(),
             logging: true,
             addresses: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            number: 0,
+            sequence: 0,
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
@@ -164,7 +164,7 @@
         for index in 0..routers {
             net.add(&format!("lk-west-{}", 1 + index % zones));
         }
-        net.list_all();
+        net.send_host_list();
         net
     }
 
@@ -176,11 +176,11 @@
         let bytes = u32::try_from(index).unwrap().to_be_bytes();
         let address = SocketAddr::from(([10, bytes[1], bytes[2], bytes[3]], 7000));
         self.addresses.insert(address, index);
-        let (fleet, spread) = self.start_state(&host, &zone, address, 1);
+        let (fleet, sync) = self.new_state(&host, &zone, address, 1);
         let tag = seal::Tag::new(&host);
         self.nodes.push(Node {
             fleet,
-            spread,
+            sync,
             host,
             zone,
             address,
@@ -188,13 +188,13 @@
             boot: 1,
             up: true,
             paused: false,
-            said_ready: false,
+            ready_reported: false,
             table_reachable: true,
             sent: 0,
             received: 0,
             frames: 0,
             polls: 0,
-            side: 0,
+            partition: 0,
             queue: Vec::new(),
             start: 0,
             ticks: 0,
@@ -203,13 +203,13 @@
         index
     }
 
-    fn start_state(
+    fn new_state(
         &mut self,
         host: &host::Id,
         zone: &availability::Zone,
         address: SocketAddr,
         boot: u64,
-    ) -> (Fleet, spread::Spread) {
+    ) -> (Fleet, revision_sync::RevisionSync) {
         let identity = heartbeat::Identity {
             host: host.clone(),
             zone: zone.clone(),
@@ -218,18 +218,18 @@
         let boot = seal::Boot(boot);
         let seed = self.rng.random();
         let fleet = Fleet::new(self.settings.clone(), identity, boot, seed, self.now);
-        let spread = spread::Spread::new(self.spread_settings.clone(), seed, self.now);
-        (fleet, spread)
+        let sync = revision_sync::RevisionSync::new(self.sync_settings.clone(), seed, self.now);
+        (fleet, sync)
     }
 
     fn schedule_tick(&mut self, node: usize) {
         let offset = Duration::from_micros(self.rng.random_range(0..100_000));
         let start = self.nodes[node].start;
-        self.schedule(self.now + offset, Happening::Tick { node, start });
+        self.schedule(self.now + offset, NetEvent::Tick { node, start });
     }
 
     /// Gives every running router the list of all hosts.
-    pub fn list_all(&mut self) {
+    pub fn send_host_list(&mut self) {
         let seeds: Vec<Seed> = self
             .nodes
             .iter()
@@ -255,23 +255,23 @@
     /// Starts a killed router again, without any memory.
     pub fn restart(&mut self, node: usize) {
         let boot = self.nodes[node].boot + 1;
-        self.restart_as(node, boot);
+        self.restart_with_boot(node, boot);
     }
 
-    pub fn restart_as(&mut self, node: usize, boot: u64) {
+    pub fn restart_with_boot(&mut self, node: usize, boot: u64) {
         let (host, zone) = (self.nodes[node].host.clone(), self.nodes[node].zone.clone());
         let address = self.nodes[node].address;
-        let (fleet, spread) = self.start_state(&host, &zone, address, boot);
+        let (fleet, sync) = self.new_state(&host, &zone, address, boot);
         let target = &mut self.nodes[node];
         target.fleet = fleet;
-        target.spread = spread;
+        target.sync = sync;
         target.boot = boot;
         target.up = true;
         target.paused = false;
-        target.said_ready = false;
+        target.ready_reported = false;
         target.start += 1;
         self.schedule_tick(node);
-        self.list_all();
+        self.send_host_list();
     }
 
     pub fn pause(&mut self, node: usize) {
@@ -286,16 +286,16 @@
         }
         self.nodes[node].start += 1;
         let start = self.nodes[node].start;
-        self.schedule(self.now, Happening::Tick { node, start });
+        self.schedule(self.now, NetEvent::Tick { node, start });
     }
 
-    fn schedule(&mut self, at: Instant, happening: Happening) {
-        self.number += 1;
-        let number = self.number;
+    fn schedule(&mut self, at: Instant, event: NetEvent) {
+        self.sequence += 1;
+        let sequence = self.sequence;
         self.queue.push(Scheduled {
             at,
-            number,
-            happening,
+            sequence,
+            event,
         });
     }
 
@@ -307,43 +307,43 @@
         while self.queue.peek().is_some_and(|next| next.at <= end) {
             let next = self.queue.pop().unwrap();
             self.now = next.at;
-            self.happen(next.happening);
+            self.process(next.event);
         }
         self.now = end;
     }
 
-    fn happen(&mut self, happening: Happening) {
-        match happening {
-            Happening::Tick { node, start } => {
+    fn process(&mut self, event: NetEvent) {
+        match event {
+            NetEvent::Tick { node, start } => {
                 let target = &self.nodes[node];
                 if !target.up || target.paused || target.start != start {
                     return;
                 }
                 self.handle(node, Event::Tick);
-                self.share_polls(node);
-                self.drive_spread(node);
+                self.update_poll_share(node);
+                self.drive_sync(node);
                 let tick = self.settings.tick;
-                self.schedule(self.now + tick, Happening::Tick { node, start });
+                self.schedule(self.now + tick, NetEvent::Tick { node, start });
             }
-            Happening::Arrive { node, message } => self.arrive(node, &message),
-            Happening::Fetched { node, start, from } => self.fetched(node, start, from),
-            Happening::Polled { node, start } => self.polled(node, start),
+            NetEvent::Arrive { node, message } => self.arrive(node, &message),
+            NetEvent::Fetched { node, start, from } => self.fetched(node, start, from),
+            NetEvent::Polled { node, start } => self.polled(node, start),
         }
     }
 
     /// Tells a router's spread of its share of the polls, twice a second.
-    fn share_polls(&mut self, node: usize) {
+    fn update_poll_share(&mut self, node: usize) {
         let Node {
             fleet,
-            spread,
+            sync,
             zone,
             ticks,
             ..
         } = &mut self.nodes[node];
         *ticks += 1;
         if ticks.is_multiple_of(5) {
-            spread.routers(fleet.live(zone));
-            spread.duty(fleet.has_poll_duty(), self.now);
+            sync.set_zone_routers(fleet.live_count(zone));
+            sync.set_designated_poller(fleet.is_designated_poller(), self.now);
         }
     }
 
@@ -364,18 +364,18 @@
             return;
         }
         target.received += message.bytes.len() + OVERHEAD;
-        let heard = Heard {
+        let received_heartbeat = Received {
             from: self.nodes[message.from].address,
             tag: message.tag,
             boot: message.boot,
             fresh,
             frame: heartbeat::Frame::decode(&message.bytes).unwrap(),
         };
-        self.handle(node, Event::Heard(Box::new(heard)));
+        self.handle(node, Event::Heartbeat(Box::new(received_heartbeat)));
     }
 
     pub fn reachable(&self, a: usize, b: usize) -> bool {
-        self.nodes[a].side == self.nodes[b].side
+        self.nodes[a].partition == self.nodes[b].partition
     }
 
     pub fn handle(&mut self, node: usize, event: Event) {
@@ -383,14 +383,14 @@
         for action in actions {
             match &action {
                 Action::Send(send) => self.send(node, send),
-                Action::Newer {
+                Action::NewerRevision {
                     revision,
                     host,
                     address,
                 } => {
-                    let spread = &mut self.nodes[node].spread;
-                    spread.heard(host.clone(), *address, *revision);
-                    self.drive_spread(node);
+                    let sync = &mut self.nodes[node].sync;
+                    sync.add_source(host.clone(), *address, *revision);
+                    self.drive_sync(node);
                 }
                 _ if self.logging => self.log.push((self.now, node, action)),
                 _ => {}
@@ -417,7 +417,7 @@
             return;
         }
         let at = self.now + self.delay(node, to);
-        self.schedule(at, Happening::Arrive { node: to, message });
+        self.schedule(at, NetEvent::Arrive { node: to, message });
     }
 
     fn delay(&mut self, a: usize, b: usize) -> Duration {
@@ -432,51 +432,54 @@
         base.mul_f64(self.rng.random_range(0.5..2.0))
     }
 
-    fn drive_spread(&mut self, node: usize) {
+    fn drive_sync(&mut self, node: usize) {
         let start = self.nodes[node].start;
-        match self.nodes[node].spread.step(self.now) {
-            spread::Step::Fetch { address, .. } => {
+        match self.nodes[node].sync.step(self.now) {
+            revision_sync::Step::Fetch { address, .. } => {
                 let from = self.addresses[&address];
                 let time = self.delay(node, from) * 3 + Duration::from_millis(1);
-                self.schedule(self.now + time, Happening::Fetched { node, start, from });
+                self.schedule(self.now + time, NetEvent::Fetched { node, start, from });
             }
-            spread::Step::Poll => {
+            revision_sync::Step::Poll => {
                 self.nodes[node].polls += 1;
                 let at = self.now + self.conditions.poll_time;
-                self.schedule(at, Happening::Polled { node, start });
+                self.schedule(at, NetEvent::Polled { node, start });
             }
-            spread::Step::Wait(_) => {}
+            revision_sync::Step::Wait(_) => {}
         }
     }
 
     fn fetched(&mut self, node: usize, start: u64, from: usize) {
         let source = &self.nodes[from];
         let answers = source.up && !source.paused && self.reachable(node, from);
-        let shows = answers.then(|| source.spread.own()).flatten();
-        self.shown(node, start, shows);
+        let revision_read = answers.then(|| source.sync.applied()).flatten();
+        self.complete_read(node, start, revision_read);
     }
 
     fn polled(&mut self, node: usize, start: u64) {
         let answers = self.platform_up && self.nodes[node].table_reachable;
         let stale = self.rng.random_bool(self.conditions.stale_read);
-        let shows = revision::Id(self.table.0 - u64::from(stale && self.table.0 > 1));
-        self.shown(node, start, answers.then_some(shows));
+        let revision_read = revision::Id(self.table.0 - u64::from(stale && self.table.0 > 1));
+        self.complete_read(node, start, answers.then_some(revision_read));
     }
 
-    fn shown(&mut self, node: usize, start: u64, shows: Option<revision::Id>) {
+    fn complete_read(&mut self, node: usize, start: u64, revision_read: Option<revision::Id>) {
         let target = &mut self.nodes[node];
         if !target.up || target.paused || target.start != start {
             return;
         }
-        let applied = shows.filter(|revision| target.spread.apply(*revision));
-        let outcome = shows.map_or(spread::Outcome::Failed, spread::Outcome::Shows);
-        target.spread.answered(outcome, self.now);
+        let applied = revision_read.filter(|revision| target.sync.apply(*revision));
+        let outcome = revision_read.map_or(
+            revision_sync::Outcome::Failed,
+            revision_sync::Outcome::Succeeded,
+        );
+        target.sync.record_outcome(outcome, self.now);
         if let Some(revision) = applied {
             self.handle(node, Event::Applied(revision));
         }
         let target = &mut self.nodes[node];
-        if !target.said_ready && target.spread.is_ready(self.now) {
-            target.said_ready = true;
+        if !target.ready_reported && target.sync.is_ready(self.now) {
+            target.ready_reported = true;
             self.handle(node, Event::Ready);
         }
     }
@@ -486,7 +489,7 @@
     }
 
     /// The routers that act as the owner of `server`.
-    pub fn acting(&self, server: &backend::Server, zone: &availability::Zone) -> Vec<usize> {
+    pub fn acting_owners(&self, server: &backend::Server, zone: &availability::Zone) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&index| self.nodes[index].up && !self.nodes[index].paused)
             .filter(|&index| self.nodes[index].fleet.owns(server, zone, self.now))
@@ -494,7 +497,7 @@
     }
 
     /// How many running routers see exactly the running routers as owners.
-    pub fn agreeing(&self) -> usize {
+    pub fn converged_count(&self) -> usize {
         let running: Vec<&host::Id> = self.running().map(|node| &node.host).collect();
         self.running()
             .filter(|node| {
--- a/crates/fleet/tests/network/scale.rs
+++ b/crates/fleet/tests/network/scale.rs
@@ -27,7 +27,7 @@
     for index in 0..1000 {
         net.add(&zones[index % zones.len()]);
     }
-    net.list_all();
+    net.send_host_list();
     net.logging = false;
     net
 }
@@ -61,7 +61,7 @@
     let host = net.nodes[node].host.clone();
     net.log.clear();
     net.kill(node);
-    let killed = net.now;
+    let killed_at = net.now;
     net.run_for(Duration::from_secs(8));
     let times: Vec<Duration> = net
         .log
@@ -69,7 +69,7 @@
         .filter(|(_, _, action)| {
             matches!(action, Action::Phase { host: h, phase } if *h == host && *phase == heartbeat::Phase::Down)
         })
-        .map(|(at, _, _)| at.since(killed))
+        .map(|(at, _, _)| at.since(killed_at))
         .collect();
     assert_eq!(
         times.len(),
@@ -83,23 +83,23 @@
 }
 
 /// How long until every router applied a revision that the table got, and the first.
-fn spread(net: &mut Net) -> (Duration, Duration) {
+fn propagation(net: &mut Net) -> (Duration, Duration) {
     net.table = net.table.next();
-    let accepted = net.now;
+    let accepted_at = net.now;
     let mut first = None;
-    while net.now.since(accepted) < Duration::from_secs(30) {
+    while net.now.since(accepted_at) < Duration::from_secs(30) {
         net.run_for(Duration::from_millis(10));
         let has = |revision: Option<revision::Id>| revision == Some(net.table);
         let count = net
             .nodes
             .iter()
-            .filter(|node| has(node.spread.own()))
+            .filter(|node| has(node.sync.applied()))
             .count();
         if count > 0 {
-            first.get_or_insert(net.now.since(accepted));
+            first.get_or_insert(net.now.since(accepted_at));
         }
         if count == net.nodes.len() {
-            return (first.unwrap(), net.now.since(accepted));
+            return (first.unwrap(), net.now.since(accepted_at));
         }
     }
     panic!("not in force everywhere within 30 s");
@@ -112,7 +112,7 @@
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
-fn a_dead_router_is_known_to_all_within_three_seconds(zones: usize, routers: usize) {
+fn a_dead_router_is_detected_by_all_within_three_seconds(zones: usize, routers: usize) {
     let mut slowest = Duration::ZERO;
     for seed in 0..6 {
         let mut net = Net::region(seed, lossy(), zones, routers);
@@ -131,13 +131,13 @@
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
-fn a_revision_is_in_force_everywhere_within_five_seconds(zones: usize, routers: usize) {
+fn a_revision_is_applied_everywhere_within_five_seconds(zones: usize, routers: usize) {
     let mut net = Net::region(11, lossy(), zones, routers);
     net.run_for(Duration::from_secs(10));
     let mut slowest = Duration::ZERO;
     for round in 0..20 {
         net.run_for(Duration::from_millis(700));
-        let (first, last) = spread(&mut net);
+        let (first, last) = propagation(&mut net);
         println!("measure=spread routers={routers} round={round} first={first:?} last={last:?}");
         slowest = slowest.max(last);
     }
@@ -154,21 +154,21 @@
 fn control_traffic_is_bounded(zones: usize, routers: usize, bound: usize) {
     let mut net = Net::region(5, lossy(), zones, routers);
     net.run_for(Duration::from_secs(10));
-    let (mean, most) = traffic(&mut net, 20);
-    println!("measure=control routers={routers} mean={mean} most={most} unit=B/s");
-    assert!(most <= bound, "{most}");
+    let (mean, max) = traffic(&mut net, 20);
+    println!("measure=control routers={routers} mean={mean} most={max} unit=B/s");
+    assert!(max <= bound, "{max}");
 }
 
 #[test]
-fn the_planned_size_spreads_and_stays_in_its_budget() {
+fn the_planned_size_stays_within_its_propagation_and_traffic_bounds() {
     let mut net = planned(1);
     net.run_for(Duration::from_secs(6));
-    let (mean, most) = traffic(&mut net, 4);
-    println!("measure=control routers=1000 mean={mean} most={most} unit=B/s");
+    let (mean, max) = traffic(&mut net, 4);
+    println!("measure=control routers=1000 mean={mean} most={max} unit=B/s");
     let polls: usize = net.nodes.iter().map(|node| node.polls).sum();
     println!("measure=polls routers=1000 value={} unit=1/s", polls / 4);
-    let (first, last) = spread(&mut net);
+    let (first, last) = propagation(&mut net);
     println!("measure=spread routers=1000 first={first:?} last={last:?}");
-    assert!(most <= 2800, "{most}");
+    assert!(max <= 2800, "{max}");
     assert!(last <= Duration::from_secs(5), "{last:?}");
 }
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -7,7 +7,7 @@
 use config::{change, rows, snapshot::Snapshot};
 use fleet::{
     Region,
-    spread::{self, Outcome, Spread, Step},
+    revision_sync::{self, Outcome, RevisionSync, Step},
 };
 use storage::{
     hosts::{self, Hosts as _},
@@ -97,7 +97,7 @@
     sources: Sources,
     outputs: Outputs,
     region: Region,
-    spread: Spread,
+    spread: RevisionSync,
     snapshot: Option<Arc<Snapshot>>,
     changes: VecDeque<change::Change>,
     hosts: Arc<Vec<hosts::Host>>,
@@ -113,13 +113,13 @@
 impl Follow {
     /// A task that has read nothing yet.
     pub fn new(clock: Clock, region: Region, sources: Sources, outputs: Outputs) -> Self {
-        let settings = spread::Settings::default();
+        let settings = revision_sync::Settings::default();
         Self {
             clock,
             sources,
             outputs,
             region,
-            spread: Spread::new(settings, rand::random(), clock.now()),
+            spread: RevisionSync::new(settings, rand::random(), clock.now()),
             snapshot: None,
             changes: VecDeque::new(),
             hosts: Arc::default(),
@@ -158,12 +158,12 @@
                 address,
                 revision,
             } => {
-                self.spread.heard(host, address, revision);
+                self.spread.add_source(host, address, revision);
                 self.step_at = time::Instant::now();
             }
             Message::Polls { routers, duty } => {
-                self.spread.routers(routers);
-                self.spread.duty(duty, self.clock.now());
+                self.spread.set_zone_routers(routers);
+                self.spread.set_designated_poller(duty, self.clock.now());
                 self.step_at = time::Instant::now();
             }
             Message::Changes { since, reply } => {
@@ -179,11 +179,11 @@
         match self.spread.step(now) {
             Step::Fetch { address, .. } => {
                 let outcome = self.fetch(address).await;
-                self.spread.answered(outcome, self.clock.now());
+                self.spread.record_outcome(outcome, self.clock.now());
             }
             Step::Poll => {
                 let outcome = self.poll().await;
-                self.spread.answered(outcome, self.clock.now());
+                self.spread.record_outcome(outcome, self.clock.now());
             }
             Step::Wait(until) => {
                 let until = self.clock.at(until);
@@ -228,7 +228,7 @@
         match hop::client::changes(peer, &self.sources.key, since).await {
             Ok(update) => {
                 self.take(update);
-                Outcome::Shows(self.revision())
+                Outcome::Succeeded(self.revision())
             }
             Err(error) => {
                 logging::event!(warn, "fetch_failed", peer = peer, error = error);
@@ -244,7 +244,7 @@
             Some(_) => self.read_changes(deadline).await,
         };
         match result {
-            Ok(()) => Outcome::Shows(self.revision()),
+            Ok(()) => Outcome::Succeeded(self.revision()),
             Err(error) => {
                 logging::event!(warn, "poll_failed", error = error);
                 Outcome::Failed
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -6,7 +6,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use fleet::{Action, Event, Fleet, Heard, Seed};
+use fleet::{Action, Event, Fleet, Received, Seed};
 use storage::hosts;
 use tokio::{
     net::UdpSocket,
@@ -149,7 +149,7 @@
                 },
                 received = self.socket.recv_from(&mut buffer) => match received {
                     Ok((length, from)) => match self.open(&buffer[..length], from) {
-                        Some(heard) => Event::Heard(Box::new(heard)),
+                        Some(heard) => Event::Heartbeat(Box::new(heard)),
                         None => continue,
                     },
                     Err(error) => {
@@ -173,7 +173,7 @@
     /// A router that says so earlier is taken for an owner and then refuses
     /// what it is sent, since it does not yet know what it owns.
     async fn offer_service(&mut self) {
-        if self.readiness == Readiness::Wanted && self.fleet.is_sure(self.clock.now()) {
+        if self.readiness == Readiness::Wanted && self.fleet.is_view_trusted(self.clock.now()) {
             self.readiness = Readiness::Told;
             self.handle(Event::Ready).await;
         }
@@ -197,7 +197,7 @@
         }
     }
 
-    fn open(&mut self, datagram: &[u8], from: SocketAddr) -> Option<Heard> {
+    fn open(&mut self, datagram: &[u8], from: SocketAddr) -> Option<Received> {
         let metrics = &self.outputs.metrics;
         metrics.control(Direction::Received, datagram.len() + HEADERS);
         let opened = match self.opener.open(datagram) {
@@ -208,7 +208,7 @@
             }
         };
         let frame = heartbeat::Frame::decode(opened.payload).ok()?;
-        Some(Heard {
+        Some(Received {
             from,
             tag: opened.tag,
             boot: opened.boot,
@@ -218,11 +218,11 @@
     }
 
     async fn handle(&mut self, event: Event) {
-        let may_change = !matches!(event, Event::Heard(_));
+        let may_change = !matches!(event, Event::Heartbeat(_));
         let actions = self.fleet.handle(event, self.clock.now());
         let mut changed = false;
         for action in actions {
-            changed |= matches!(action, Action::Phase { .. } | Action::Sure(_));
+            changed |= matches!(action, Action::Phase { .. } | Action::ViewTrusted(_));
             self.act(action).await;
         }
         if changed || may_change {
@@ -236,8 +236,8 @@
             Action::Phase { host, phase } => {
                 logging::event!(info, "router_phase", router = host, phase = phase);
             }
-            Action::Sure(sure) => logging::event!(info, "own_view", sure = sure),
-            Action::Newer {
+            Action::ViewTrusted(trusted) => logging::event!(info, "own_view", sure = trusted),
+            Action::NewerRevision {
                 revision,
                 host,
                 address,
@@ -255,7 +255,7 @@
             // all pools that heartbeats can carry would mix them.
             Action::Load(_) => {}
             Action::Strike(strike) => self.tell_strikes(strike.fingerprint),
-            Action::Reboot(boot) => {
+            Action::BootChanged(boot) => {
                 self.sealer = seal::Sealer::new(&self.key, &self.own.host, boot);
                 self.opener = seal::Opener::new(&self.key, &self.own.host, boot);
             }
@@ -291,8 +291,8 @@
             true
         });
         let polls = Polls {
-            routers: self.fleet.live(&self.own.zone),
-            duty: self.fleet.has_poll_duty(),
+            routers: self.fleet.live_count(&self.own.zone),
+            duty: self.fleet.is_designated_poller(),
         };
         if polls == self.polls {
             return;
@@ -309,7 +309,7 @@
 
     fn members(&self) -> Members {
         let now = self.clock.now();
-        let own_role = if self.fleet.is_sure(now) {
+        let own_role = if self.fleet.is_view_trusted(now) {
             role(self.fleet.phase())
         } else {
             Role::Bystander
