--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into and comes out of the membership.
+//! The events that a [`crate::Fleet`] takes and the actions that it returns.
 
 use std::net;
 
@@ -21,74 +21,76 @@
 /// A heartbeat that was received, opened and decoded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Received {
-    /// Where the datagram came from.
+    /// The source address of the datagram.
     pub from: net::SocketAddr,
-    /// The sender's tag, from the seal.
+    /// The hash of the sender's host name, from the seal.
     pub tag: seal::Tag,
-    /// The sender's boot, from the seal.
+    /// The sender's boot number, from the seal.
     pub boot: seal::Boot,
-    /// Whether it was sealed for this very process, from the seal.
+    /// Whether it was sealed for this process and boot, so that it cannot be a replay
+    /// of a datagram to an earlier or another process.
     pub fresh: bool,
-    /// The heartbeat.
+    /// The decoded heartbeat.
     pub frame: heartbeat::Frame,
 }
 
-/// What happened.
+/// An input to [`crate::Fleet::handle`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// The time of one [`crate::Settings::tick`] passed.
+    /// One [`crate::Settings::tick`] has passed.
     Tick,
     /// A heartbeat arrived.
     Heartbeat(Box<Received>),
-    /// The platform gave its list of live routers, which may lag.
+    /// The platform returned its list of live routers, which may be out of date.
     Hosts(Vec<Seed>),
     /// This router applied a revision of the configuration.
     Applied(revision::Id),
-    /// This router has a configuration and can serve.
+    /// This router has a configuration and can serve requests.
     Ready,
     /// The load of the engines that this router owns changed.
     Load(heartbeat::Load),
-    /// A backend server died while this router had an attempt on it.
+    /// A backend server died while this router had an attempt in flight on it.
     Strike {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: request::Fingerprint,
-        /// The attempt.
+        /// The attempt that was in flight.
         attempt: request::Attempt,
-        /// When the strike is forgotten.
+        /// When the strike expires.
         expires_at: time::Instant,
     },
-    /// This router starts its graceful shutdown: it owns nothing from now on.
+    /// This router starts to drain: from now on it owns no engines.
     Leaving,
-    /// This router ends: the others need not watch it any more.
+    /// This router stops: the other routers no longer need to watch it.
     Left,
 }
 
 /// A heartbeat to be sealed and sent.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Send {
-    /// Where to.
+    /// The destination address.
     pub to: net::SocketAddr,
-    /// For whom to seal it.
+    /// The receiver that the heartbeat is sealed for.
     pub audience: seal::Audience,
-    /// The heartbeat.
+    /// The heartbeat to encode.
     pub frame: Box<heartbeat::Frame>,
 }
 
-/// What is to be done, or has changed.
+/// An output of [`crate::Fleet::handle`]: something to do, or a change to publish.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send a heartbeat.
     Send(Send),
-    /// A router is new or entered another phase; owners may have changed.
+    /// A router is new or entered another phase; engines may have new owners.
     Phase {
         /// The router.
         host: host::Id,
-        /// Its phase.
+        /// Its current phase.
         phase: heartbeat::Phase,
     },
-    /// This router's own right to act as an owner changed; see [`crate::Fleet::is_view_trusted`].
+    /// Whether this router may act as an owner changed; see [`crate::Fleet::is_view_trusted`].
     ViewTrusted(bool),
-    /// A router has a higher revision than this one: hand it to [`crate::revision_sync::RevisionSync`].
+    /// A router has a higher revision than this one; pass it to
+    /// [`crate::revision_sync::RevisionSync::add_source`].
     NewerRevision {
         /// The revision.
         revision: revision::Id,
@@ -97,11 +99,11 @@
         /// Its peer address.
         address: net::SocketAddr,
     },
-    /// The sum of the load over the engines of the region changed.
+    /// The total load of the region's engines changed.
     Load(heartbeat::Load),
-    /// A strike was learned from another router.
+    /// A strike was received from another router.
     Strike(Strike),
-    /// The boot number is too low, since a clock went back: make the
-    /// [`seal::Sealer`] and the [`seal::Opener`] anew with this one.
+    /// The boot number was too low, because a clock went back: recreate the
+    /// [`seal::Sealer`] and the [`seal::Opener`] with this boot number.
     BootChanged(seal::Boot),
 }
--- a/crates/fleet/src/flap.rs
+++ b/crates/fleet/src/flap.rs
@@ -1,4 +1,4 @@
-//! Routers that come and go too often.
+//! Flap damping: routers that restart too often are held out of ownership.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,10 +6,10 @@
 
 use crate::settings::Settings;
 
-/// How many hosts are remembered.
+/// The most hosts that are tracked; further hosts are not counted.
 const MAX_HOSTS: usize = 2048;
 
-/// How often each router came back lately.
+/// The recent joins of each host.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Flaps {
     hosts: BTreeMap<host::Id, Flap>,
@@ -22,7 +22,7 @@
 }
 
 impl Flaps {
-    /// Counts one coming of `host`.
+    /// Counts one join of `host`.
     pub(crate) fn record_join(&mut self, host: &host::Id, settings: &Settings, now: time::Instant) {
         self.expire(now);
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(host) {
@@ -37,7 +37,7 @@
         flap.expires_at = expires_at.max(now + hold_down(flap.joins, settings) * 2);
     }
 
-    /// How long `host` should stay out of ownership.
+    /// How long `host` should own no engines.
     pub(crate) fn hold_down(&self, host: &host::Id, settings: &Settings) -> Duration {
         let joins = self.hosts.get(host).map_or(0, |flap| flap.joins);
         hold_down(joins, settings)
@@ -48,6 +48,7 @@
     }
 }
 
+/// The hold-down time after `joins` joins; it doubles with each one above the limit.
 fn hold_down(joins: u32, settings: &Settings) -> Duration {
     let excess = joins.saturating_sub(settings.flap_limit);
     if excess == 0 {
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -25,10 +25,10 @@
     update_queue::UpdateQueue,
 };
 
-/// Actions that follow from one event.
+/// The actions that result from one event.
 pub type Actions = SmallVec<[Action; 4]>;
 
-/// One router's view of the others.
+/// One router's view of the other routers of its region.
 #[derive(Debug)]
 pub struct Fleet {
     settings: Settings,
@@ -37,7 +37,7 @@
     zone_tag: heartbeat::ZoneTag,
     incarnation: heartbeat::Incarnation,
     phase: heartbeat::Phase,
-    /// Whether this router said that it can serve.
+    /// Whether [`Event::Ready`] was received.
     ready: bool,
     revision: revision::Id,
     load: heartbeat::Load,
@@ -50,16 +50,16 @@
     pause_detector: PauseDetector,
     was_trusted: bool,
     reported_load: heartbeat::Load,
-    /// The hosts of the region on the platform's list.
+    /// The region's other routers on the platform's host list.
     listed: BTreeMap<host::Id, Seed>,
-    /// The hosts of other regions on the platform's list.
+    /// The routers of other regions on the platform's host list.
     remote: BTreeMap<host::Id, Seed>,
     rng: ChaCha8Rng,
     timers: timers::Timers,
 }
 
 impl Fleet {
-    /// The view of a router that starts as `identity` with `boot`, higher than at its last start.
+    /// The initial view of the router `identity`; `boot` must be higher than at its last start.
     pub fn new(
         settings: Settings,
         identity: heartbeat::Identity,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Takes in an event and says what follows.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: time::Instant) -> Actions {
         let mut out = Actions::new();
         if self.pause_detector.observe(now) {
@@ -163,7 +163,7 @@
         self.settle_phase(now);
     }
 
-    /// Enters the phase that follows from readiness and from holds.
+    /// Switches between starting and ready, according to readiness and hold-down.
     fn settle_phase(&mut self, now: time::Instant) {
         if !matches!(
             self.phase,
@@ -172,7 +172,7 @@
             return;
         }
         if self.timers.hold_down_until > now && !self.zone_has_owner() {
-            // When all routers of a zone flap, somebody has to serve.
+            // When all routers of a zone flap, one of them still has to serve.
             self.timers.hold_down_until = time::Instant::ZERO;
         }
         let phase = if self.ready && self.timers.hold_down_until <= now {
@@ -183,7 +183,7 @@
         self.enter(phase, now);
     }
 
-    /// Whether another router of the zone may own engines, so that this one can be spared.
+    /// Whether another router of the zone may own engines while this one is held down.
     fn zone_has_owner(&self) -> bool {
         self.member_list
             .live_in_zone()
@@ -195,7 +195,7 @@
             return;
         }
         if phase < self.phase {
-            // Others take a lower phase over only from a later incarnation.
+            // Other routers accept a lower phase only with a higher incarnation.
             self.incarnation.refutation += 1;
         }
         self.phase = phase;
@@ -208,12 +208,12 @@
         self.timers.push(now);
     }
 
-    /// How many routers of the region are thought to run.
+    /// The number of live routers of the region, this one included.
     fn size(&self) -> usize {
         self.member_list.live().count() + 1
     }
 
-    /// Takes in a claim about another router.
+    /// Applies a membership update about another router.
     fn apply_update(
         &mut self,
         update: &heartbeat::Member,
@@ -245,11 +245,11 @@
         change
     }
 
-    /// Denies a claim that this router does not run, or runs as another process.
+    /// Refutes an update that contradicts this router's own phase or boot number.
     fn refute(&mut self, update: &heartbeat::Member, now: time::Instant, out: &mut Actions) {
         if update.incarnation.boot > self.incarnation.boot {
-            // A clock went back, or a process with this name ran elsewhere. The
-            // others ignore all that this one says, until its boot is higher.
+            // A clock went back, or another process ran under this host name. The
+            // other routers ignore this one's heartbeats until its boot is higher.
             self.incarnation = heartbeat::Incarnation {
                 boot: seal::Boot(update.incarnation.boot.0 + 1),
                 refutation: 0,
@@ -269,7 +269,9 @@
         self.queue_local_update(now);
     }
 
-    /// Others took over this router's engines: it waits until all know of its return.
+    /// Handles that this router was declared down and its engines were taken over.
+    ///
+    /// It delays acting as an owner until its return has reached all routers.
     fn handle_declared_down(&mut self, now: time::Instant) {
         self.pause_detector
             .delay_until(now + self.settings.settle_time);
@@ -280,10 +282,10 @@
         self.settle_phase(now);
     }
 
-    /// Distrusts everything after a pause.
+    /// Marks the view as untrusted after a pause of this process.
     ///
-    /// The others seem silent because this process did not run. Without a new
-    /// start of all watches it would declare them all suspect at once.
+    /// The other routers seem silent because this process did not run. Without
+    /// restarting all silence timeouts it would suspect all of them at once.
     fn handle_resume(&mut self, now: time::Instant) {
         self.pause_detector
             .distrust(now, self.settings.grace_period, self.version + 1);
@@ -298,7 +300,7 @@
         self.timers.rejoin(now);
     }
 
-    /// Reports what changed by the event or by the time.
+    /// Reports when [`Self::is_view_trusted`] changed, through an event or the passage of time.
     fn report_trust(&mut self, now: time::Instant, out: &mut Actions) {
         let trusted = self.is_view_trusted(now);
         if trusted != self.was_trusted {
--- a/crates/fleet/src/fleet/join.rs
+++ b/crates/fleet/src/fleet/join.rs
@@ -1,4 +1,4 @@
-//! How a router finds others, and takes its leave of them.
+//! Joining, reconnecting to lost routers, and leaving.
 
 use rand::{RngExt, seq::IndexedRandom};
 use units::{host, time};
@@ -6,9 +6,10 @@
 
 use super::{Actions, Fleet, send::Content};
 
-/// The time between attempts to join.
+/// The interval between attempts to join, in ticks.
 const JOIN_TICKS: u32 = 3;
-/// How many routers are asked at each attempt to join.
+/// The number of members, and of hosts that are only listed, contacted in each attempt
+/// to join.
 const JOIN_FANOUT: usize = 3;
 
 impl Fleet {
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Ends: tells the watchers and a few others at once, since no tick follows.
+    /// Leaves: notifies the watchers and some random routers at once, since no tick follows.
     pub(super) fn leave(&mut self, now: time::Instant, out: &mut Actions) {
         self.enter(heartbeat::Phase::Left, now);
         let live: Vec<host::Id> = self.member_list.live().map(|m| m.host.clone()).collect();
@@ -38,8 +39,8 @@
         }
     }
 
-    /// Probes a router that is down or was never heard, so that halves of a
-    /// fleet that was cut in two find each other again.
+    /// Probes a router that is down, or is listed but not a member, so that the two
+    /// sides of a network partition find each other again.
     pub(super) fn reconnect(&mut self, now: time::Instant, out: &mut Actions) {
         if now < self.timers.reconnect_at {
             return;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The hosts of the region's list that are no members.
+    /// The region's listed hosts that are not members.
     fn unknown_hosts(&self) -> Vec<host::Id> {
         let listed = self.listed.keys();
         let unknown = listed.filter(|host| self.member_list.get(host).is_none());
@@ -86,7 +87,10 @@
         self.send_introduction(heartbeat::Kind::Probe, &host, now, out);
     }
 
-    /// Tells a listed or a lost host who this router is; the host's boot is not known.
+    /// Sends this router's identity to a host whose boot number is not known.
+    ///
+    /// The host is on the platform's list or was a member earlier. The heartbeat is
+    /// sealed for any process.
     fn send_introduction(
         &mut self,
         kind: heartbeat::Kind,
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -1,4 +1,4 @@
-//! What a router makes of the heartbeats that it receives.
+//! Processing of received heartbeats.
 
 use std::time::Duration;
 
@@ -12,9 +12,10 @@
     strike,
 };
 
-/// The time without a change after which two routers should know the same.
+/// The time without a membership change after which the digests of two routers
+/// should be equal.
 const DIGEST_SETTLE_TIME: Duration = Duration::from_millis(1500);
-/// The least time between two exchanges of whole lists.
+/// The minimum interval between two full exchanges of member lists.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(2000);
 
 impl Fleet {
@@ -44,7 +45,7 @@
         self.respond(received, &identity, now, out);
     }
 
-    /// Who the sender is, from the heartbeat or from memory.
+    /// The sender's identity, from the heartbeat or from the member list.
     fn identify(&self, received: &Received) -> Option<heartbeat::Identity> {
         if let Some(identity) = &received.frame.identity {
             let authentic = seal::Tag::new(&identity.host) == received.tag;
@@ -66,10 +67,10 @@
         }
     }
 
-    /// Answers a heartbeat that was sealed for anyone, and believes nothing of it.
+    /// Answers a heartbeat that was not sealed for this process, without applying its contents.
     ///
-    /// It may be a recording. The answer is sealed for the sender's present
-    /// boot and costs little; how many are sent is limited.
+    /// It may be a replay. The answer is sealed for the boot in the heartbeat and is
+    /// small; the rate of such answers is limited.
     fn answer_introduction(
         &mut self,
         received: &Received,
@@ -80,8 +81,8 @@
         if !self.take_introduction_token() {
             return;
         }
-        // A router that restarts too often may join by another fresh one, which
-        // does not know; so each router that it asks tells how often it came.
+        // A flapping router may join through a router that has just started itself and
+        // has not counted its joins, so every router that it contacts sends a hold-down.
         let hold_down = self.flaps.hold_down(&identity.host, &self.settings);
         let kind = answer_kind(received, hold_down);
         let mut frame = self.frame(kind, None, Content::INTRODUCTION, now);
@@ -94,13 +95,14 @@
         self.send(identity.address, audience, frame, out);
     }
 
+    /// Takes a token from the rate limiter of introductions.
     fn take_introduction_token(&mut self) -> bool {
         let left = self.timers.introduction_tokens.checked_sub(1);
         self.timers.introduction_tokens = left.unwrap_or(0);
         left.is_some()
     }
 
-    /// Takes in what the sender says of itself; false for a process that was replaced.
+    /// Applies the sender's state; false for a process that a later boot has replaced.
     fn apply_sender(
         &mut self,
         received: &Received,
@@ -144,7 +146,7 @@
         true
     }
 
-    /// What this router holds of the sender, if it overrides what the sender says.
+    /// This router's update about the sender, if it overrides the state in the heartbeat.
     fn overriding_update(
         &self,
         received: &Received,
@@ -160,7 +162,7 @@
         overriding_update.then(|| member.to_update())
     }
 
-    /// Tells a process with too low a boot number which one is known.
+    /// Sends the known boot number to a process whose boot number is too low.
     fn notify_stale_boot(
         &mut self,
         received: &Received,
@@ -230,10 +232,11 @@
         }
     }
 
-    /// Exchanges the whole lists of members with a router that knows something else.
+    /// Exchanges full member lists with a router whose digest differs.
     ///
-    /// News spreads at random and may miss a router, which would disagree with
-    /// the others for good. It shows by the digest, once the news has settled.
+    /// Updates are gossiped to random routers and may miss one, whose view would
+    /// then differ for good. Once no more updates are on their way, its digest
+    /// shows that.
     fn run_anti_entropy(
         &mut self,
         received: &Received,
@@ -288,9 +291,10 @@
             Content::default()
         };
         let mut frame = self.frame(kind, None, content, now);
-        // A router that was paused trusts its view again once it is answered. It
-        // has to learn by this very answer that it was given up: told apart, it
-        // would act as an owner beside its successor until the word arrives.
+        // A router that was paused trusts its view again once it receives an answer.
+        // The same answer has to say that it was declared down: in a separate
+        // datagram, the router would act as an owner beside its successor until
+        // that datagram arrives.
         frame
             .updates
             .extend(self.overriding_update(received, identity));
@@ -298,7 +302,7 @@
         self.send(identity.address, audience, frame, out);
     }
 
-    /// Answers a router that joins and tells it of all members.
+    /// Answers a router that joins, and sends it the member list.
     fn answer_join(
         &mut self,
         received: &Received,
--- a/crates/fleet/src/fleet/send.rs
+++ b/crates/fleet/src/fleet/send.rs
@@ -1,4 +1,4 @@
-//! The heartbeats that a router sends.
+//! Construction and sending of heartbeats.
 
 use std::net;
 
@@ -14,24 +14,24 @@
     member_list,
 };
 
-/// How often a router passes on one and the same summary of another.
+/// How often a router relays the same summary of another router.
 const SUMMARY_TRANSMISSIONS: u8 = 3;
 
-/// How much a heartbeat carries besides what the sender says of itself.
+/// The limits of what a heartbeat carries besides the sender's own state.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct Content {
     updates: usize,
     summaries: usize,
     totals: usize,
-    /// Whether the sum over the routers below goes along, up the tree.
+    /// Whether to include the sum over the sender's subtree.
     subtree: bool,
     strikes: usize,
-    /// Whether the sender names itself also to a receiver that it was heard by.
+    /// Whether to include the sender's identity even if the receiver already knows it.
     identity: bool,
 }
 
 impl Content {
-    /// A beat to a router of the zone that watches this one.
+    /// A periodic heartbeat to a watcher in the same zone.
     pub(super) const BEAT: Self = Self {
         updates: 2,
         summaries: 0,
@@ -40,27 +40,27 @@
         strikes: 1,
         identity: false,
     };
-    /// A beat to a router of another zone that watches this one.
+    /// A periodic heartbeat to a watcher in another zone.
     pub(super) const OTHER_ZONE: Self = Self {
         totals: 1,
         ..Self::BEAT
     };
-    /// A beat to a router below this one in the tree of the zone.
+    /// A periodic heartbeat to a child in the zone's load tree.
     pub(super) const TO_CHILD: Self = Self {
         totals: 3,
         ..Self::BEAT
     };
-    /// A beat to the router above this one in the tree of the zone.
+    /// A periodic heartbeat to the parent in the zone's load tree.
     pub(super) const TO_PARENT: Self = Self {
         subtree: true,
         ..Self::TO_CHILD
     };
-    /// What others told of themselves, for a random router of the zone.
+    /// Summaries of other routers, for a random router of the zone.
     pub(super) const GOSSIP: Self = Self {
         summaries: heartbeat::MAX_SUMMARIES / 2,
         ..Self::BEAT
     };
-    /// A push of news.
+    /// A push of queued updates and strikes.
     pub(super) const PUSH: Self = Self {
         updates: 8,
         summaries: 0,
@@ -69,7 +69,7 @@
         strikes: 4,
         identity: false,
     };
-    /// A heartbeat to a host that may not know this router.
+    /// A heartbeat to a host that may not know this router's identity.
     pub(super) const INTRODUCTION: Self = Self {
         updates: 0,
         summaries: 0,
@@ -121,7 +121,7 @@
         self.send_to(heartbeat::Kind::Join, host, Content::INTRODUCTION, now, out);
     }
 
-    /// Tells `to` what this router holds of it, so that it can deny it.
+    /// Sends `host` this router's update about it, so that it can refute the update.
     pub(super) fn request_refutation(
         &mut self,
         host: &host::Id,
@@ -142,7 +142,7 @@
         self.send(to, audience, frame, out);
     }
 
-    /// Sends the whole list of members, this router left out, in a few heartbeats.
+    /// Sends `host` the member list, without `host` and this router, in several heartbeats.
     pub(super) fn send_members(&mut self, host: &host::Id, now: time::Instant, out: &mut Actions) {
         let updates: Vec<heartbeat::Member> = self
             .member_list
@@ -190,7 +190,7 @@
         }
     }
 
-    /// The hash of what this router knows of the live members, itself included.
+    /// The digest of the live members, this router included.
     pub(super) fn digest(&self) -> [u8; 4] {
         (self.member_list.digest() ^ member_list::digest_of(&self.local_update())).to_le_bytes()
     }
@@ -220,7 +220,7 @@
         }
     }
 
-    /// The summaries that were passed on least, of those the newest.
+    /// The summaries with the fewest transmissions, the most recent first among equals.
     fn summaries(
         &mut self,
         count: usize,
@@ -257,7 +257,7 @@
             .collect()
     }
 
-    /// The own zone's total to another zone, all totals within the zone.
+    /// The totals to send: only the local zone's to another zone, all known ones within the zone.
     fn totals(
         &self,
         count: usize,
@@ -276,7 +276,7 @@
         local.into_iter().chain(others).take(count).collect()
     }
 
-    /// The total of the own zone: summed up here at the root of the tree, else as heard.
+    /// The total of the local zone: computed at the root of the load tree, received elsewhere.
     pub(super) fn local_zone_total(&self, now: time::Instant) -> Option<heartbeat::Total> {
         if !self.member_list.tree_position().is_root() {
             return self
@@ -293,7 +293,7 @@
         })
     }
 
-    /// The sum over this router and those below it in the tree of the zone.
+    /// The sum over this router and its children's subtrees in the zone's load tree.
     fn subtree(&self, now: time::Instant) -> heartbeat::Subtree {
         let local = heartbeat::Subtree {
             lowest: self.revision,
--- a/crates/fleet/src/fleet/timers.rs
+++ b/crates/fleet/src/fleet/timers.rs
@@ -1,4 +1,4 @@
-//! What a router does as time passes.
+//! Periodic work: failure detection, heartbeats, gossip and expiry.
 
 use rand::{RngExt, seq::IndexedRandom};
 use smallvec::SmallVec;
@@ -8,23 +8,25 @@
 use super::{Actions, Fleet, send::Content};
 use crate::{Settings, event::Action, load, tree::Position};
 
-/// How many introductions are answered in a row, and in each tick.
+/// The burst size of the rate limiter of introductions.
 const INTRODUCTION_BURST: u32 = 20;
+/// The tokens that the rate limiter of introductions gains in each tick.
 const INTRODUCTIONS_PER_TICK: u32 = 2;
-/// The time between two looks at what is old enough to be forgotten.
+/// The interval between two removals of expired entries, in ticks.
 const EXPIRE_TICKS: u32 = 10;
-/// How many members are probed in a tick while an outage is looked into.
+/// The number of unwatched members probed in each tick while an outage is suspected.
 const OUTAGE_PROBES: usize = 2;
-/// How many own suspicions in a row make an outage.
+/// The number of suspicions raised by this router after which it assumes an outage.
 const OUTAGE_SUSPICIONS: u32 = 2;
-/// For how many ticks an outage is looked into, or routers are looked for after one came back.
+/// How long members are probed after an outage was assumed, and lost routers are probed
+/// at the fast rate after a router returned, in ticks.
 const FAST_PROBE_TICKS: u32 = 50;
-/// How many ticks later than a watcher the others give up a suspected router.
+/// How many ticks later than its watchers the other routers declare a suspected router down.
 const NON_WATCHER_DELAY_TICKS: u32 = 3;
-/// A change of the mean by less than one part in this many is not reported.
+/// The inverse of the smallest relative change of the mean load that is reported.
 const LOAD_STEP: u64 = 50;
 
-/// When a router does what next.
+/// The due times and counters of a router's periodic work.
 #[derive(Clone, Debug)]
 pub(crate) struct Timers {
     expire_at: time::Instant,
@@ -36,7 +38,7 @@
     pushed_at: time::Instant,
     push_remote: bool,
     pub(super) join_at: time::Instant,
-    /// The version of the first join that was sealed for its receiver.
+    /// The version of the first join that was sealed for the receiver's process.
     join_version: Option<u32>,
     pub(crate) joined: bool,
     pub(crate) hold_down_until: time::Instant,
@@ -44,11 +46,11 @@
     suspicions: u32,
     outage_until: time::Instant,
     pub(super) fast_reconnect_until: time::Instant,
-    /// Whether some router is no longer to be watched.
+    /// Whether the watchers have to be recomputed because an outage probe ended.
     watchers_stale: bool,
-    /// When a member's claim changed last.
+    /// When the state of a member last changed.
     pub(crate) changed_at: time::Instant,
-    /// When lists may be compared with another router again.
+    /// The earliest time of the next anti-entropy exchange.
     pub(crate) anti_entropy_at: time::Instant,
 }
 
@@ -77,12 +79,12 @@
         }
     }
 
-    /// Has the news pushed at the next tick.
+    /// Schedules a push of queued updates and strikes for the next tick.
     pub(crate) fn push(&mut self, now: time::Instant) {
         self.push_at = self.push_at.min(now);
     }
 
-    /// Has the own revision pushed, to another region as well.
+    /// Schedules a push of the applied revision, to a router of another region as well.
     pub(crate) fn push_revision(&mut self, now: time::Instant) {
         self.push(now);
         self.push_remote = true;
@@ -98,7 +100,7 @@
         self.join_at = now;
     }
 
-    /// Notes that a join goes out that its receiver will take as fresh.
+    /// Records that a join sealed for its receiver's process is sent as `version`.
     pub(crate) fn join_sent(&mut self, version: u32) {
         self.join_version.get_or_insert(version);
     }
@@ -143,7 +145,7 @@
         self.flaps.expire(now);
     }
 
-    /// Watches the routers that this one has to watch, and gives up the suspected ones.
+    /// Probes and suspects watched routers that are silent, and declares suspects down.
     fn watch(&mut self, now: time::Instant, out: &mut Actions) {
         let mut probes: SmallVec<[host::Id; 4]> = SmallVec::new();
         let mut updates: SmallVec<[heartbeat::Member; 4]> = SmallVec::new();
@@ -213,10 +215,10 @@
         }
     }
 
-    /// Probes all members in turn when several fell silent at once.
+    /// Probes all unwatched members, a few per tick, when several watched ones fell silent.
     ///
-    /// A router that is cut off watches two others only and would find out
-    /// about the rest of the fleet two by two.
+    /// An isolated router watches only two others, besides its neighbours in the load
+    /// tree, and would otherwise detect the loss of the rest of the region two by two.
     fn probe_for_outage(&mut self, now: time::Instant, out: &mut Actions) {
         if now >= self.timers.outage_until {
             return;
@@ -237,7 +239,7 @@
         }
     }
 
-    /// Beats to the routers that watch this one.
+    /// Sends the periodic heartbeat to the watchers of this router.
     fn beat(&mut self, now: time::Instant, out: &mut Actions) {
         if now < self.timers.beat_at {
             return;
@@ -265,7 +267,7 @@
         Content::BEAT
     }
 
-    /// Tells a random router of the zone what others told of themselves.
+    /// Sends summaries of other routers to a random router of the zone.
     fn gossip(&mut self, now: time::Instant, out: &mut Actions) {
         if now < self.timers.gossip_at {
             return;
@@ -283,7 +285,7 @@
         }
     }
 
-    /// Pushes news to random routers, which push it on.
+    /// Pushes queued updates and strikes to random routers, which push them on.
     fn push(&mut self, now: time::Instant, out: &mut Actions) {
         let ready_at = self.timers.pushed_at + self.settings.push_min_interval;
         if now < self.timers.push_at || now < ready_at {
--- a/crates/fleet/src/fleet/view.rs
+++ b/crates/fleet/src/fleet/view.rs
@@ -1,4 +1,4 @@
-//! What a router knows at present.
+//! Queries on a router's current view.
 
 use smallvec::SmallVec;
 use units::{availability, backend, host, request, time};
@@ -9,12 +9,12 @@
 use crate::{Region, Strike, load, member::Member, owner};
 
 impl Fleet {
-    /// The phase that this router tells of itself.
+    /// The phase that this router announces.
     pub fn phase(&self) -> heartbeat::Phase {
         self.phase
     }
 
-    /// The incarnation of this router.
+    /// The incarnation that this router announces.
     pub fn incarnation(&self) -> heartbeat::Incarnation {
         self.incarnation
     }
@@ -24,17 +24,17 @@
         &self.region
     }
 
-    /// The other routers of the region that are remembered, in order of their names.
+    /// The known other routers of the region, down and left ones included, by host name.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.member_list.iter()
     }
 
-    /// What is known of `host`, if it is another router of the region.
+    /// The member `host`, if it is a known other router of the region.
     pub fn member(&self, host: &host::Id) -> Option<&Member> {
         self.member_list.get(host)
     }
 
-    /// How many routers of `zone` are live, this one included.
+    /// The number of live routers of `zone`, this one included.
     pub fn live_count(&self, zone: &availability::Zone) -> usize {
         let others = self
             .member_list
@@ -45,13 +45,13 @@
 
     /// Whether this router may act as an owner.
     ///
-    /// It may not before it joined, and not after a pause until others answered
-    /// or the grace passed: they may have taken over meanwhile.
+    /// It may not after its start or a pause of its process until another router has
+    /// answered or the grace period has passed: its engines may have been taken over.
     pub fn is_view_trusted(&self, now: time::Instant) -> bool {
         self.pause_detector.is_view_trusted(now)
     }
 
-    /// The routers that own engines, this one included while it is sure of its view.
+    /// The routers that may own engines, this one included while its view is trusted.
     pub fn owners(
         &self,
         now: time::Instant,
@@ -77,7 +77,7 @@
         owner::owner(server, zone, self.owners(now))
     }
 
-    /// Whether this router is the owner of `server` of `zone` and may act as such.
+    /// Whether this router owns `server` of `zone` and may act as the owner.
     pub fn owns(
         &self,
         server: &backend::Server,
@@ -87,10 +87,11 @@
         self.owner(server, zone, now) == Some(&self.identity.host)
     }
 
-    /// Whether this router is the one of its zone that polls the table often.
+    /// Whether this router is the designated poller of its zone, which polls the table often.
     ///
-    /// Polls at random moments leave long gaps now and then, in which a change
-    /// goes unseen. If the one on duty is lost, the others' random polls remain.
+    /// Polls at random times leave occasional long gaps in which a change goes
+    /// unnoticed. If the designated poller is lost, the random polls of the other
+    /// routers continue.
     pub fn is_designated_poller(&self) -> bool {
         let hash = |host: &host::Id| xxh3::xxh3_64(host.as_str().as_bytes());
         let local = hash(&self.identity.host);
@@ -101,10 +102,10 @@
         self.phase.may_own() && others.all(|member| hash(&member.host) > local)
     }
 
-    /// The sum of the load over the engines of this router's zone.
+    /// The total load of the engines of this router's zone.
     ///
-    /// It is the total that came down the tree of the zone, or, until one came,
-    /// the sum of what was heard of single routers.
+    /// It is the total received from the root of the zone's load tree or, until
+    /// there is one, the sum of the loads reported by single routers.
     pub fn zone_load(&self, now: time::Instant) -> heartbeat::Load {
         if let Some(total) = self.local_zone_total(now) {
             return total.load;
@@ -115,19 +116,19 @@
             .fold(self.load, |sum, member| load::add(sum, member.load))
     }
 
-    /// The sum of the load over the engines of the region.
+    /// The total load of the region's engines.
     ///
-    /// What is older than [`Settings::load_expiry`] is left out.
+    /// Reports older than [`crate::Settings::load_expiry`] are left out.
     pub fn region_load(&self, now: time::Instant) -> heartbeat::Load {
         load::add(self.zone_load(now), self.zone_totals.others(self.zone_tag))
     }
 
-    /// What is known of the strikes against a request.
+    /// The number and expiry of the known strikes against a request.
     pub fn strikes(&self, fingerprint: request::Fingerprint, now: time::Instant) -> Option<Strike> {
         self.strikes.count(fingerprint, now)
     }
 
-    /// The short names of the deaths that count against a request, as heartbeats carry them.
+    /// The short attempt ids of the strikes against a request, as carried in heartbeats.
     pub fn strike_causes(
         &self,
         fingerprint: request::Fingerprint,
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership of routers, engine ownership and spread of configuration.
+//! Router membership, engine ownership and configuration propagation.
 //!
-//! [`Fleet`] is one router's view of the others: events go in, actions come
-//! out. [`owner`] tells which router owns a backend server, [`revision_sync`] decides
-//! where the next revision of the configuration comes from. Nothing here has a
-//! clock, a socket or a thread.
+//! [`Fleet`] is one router's view of the other routers: it takes events and
+//! returns actions. [`owner`] computes which router owns a backend server,
+//! [`revision_sync`] decides from which peer or table the next revision of the
+//! configuration is read. The crate is sans-IO: the caller supplies the clock,
+//! the sockets and the threads.
 #![doc = include_str!("../../../docs/design/driving.md")]
 
 mod event;
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -1,4 +1,4 @@
-//! The mean load over the engines of the region.
+//! Load totals of the region's zones, and the mean load per engine.
 
 use std::collections::BTreeMap;
 
@@ -7,10 +7,10 @@
 use units::{cost, revision, time};
 use wire::heartbeat;
 
-/// How many zones are remembered.
+/// The most zones whose totals are kept; further zones are ignored.
 const MAX_ZONES: usize = 64;
 
-/// The sums over the zones of the region.
+/// The latest load total of each zone of the region.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ZoneTotals {
     sums: BTreeMap<heartbeat::ZoneTag, Sum>,
@@ -18,14 +18,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Sum {
-    /// When it was summed up, on this router's clock.
+    /// When the root of the zone's load tree computed it, on this router's clock.
     taken_at: time::Instant,
     lowest: revision::Id,
     load: heartbeat::Load,
 }
 
 impl ZoneTotals {
-    /// Takes over a total that is newer than what is known.
+    /// Replaces a zone's total if `total` is newer.
     pub(crate) fn update(&mut self, total: &heartbeat::Total, now: time::Instant) {
         let taken_at = now - Duration::from_millis(u64::from(total.age));
         let known = self.sums.get(&total.zone);
@@ -43,7 +43,7 @@
         self.sums.insert(total.zone, sum);
     }
 
-    /// What is known of all zones.
+    /// The totals of all zones, with their ages at `now`.
     pub(crate) fn totals(&self, now: time::Instant) -> impl Iterator<Item = heartbeat::Total> {
         self.sums.iter().map(move |(zone, sum)| heartbeat::Total {
             zone: *zone,
@@ -53,7 +53,7 @@
         })
     }
 
-    /// The sum over all zones but `own`.
+    /// The sum over all zones except `local`.
     pub(crate) fn others(&self, local: heartbeat::ZoneTag) -> heartbeat::Load {
         let others = self.sums.iter().filter(|(zone, _)| **zone != local);
         others.fold(heartbeat::Load::default(), |sum, (_, zone)| {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The mean cost for each engine, zero without an engine.
+/// The mean cost per engine, zero without an engine.
 pub(crate) fn mean(load: heartbeat::Load) -> cost::Cost {
     cost::Cost(
         load.cost
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of another router.
+//! The state that this router keeps about another one.
 
 use std::net;
 
@@ -12,31 +12,37 @@
     pub host: host::Id,
     /// Its availability zone.
     pub zone: availability::Zone,
-    /// Where it takes heartbeats (UDP) and hops (TCP).
+    /// Its peer address, for heartbeats (UDP) and hops (TCP).
     pub address: net::SocketAddr,
-    /// The incarnation that the phase belongs to.
+    /// The incarnation that announced the phase.
     pub incarnation: heartbeat::Incarnation,
-    /// In which phase it is thought to be.
+    /// Its phase, as far as this router knows.
     pub phase: heartbeat::Phase,
-    /// The revision of the configuration that it last said to have applied.
+    /// The configuration revision that it last reported as applied.
     pub revision: revision::Id,
-    /// The load that it last told of.
+    /// The load that it last reported.
     pub load: heartbeat::Load,
-    /// When it told of the revision and the load.
+    /// When the revision and the load were received, if they were.
     pub reported_at: Option<time::Instant>,
     pub(crate) tag: seal::Tag,
     pub(crate) short_tag: heartbeat::Tag,
+    /// The version of the heartbeat that reported the revision and the load.
     pub(crate) version: u32,
     pub(crate) last_heartbeat_at: Option<time::Instant>,
-    /// Since when this router watches it, if it does.
+    /// The start of its silence timeout if this router watches it, else `None`.
     pub(crate) watched_since: Option<time::Instant>,
-    /// Until when it is watched although the ring does not say so.
+    /// Until when it is watched because of a suspected outage.
     pub(crate) outage_probe_until: time::Instant,
-    /// What it last told of itself and the routers below it, and when.
+    /// The sum over its subtree that it last reported, and when.
     pub(crate) subtree: Option<(heartbeat::Subtree, time::Instant)>,
+    /// When it is declared down, if it stays suspected.
     pub(crate) down_at: time::Instant,
+    /// When its tombstone expires, once it is down or has left.
     pub(crate) remove_at: time::Instant,
+    /// Whether it has sent a heartbeat sealed for this process, so that it knows this
+    /// router's identity.
     pub(crate) knows_identity: bool,
+    /// How often the current summary of it was relayed.
     pub(crate) summary_transmissions: u8,
 }
 
@@ -89,7 +95,7 @@
         }
     }
 
-    /// Since when nothing was heard of a watched router.
+    /// Since when a watched router has sent no heartbeat, `None` if it is not watched.
     pub(crate) fn silent_since(&self) -> Option<time::Instant> {
         self.watched_since.map(|since| {
             self.last_heartbeat_at
@@ -97,7 +103,7 @@
         })
     }
 
-    /// Takes over what the router says of itself, if it is newer than what is known.
+    /// Applies the router's report about itself; false if it is not newer than the last one.
     pub(crate) fn apply_report(
         &mut self,
         version: u32,
--- a/crates/fleet/src/member_list.rs
+++ b/crates/fleet/src/member_list.rs
@@ -1,4 +1,4 @@
-//! The members of the region.
+//! The known routers of the region and their failure detection state.
 
 use std::collections::BTreeMap;
 
@@ -8,21 +8,22 @@
 
 use crate::{member::Member, ring::Ring, settings::Settings, tree::Position};
 
-/// How many members are remembered; of those that ended, the oldest are dropped.
+/// The most members that are kept. When the list is full, the oldest tombstone is
+/// evicted; without a tombstone a new member is ignored.
 const MAX_MEMBERS: usize = 2048;
 
-/// What a claim changed.
+/// What a membership update changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Change {
-    /// The claim says nothing new.
+    /// The update is not newer than the member's state.
     None,
-    /// The claim is new, the phase is the same as before.
+    /// The incarnation is higher, the phase is the same.
     Incarnation,
-    /// The member entered another phase, restarted, or is new.
+    /// The member entered another phase, restarted, or is new to the list.
     Phase,
 }
 
-/// The other routers of the region, this one left out.
+/// The other routers of the region, indexed by host and tag.
 #[derive(Clone, Debug)]
 pub(crate) struct MemberList {
     local_host: host::Id,
@@ -33,7 +34,7 @@
     watchers: Vec<host::Id>,
     tree_position: Position,
     digest: u32,
-    /// Whether routers came or went since the watchers were computed.
+    /// Whether the watchers have to be recomputed because members changed.
     watchers_stale: bool,
 }
 
@@ -85,7 +86,7 @@
         self.live().filter(|member| member.zone == self.zone)
     }
 
-    /// The hash of the claims about the live members.
+    /// The digest of the live members, the XOR of their hashes.
     pub(crate) fn digest(&self) -> u32 {
         self.digest
     }
@@ -95,12 +96,12 @@
         &self.watchers
     }
 
-    /// This router's place in the tree of its zone.
+    /// This router's position in the load tree of its zone.
     pub(crate) fn tree_position(&self) -> &Position {
         &self.tree_position
     }
 
-    /// Takes in a claim if it overrides what is known.
+    /// Applies an update if it overrides the member's incarnation and phase.
     pub(crate) fn apply_update(
         &mut self,
         update: &heartbeat::Member,
@@ -156,7 +157,7 @@
         Change::Phase
     }
 
-    /// Forgets the members whose tombstones are old enough.
+    /// Removes the members whose tombstones have expired.
     pub(crate) fn remove_expired(&mut self, now: time::Instant) {
         let expired: Vec<host::Id> = self
             .iter()
@@ -184,15 +185,15 @@
         self.short_tags.remove(&heartbeat::Tag::new(host));
     }
 
-    /// Has the watchers computed anew.
+    /// Causes the next [`Self::recompute_watchers`] to recompute the watchers.
     pub(crate) fn mark_watchers_stale(&mut self) {
         self.watchers_stale = true;
     }
 
-    /// Computes anew who watches whom, if routers came or went.
+    /// Recomputes which routers watch each other, if members changed.
     ///
-    /// A router that is watched from now on is probed at once: its former
-    /// watchers may have died together with it.
+    /// A router that becomes watched is probed at once: its previous watchers may
+    /// have failed together with it.
     pub(crate) fn recompute_watchers(&mut self, settings: &Settings, now: time::Instant) {
         if !std::mem::take(&mut self.watchers_stale) {
             return;
@@ -225,12 +226,12 @@
     }
 }
 
-/// Whether a router in this phase is thought to watch others.
+/// Whether a router in this phase is expected to watch others.
 fn can_watch(phase: heartbeat::Phase) -> bool {
     phase.is_live() && phase != heartbeat::Phase::Suspect
 }
 
-/// The hash of a claim, zero for a member that is not live.
+/// The hash of a member's state for the digest, zero for a member that is not live.
 pub(crate) fn digest_of(update: &heartbeat::Member) -> u32 {
     if !update.phase.is_live() {
         return 0;
@@ -242,7 +243,7 @@
     u32::from_le_bytes([a, b, c, d])
 }
 
-/// Sets when a suspected member is given up and an ended one forgotten.
+/// Sets when a suspected member is declared down and when a tombstone expires.
 fn schedule(member: &mut Member, settings: &Settings, now: time::Instant) {
     member.down_at = match member.phase {
         heartbeat::Phase::Suspect => now + settings.suspicion_timeout,
--- a/crates/fleet/src/owner.rs
+++ b/crates/fleet/src/owner.rs
@@ -1,14 +1,14 @@
-//! Which router owns a backend server.
+//! Engine ownership by rendezvous hashing.
 
 use units::{availability, backend, host};
 use xxhash_rust::xxh3;
 
-/// The router that owns `server`, one of the live `routers`.
+/// The router among `routers` that owns `server`.
 ///
-/// Every router computes the same owner from the same list, in any order of
-/// the list, and a router that comes or goes changes the owner of only those
-/// servers that it gains or loses. The owner is in the server's `zone`; a zone
-/// without a router is served by those of all other zones.
+/// The result does not depend on the order of `routers`, so all routers with the
+/// same list agree. Adding or removing a router changes the owner of only those
+/// servers that this router gains or loses. The owner is in the server's `zone`;
+/// the servers of a zone without a router are owned by routers of all other zones.
 pub fn owner<'a, I>(
     server: &backend::Server,
     zone: &availability::Zone,
--- a/crates/fleet/src/pause.rs
+++ b/crates/fleet/src/pause.rs
@@ -1,23 +1,25 @@
-//! Whether this router's own view can be trusted.
+//! Detection of pauses of this process, after which its view cannot be trusted.
 
 use std::time::Duration;
 
 use units::time;
 
-/// Tells when a router may act on its view of the fleet.
+/// Decides when a router may act on its view of the fleet.
 ///
-/// A process that was paused still believes to own what others took over while
-/// it slept, and datagrams that waited in its socket seem to confirm it. The
-/// gap between two ticks shows the pause. From then on the view counts as
-/// stale until a probe sent afterwards was answered, or until a grace passed
-/// in which nobody answered, since a router that is cut off has to go on.
+/// After a pause a process still considers itself the owner of engines that
+/// others have taken over meanwhile, and datagrams buffered in its socket seem
+/// to confirm that. A pause is detected by the gap between two events. The view
+/// then counts as stale until a probe sent afterwards is answered, or until a
+/// grace period passes without an answer, since an isolated router has to keep
+/// serving.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PauseDetector {
-    /// The gap after which the process counts as having been paused.
+    /// The gap between two events above which the process counts as paused.
     threshold: Duration,
     last_event_at: time::Instant,
     trusted_at: time::Instant,
-    /// The version of the first probe whose answer counts.
+    /// The lowest heartbeat version whose answer makes the view trusted, `None` if no
+    /// answer is awaited.
     awaited_version: Option<u32>,
 }
 
@@ -31,20 +33,21 @@
         }
     }
 
-    /// Notes that the process runs; true when it was paused before.
+    /// Records an event at `now`; true if the process was paused before it.
     pub(crate) fn observe(&mut self, now: time::Instant) -> bool {
         let paused = self.is_gap(now);
         self.last_event_at = now;
         paused
     }
 
-    /// Distrusts the view until an answer to a probe from `version` on.
+    /// Marks the view as untrusted until the grace period has passed or a heartbeat of at
+    /// least `version` is answered.
     pub(crate) fn distrust(&mut self, now: time::Instant, grace: Duration, version: u32) {
         self.trusted_at = self.trusted_at.max(now + grace);
         self.awaited_version = Some(version);
     }
 
-    /// Takes note of an answer to the probe of version `echo`.
+    /// Handles an answer to the heartbeat of version `echo`.
     pub(crate) fn handle_answer(&mut self, now: time::Instant, echo: u32) {
         if self
             .awaited_version
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Puts off acting until `instant`.
+    /// Keeps the view untrusted until `instant`, whatever is answered.
     pub(crate) fn delay_until(&mut self, instant: time::Instant) {
         self.awaited_version = None;
         self.trusted_at = self.trusted_at.max(instant);
@@ -63,8 +66,8 @@
 
     /// Whether the view can be trusted.
     ///
-    /// The gap is looked at here as well, since a request may be served after a
-    /// pause before the first tick.
+    /// This checks the gap as well, since a request may arrive after a pause and
+    /// before the first tick.
     pub(crate) fn is_view_trusted(&self, now: time::Instant) -> bool {
         self.trusted_at <= now && !self.is_gap(now)
     }
--- a/crates/fleet/src/region.rs
+++ b/crates/fleet/src/region.rs
@@ -1,10 +1,10 @@
-//! Regions: zones close enough to share their backend servers.
+//! Regions: groups of zones that are close enough to share their backend servers.
 
 use std::fmt;
 
 use units::availability;
 
-/// A region, named by what its zones' names have in common.
+/// A region, named by the common prefix of its zones' names.
 ///
 /// The region of a zone is its name up to the last `-`, so `lk-west-1` and
 /// `lk-west-2` are zones of `lk-west`. Zones without a `-` share one region.
--- a/crates/fleet/src/revision_sync.rs
+++ b/crates/fleet/src/revision_sync.rs
@@ -1,10 +1,10 @@
-//! Where the next revision of the configuration comes from.
+//! Selection of the source of the next configuration revision.
 //!
-//! Heartbeats tell which router has which revision; a router that lags
-//! fetches what it lacks from one that has it. The table is polled rarely: each
-//! router takes its share of the zone's rate, and one router of the zone polls
-//! more often so that the gaps stay short. So the number of reads a second
-//! depends on the number of zones, not of routers.
+//! Heartbeats carry the revision that each router has applied; a router that is
+//! behind fetches the missing changes from one with a higher revision. The table is
+//! polled rarely: each router takes its share of the zone's poll rate, and the
+//! designated poller of the zone polls more often so that the gaps stay short.
+//! The read rate therefore depends on the number of zones, not of routers.
 
 use std::{net, time::Duration};
 
@@ -12,26 +12,27 @@
 use rand_chacha::ChaCha8Rng;
 use units::{host, revision, time};
 
-/// How many routers with a newer revision are remembered.
+/// The most peers with a newer revision that are kept as sources.
 const MAX_SOURCES: usize = 4;
 
-/// Settings of the spread of configuration.
+/// Intervals and timeouts of configuration propagation.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The time between two polls of the table by all live routers of a zone together,
-    /// the one on duty left out.
+    /// The mean interval between two polls of the table by any live router of a zone
+    /// except the designated poller.
     pub zone_poll_interval: Duration,
-    /// The time between two polls by the router on duty.
+    /// The mean interval between two polls by the designated poller.
     pub designated_poll_interval: Duration,
-    /// The least time between two polls by one router, unless it is on duty.
+    /// The minimum interval between two polls by a router that is not the designated poller.
     pub poll_interval_min: Duration,
-    /// The most time between two polls by one router while the table answers.
+    /// The maximum interval between two polls by one router while the table is available.
     pub poll_interval_max: Duration,
-    /// The most time between two polls while the table does not answer.
+    /// The maximum backoff between two polls while the table is unavailable.
     pub backoff_max: Duration,
-    /// The time after which a fetch or a poll without an answer is given up.
+    /// The timeout of a fetch or a poll.
     pub timeout: Duration,
-    /// How long a fresh router looks for a higher revision before it is ready with the one it has.
+    /// How long a starting router waits for the highest known revision before it is ready
+    /// with the one it has.
     pub settle_time: Duration,
 }
 
@@ -49,33 +50,34 @@
     }
 }
 
-/// What a router does next about its configuration.
+/// The next step of a router to obtain a newer configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Step {
-    /// Ask a router for everything after the own revision.
+    /// Fetch all changes after the applied revision from a peer.
     Fetch {
-        /// The router.
+        /// The peer.
         host: host::Id,
         /// Its peer address.
         address: net::SocketAddr,
-        /// The revision that it has.
+        /// The revision that it has applied.
         revision: revision::Id,
     },
-    /// Read the table's revision and what is missing.
+    /// Poll the table for its revision and the missing changes.
     Poll,
-    /// Nothing before this instant, unless something is heard.
+    /// Wait until this instant or until a method of [`RevisionSync`] changes its state.
     Wait(time::Instant),
 }
 
-/// How the last question went.
+/// The outcome of the last fetch or poll.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered; the revision that the answer shows.
+    /// A response was received; it contained this revision.
     Succeeded(revision::Id),
-    /// It was not answered, or not in full.
+    /// There was no response, or an incomplete one.
     Failed,
 }
 
+/// A peer with a newer revision.
 #[derive(Clone, Debug)]
 struct Source {
     host: host::Id,
@@ -83,6 +85,7 @@
     revision: revision::Id,
 }
 
+/// The fetch or poll in flight, with its deadline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Idle,
@@ -90,7 +93,7 @@
     Poll(time::Instant),
 }
 
-/// One router's knowledge of revisions.
+/// One router's state of configuration propagation.
 #[derive(Debug)]
 pub struct RevisionSync {
     settings: Settings,
@@ -100,9 +103,10 @@
     pending: Call,
     poll_at: time::Instant,
     failures: u32,
-    /// Whether the next poll is to fall anywhere within the interval.
+    /// Whether the next interval is drawn uniformly from zero to its full length.
     randomize_next_poll: bool,
     settle_deadline: time::Instant,
+    /// The highest revision that a peer or the table was seen to have.
     highest_seen: revision::Id,
     zone_routers: u32,
     designated_poller: bool,
@@ -128,12 +132,12 @@
         }
     }
 
-    /// The revision that is in force here, if there is one.
+    /// The applied revision, if there is one.
     pub fn applied(&self) -> Option<revision::Id> {
         self.applied
     }
 
-    /// Takes note of a router that has `revision`.
+    /// Adds a peer that has applied `revision` as a source.
     pub fn add_source(&mut self, host: host::Id, address: net::SocketAddr, revision: revision::Id) {
         self.highest_seen = self.highest_seen.max(revision);
         if Some(revision) <= self.applied {
@@ -149,12 +153,12 @@
         self.sources.truncate(MAX_SOURCES);
     }
 
-    /// Takes note of how many routers of the zone, this one included, share the polls.
+    /// Sets the number of the zone's routers, this one included, that share the polls.
     pub fn set_zone_routers(&mut self, routers: usize) {
         self.zone_routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
     }
 
-    /// Takes note of whether this router has the zone's poll duty,
+    /// Sets whether this router is the zone's designated poller,
     /// see [`crate::Fleet::is_designated_poller`].
     pub fn set_designated_poller(&mut self, designated: bool, now: time::Instant) {
         if designated && !self.designated_poller && self.failures == 0 {
@@ -165,10 +169,10 @@
         self.designated_poller = designated;
     }
 
-    /// Asks whether `revision` may be put in force; it is then the own one.
+    /// Records `revision` as applied, unless it is lower than or equal to the current one.
     ///
-    /// A configuration never reverts: the answer is false for a revision that
-    /// is lower than or the same as the present one, wherever it comes from.
+    /// The configuration never reverts: the caller may apply `revision` only if
+    /// this returns true, whether it comes from a peer or the table.
     pub fn apply(&mut self, revision: revision::Id) -> bool {
         if Some(revision) <= self.applied {
             return false;
@@ -180,15 +184,15 @@
 
     /// Whether this router may serve.
     ///
-    /// A fresh one first takes the highest revision that it heard of. If that
-    /// cannot be had, it serves with the one it has after a while, since a zone
-    /// that is cut off has to go on.
+    /// A starting router first applies the highest revision that it has seen. If it
+    /// cannot fetch that one within the settle time, it serves with the one it has,
+    /// since an isolated zone has to keep serving.
     pub fn is_ready(&self, now: time::Instant) -> bool {
         self.applied
             .is_some_and(|applied| applied >= self.highest_seen || now >= self.settle_deadline)
     }
 
-    /// Decides what to do next; a question that is to be asked counts as asked.
+    /// Decides the next step; a returned fetch or poll counts as in flight.
     pub fn step(&mut self, now: time::Instant) -> Step {
         match self.pending {
             Call::Fetch(until) | Call::Poll(until) if now < until => return Step::Wait(until),
@@ -210,7 +214,7 @@
         Step::Wait(self.poll_at)
     }
 
-    /// Takes note of how the last question went, after its revisions were applied.
+    /// Records the outcome of the fetch or poll in flight, after its revisions were applied.
     pub fn record_outcome(&mut self, outcome: Outcome, now: time::Instant) {
         match (self.pending, outcome) {
             (Call::Idle, _) => {}
@@ -229,8 +233,10 @@
         self.pending = Call::Idle;
     }
 
-    /// Drops the source that was asked: either it is satisfied, or another
-    /// one, or the table, is asked next.
+    /// Removes the source of the finished fetch.
+    ///
+    /// If the fetch did not bring the highest seen revision, the next source or, if
+    /// there is none, the table is read at once.
     fn finish_fetch(&mut self) {
         if !self.sources.is_empty() {
             self.sources.remove(0);
@@ -240,11 +246,11 @@
         }
     }
 
-    /// This router's share of the zone's polls, spread by a fifth either way.
+    /// The interval to the next poll, with a jitter of 20%.
     ///
-    /// Routers that started, or found the table again, at the same time would
-    /// poll together ever after and all wait together in between, and a change
-    /// would be seen late. So the first wait is drawn from the whole interval.
+    /// Routers that start at the same time, or reach the table again at the same
+    /// time, would poll in step from then on and notice changes late. The first
+    /// interval is therefore drawn uniformly from zero to its full length.
     fn interval(&mut self) -> Duration {
         if self.designated_poller {
             return self.with_jitter(self.settings.designated_poll_interval);
--- a/crates/fleet/src/ring.rs
+++ b/crates/fleet/src/ring.rs
@@ -1,12 +1,12 @@
-//! Who watches whom across zones.
+//! The hash ring that assigns watchers across zones.
 //!
-//! Each router is watched by the next one of another zone, in the order of a
-//! hash, so that a zone that is cut off is noticed from outside. With no other
-//! zone it is the next one of its own. Within the zone the routers next to
-//! each other in the tree of loads watch each other, since they hear from each
-//! other anyway. So the cost for each router stays the same however many there
-//! are. A suspected router watches nobody: if it is dead and the one that it
-//! watched died with it, nobody else would notice.
+//! Each router is watched by the next router of another zone on the ring, so
+//! that the isolation of a zone is detected from outside. If there is no other
+//! zone, the next router of its own zone watches it. Within a zone, neighbours
+//! in the load tree watch each other, since they exchange heartbeats anyway. The
+//! cost per router is therefore independent of the number of routers. A
+//! suspected router is not assigned as a watcher: if it is dead and the router
+//! that it watched died with it, no other router would detect that.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,15 @@
 
 use crate::tree;
 
-/// How many routers one watches, where there are enough others.
+/// The most routers that one router watches, if there are enough other watchers.
 ///
-/// Where many routers of one zone follow each other in the ring, the next one
-/// of another zone would have to watch all of them and exceed its traffic. The
-/// inner routers of large zones' trees have enough to do and watch nobody here.
+/// Where many routers of one zone follow each other on the ring, the next router
+/// of another zone would have to watch all of them and exceed its traffic
+/// budget. Routers with all their children in a load tree have the most traffic
+/// and are assigned only as a last resort.
 const MAX_WATCHED: usize = 2;
 
-/// The routers of a region in the order of a hash of their names.
+/// The routers of a region, ordered by the hashes of their host names.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ring {
     nodes: Vec<Node>,
@@ -39,7 +40,7 @@
 }
 
 impl Ring {
-    /// The ring of `routers`, each with whether it is thought to watch others.
+    /// The ring of `routers`, each with its zone and whether it can watch others.
     pub(crate) fn new<'a, I>(routers: I) -> Self
     where
         I: IntoIterator<Item = (&'a host::Id, &'a availability::Zone, bool)>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Finds the watchers of all nodes in turn.
+/// Assigns a watcher to each node, in ring order.
 fn assign(nodes: &[Node]) -> Vec<Option<usize>> {
     let mut watched = vec![0; nodes.len()];
     let inner = inner(nodes);
@@ -101,7 +102,7 @@
         .collect()
 }
 
-/// Which nodes have all the children they can have in the trees of their zones.
+/// For each node, whether it has all possible children in its zone's load tree.
 fn inner(nodes: &[Node]) -> Vec<bool> {
     let mut sizes: BTreeMap<&availability::Zone, usize> = BTreeMap::new();
     for node in nodes {
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,51 +1,55 @@
-//! Settings of the membership.
+//! Settings of the membership protocol.
 
 use std::time::Duration;
 
-/// How often routers speak and when one is given up.
+/// Intervals, timeouts and fanouts of the membership protocol.
 ///
-/// A dead router is known as such at most `suspect_after + suspicion` and two
-/// ticks after its last heartbeat, and a little later everywhere.
+/// The watchers declare a dead router down at most `suspect_after +
+/// suspicion_timeout` and two ticks after its last heartbeat; the other routers
+/// learn of it a little later.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How often [`crate::Event::Tick`] is handed in.
+    /// The interval at which the caller passes [`crate::Event::Tick`].
     pub tick: Duration,
-    /// The time between the beats to the routers that watch this one and to
-    /// those next to it in the tree of its zone.
+    /// The interval of heartbeats to the watchers of this router and to its
+    /// neighbours in the load tree of its zone.
     pub heartbeat_interval: Duration,
     /// The silence after which a watched router is probed.
     pub probe_after: Duration,
     /// The silence after which a watched router is suspected.
     pub suspect_after: Duration,
-    /// The time in which a suspected router may deny it.
+    /// How long a suspected router has to refute the suspicion before it is declared down.
     pub suspicion_timeout: Duration,
-    /// The time between heartbeats to a random router of the zone that tell of single routers.
+    /// The interval of heartbeats with summaries of single routers to a random router of
+    /// the zone.
     pub gossip_interval: Duration,
-    /// The time between probes of routers that are down or only listed.
+    /// The interval between probes of routers that are down, or listed but not members.
     pub reconnect_interval: Duration,
-    /// The time between probes of routers in other regions.
+    /// The interval between probes of routers in other regions.
     pub remote_probe_interval: Duration,
-    /// The gap between two ticks after which the process counts as having been paused.
+    /// The gap between two events above which the process counts as paused.
     pub pause_threshold: Duration,
-    /// How long a router that joins, or was paused, waits to hear from others before it acts alone.
+    /// How long a router that starts, or was paused, waits for an answer before it acts as
+    /// an owner without one.
     pub grace_period: Duration,
-    /// How long a router that others had given up waits, so that all know of its return.
+    /// How long a router that was declared down waits before it acts as an owner, so that
+    /// its return reaches all routers first.
     pub settle_time: Duration,
-    /// After which age the load of a router or a zone is left out of the mean.
+    /// The age above which the load of a router or a zone is left out of the mean.
     pub load_expiry: Duration,
-    /// For how long a router that is down is remembered and probed.
+    /// How long a router that is down is kept as a tombstone and probed.
     pub tombstone_timeout: Duration,
-    /// How many routers a piece of news is pushed to.
+    /// The number of random routers in each push.
     pub fanout: usize,
-    /// The least time between two pushes.
+    /// The minimum interval between two pushes.
     pub push_min_interval: Duration,
-    /// Within which time the comings of one router are counted as flapping.
+    /// The window in which the joins of one router are counted to detect flapping.
     pub flap_window: Duration,
-    /// How many comings within the window are allowed.
+    /// The number of joins within the window without a hold-down.
     pub flap_limit: u32,
-    /// The time that a flapping router stays out of ownership at first; it doubles.
+    /// How long a flapping router is first held out of ownership; each further join doubles it.
     pub flap_hold_down: Duration,
-    /// The longest such time.
+    /// The maximum hold-down time.
     pub flap_hold_down_max: Duration,
 }
 
--- a/crates/fleet/src/strike.rs
+++ b/crates/fleet/src/strike.rs
@@ -1,4 +1,4 @@
-//! Strikes of suspect requests, as the routers pass them on.
+//! Strikes against requests during which backend servers died, and their dissemination.
 
 use std::{cmp, collections::BTreeMap, time::Duration};
 
@@ -6,32 +6,32 @@
 use units::{request, time};
 use wire::heartbeat;
 
-/// How many strikes are remembered; those that expire first are dropped.
+/// The most strikes that are kept; when full, the one that expires first is evicted.
 const MAX_STRIKES: usize = 1024;
-/// How many strikes of one request are counted.
+/// The most strikes that are counted against one request.
 const MAX_COUNT: usize = 4;
-/// In how many pushes a strike goes out.
+/// The number of pushes that carry a strike.
 const PUSH_ROUNDS: usize = 2;
-/// How many strikes may be known for one of them to be pushed again.
+/// The most known strikes with which strikes still trigger pushes.
 const MAX_PUSHED: usize = 16;
-/// How often one router tells of a strike.
+/// How often one router sends a strike.
 const TRANSMISSIONS: u8 = 12;
 
-/// How many backend servers died with a request in flight.
+/// The strikes against one request: backend servers that died with it in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Strike {
-    /// The request.
+    /// The fingerprint of the request.
     pub fingerprint: request::Fingerprint,
-    /// The number of attempts that ended with the server's death.
+    /// The number of its attempts during which the server died.
     pub count: usize,
-    /// When the last of them is forgotten.
+    /// When the last of the strikes expires.
     pub expires_at: time::Instant,
 }
 
-/// The strikes that this router knows.
+/// The strikes known to this router.
 ///
-/// Strikes are told apart by the attempt, so that one death that several
-/// routers saw counts once, and deaths seen by different routers add up.
+/// Strikes are identified by the attempt, so that a death reported by several
+/// routers counts once, and deaths seen by different routers are summed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Strikes {
     entries: BTreeMap<Cause, Entry>,
@@ -50,7 +50,7 @@
 }
 
 impl Strikes {
-    /// Adds a strike; the new count when it was not known.
+    /// Adds a strike; returns the new count if the strike was not known.
     pub(crate) fn record(
         &mut self,
         fingerprint: request::Fingerprint,
@@ -79,7 +79,7 @@
         self.count(fingerprint, now)
     }
 
-    /// The strikes against one request.
+    /// The number and the latest expiry of the strikes against one request.
     pub(crate) fn count(
         &self,
         fingerprint: request::Fingerprint,
@@ -105,7 +105,7 @@
         })
     }
 
-    /// The short names of the attempts that ended with a server's death.
+    /// The short ids of the request's attempts during which a server died.
     pub(crate) fn causes(
         &self,
         fingerprint: request::Fingerprint,
@@ -118,10 +118,10 @@
             .collect()
     }
 
-    /// Whether some strike has to be pushed still, to `fanout` routers each time.
+    /// Whether a strike was not yet sent in enough pushes to `fanout` routers each.
     ///
-    /// A flood of strikes is not urgent: it rides on beats, or pushes would
-    /// take more than the traffic that a router may use.
+    /// A flood of strikes triggers no pushes, which would exceed the router's
+    /// traffic budget; the strikes are piggybacked on periodic heartbeats.
     pub(crate) fn needs_push(&self, fanout: usize) -> bool {
         let sent = |entry: &Entry| usize::from(TRANSMISSIONS - entry.remaining);
         let fresh = self
@@ -131,7 +131,7 @@
         fresh && self.entries.len() <= MAX_PUSHED
     }
 
-    /// Takes up to `count` strikes to tell of, those least told first.
+    /// Takes up to `count` strikes to send, those sent least often first.
     pub(crate) fn take(
         &mut self,
         count: usize,
@@ -172,12 +172,12 @@
     }
 }
 
-/// The remaining time in whole seconds, so that it shrinks with every hand-on.
+/// The remaining time, rounded down to seconds so that it shrinks with each relay.
 fn remaining_seconds(entry: &Entry, now: time::Instant) -> u16 {
     u16::try_from(entry.expires_at.since(now).as_secs()).unwrap_or(u16::MAX)
 }
 
-/// When a strike that a heartbeat tells of is forgotten.
+/// When a strike received in a heartbeat expires.
 pub(crate) fn expires_at(strike: &heartbeat::Strike, now: time::Instant) -> time::Instant {
     now + Duration::from_secs(u64::from(strike.remaining))
 }
--- a/crates/fleet/src/tree.rs
+++ b/crates/fleet/src/tree.rs
@@ -1,26 +1,26 @@
-//! The tree over which the routers of a zone sum up their loads.
+//! The aggregation tree over which the routers of a zone sum up their loads.
 //!
-//! Sums go up and the total comes down, so that each router speaks to a few
-//! others whatever the size of the zone, and a change is known to all after as
-//! many steps as the tree has levels, twice. All routers compute the same tree
-//! from the same list; while they disagree for a moment, a part of the zone is
-//! missing from the total.
+//! Sums are sent up and the total is sent down, so that each router exchanges
+//! heartbeats with a few others whatever the size of the zone, and a change
+//! reaches all routers in twice as many steps as the tree has levels. All routers
+//! compute the same tree from the same member list; while their lists differ, a
+//! part of the zone may be missing from the total.
 
 use units::host;
 use xxhash_rust::xxh3;
 
-/// How many children a router has.
+/// The most children of a router.
 ///
-/// More make the tree flatter and its inner routers' traffic larger.
+/// More children make the tree flatter and increase the traffic of its inner routers.
 const CHILDREN: usize = 3;
 
-/// Whether the router at `index` of the order in a zone of `size` has all
-/// children that it can have.
+/// Whether the router at `index` of the tree order in a zone of `size` routers has all
+/// [`CHILDREN`].
 pub(crate) fn is_full(index: usize, size: usize) -> bool {
     CHILDREN * (index + 1) < size
 }
 
-/// A router's place in the tree of its zone.
+/// A router's position in the load tree of its zone.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Position {
     pub(crate) parent: Option<host::Id>,
@@ -28,7 +28,7 @@
 }
 
 impl Position {
-    /// The place of `own` among the routers of its zone, itself included.
+    /// The position of `local` among the routers of its zone, itself included.
     pub(crate) fn new<'a>(local: &host::Id, zone: impl Iterator<Item = &'a host::Id>) -> Self {
         let mut order: Vec<(u64, &host::Id)> = zone
             .map(|host| (xxh3::xxh3_64(host.as_str().as_bytes()), host))
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The routers next to this one.
+    /// The parent and the children of this router.
     pub(crate) fn neighbours(&self) -> impl Iterator<Item = &host::Id> {
         self.parent.iter().chain(&self.children)
     }
--- a/crates/fleet/src/update_queue.rs
+++ b/crates/fleet/src/update_queue.rs
@@ -1,23 +1,24 @@
-//! News about members that is still being passed on.
+//! The queue of membership updates to gossip.
 
 use std::collections::BTreeMap;
 
 use smallvec::SmallVec;
 use units::host;
 
-/// How many pieces of news are passed on at a time; those told most are dropped.
+/// The most updates in the queue; when it is full, the one sent most often is evicted.
 const MAX_QUEUED: usize = 256;
-/// In how many pushes a piece of news goes out; after that it rides on beats.
+/// The number of pushes that carry an update; later transmissions are piggybacked on
+/// periodic heartbeats.
 const PUSH_ROUNDS: usize = 2;
 
-/// The members whose claims changed lately, each with how often it was told.
+/// The members whose state changed recently, each with the transmissions of its update.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct UpdateQueue {
     transmissions: BTreeMap<host::Id, usize>,
 }
 
 impl UpdateQueue {
-    /// Starts to pass on what is known of `host`.
+    /// Queues the update about `host`, with no transmissions yet.
     pub(crate) fn enqueue(&mut self, host: &host::Id) {
         if self.transmissions.len() >= MAX_QUEUED && !self.transmissions.contains_key(host) {
             self.evict_most_sent();
@@ -25,14 +26,15 @@
         self.transmissions.insert(host.clone(), 0);
     }
 
-    /// Whether some news has to be pushed still, to `fanout` routers each time.
+    /// Whether an update was not yet sent in enough pushes to `fanout` routers each.
     pub(crate) fn needs_push(&self, fanout: usize) -> bool {
         self.transmissions
             .values()
             .any(|sent| *sent < PUSH_ROUNDS * fanout)
     }
 
-    /// Takes up to `count` hosts to tell of in a fleet of `size` routers, those least told first.
+    /// Takes the hosts of up to `count` updates to send in a fleet of `size` routers, those
+    /// sent least often first.
     pub(crate) fn take(&mut self, count: usize, size: usize) -> SmallVec<[host::Id; 4]> {
         let mut order: Vec<(&host::Id, &mut usize)> = self.transmissions.iter_mut().collect();
         order.sort_by_key(|(_, sent)| **sent);
@@ -57,7 +59,7 @@
     }
 }
 
-/// How often one router tells a piece of news: twice the logarithm of the fleet's size.
+/// How often one router sends an update: twice the binary logarithm of the fleet size.
 fn max_transmissions(size: usize) -> usize {
     let log = usize::BITS - size.leading_zeros();
     usize::try_from(2 * log).unwrap_or(usize::MAX)
