--- a/crates/fleet/benches/membership.rs
+++ b/crates/fleet/benches/membership.rs
@@ -1,4 +1,4 @@
-//! Time of one heartbeat, one tick and one look-up of an owner, by the fleet's size.
+//! Time of processing a heartbeat, a tick and an owner lookup, by fleet size.
 
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
@@ -10,7 +10,7 @@
     seal::{self, Boot},
 };
 
-/// Routers of a region: today's, a zone's and a region's of the planned size.
+/// Numbers of routers: the current region, and one zone and one region of the planned size.
 const SIZES: [usize; 3] = [8, 46, 138];
 const ZONES: usize = 3;
 const TICK: Duration = Duration::from_millis(100);
@@ -50,7 +50,7 @@
     }))
 }
 
-/// A router that has heard from all others of a region of `size`.
+/// A router that has received a heartbeat from all others of a region of `size` routers.
 fn fleet(size: usize) -> (Fleet, Instant) {
     let now = Instant::from_millis(1000);
     let mut fleet = Fleet::new(Settings::default(), identity(0), Boot(1), 1, now);
@@ -88,7 +88,7 @@
                 let mut spent = Duration::ZERO;
                 for _ in 0..count {
                     now = now + TICK;
-                    // All others speak every second, so that none is suspected.
+                    // All others send a heartbeat every second, so that none is suspected.
                     if now.as_micros().is_multiple_of(1_000_000) {
                         version += 1;
                         (1..size).for_each(|index| {
--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Ownership and the spread of configuration, without a network.
+//! Engine ownership and configuration propagation, without a network.
 #![expect(clippy::unwrap_used, reason = "a failed setup of a test ends the test")]
 
 use std::{collections::BTreeMap, net::SocketAddr, time::Duration};
@@ -53,9 +53,9 @@
         ..ProptestConfig::default()
     })]
 
-    // A router leaves. Engines that change owner lose their limits and queues, so
-    // only those of the router that left may change; and two routers that hold
-    // the same list in another order must not both own an engine.
+    // An engine that changes owner loses its limits and queues, so when a router
+    // leaves, only its own engines may change owner. Two routers with the same
+    // list in a different order must agree on the owner.
     #[test]
     fn only_the_servers_of_a_removed_router_change_owner(
         count in 4..60usize,
@@ -78,8 +78,8 @@
         }
     }
 
-    // The table, peers and their answers show revisions in any order, old ones
-    // among them. One that is put in force must never be followed by a lower one.
+    // The table and peers may return revisions in any order, old ones included. An
+    // applied revision must never be followed by a lower one.
     #[test]
     fn applied_revisions_only_increase(operations in prop::collection::vec((0..4u8, 0..30u64), 1..80)) {
         let mut sync = new_sync();
@@ -126,9 +126,9 @@
     assert_eq!(owner_among(&server(1), &empty_zone, &[]), None);
 }
 
-// A fresh router hears that others have a newer configuration than the table's
-// answer that it just got. Ready with the old one, it would send work to a
-// server that is drained; waiting for ever, it would be lost to a cut-off zone.
+// A starting router sees that peers have a newer configuration than the table has
+// just returned. If it became ready with the old one, it would send requests to a
+// drained server; if it waited for ever, an isolated zone would lose the router.
 #[test]
 fn a_starting_router_applies_the_highest_known_revision_before_it_is_ready() {
     let mut sync = new_sync();
@@ -150,8 +150,8 @@
     assert!(sync.is_ready(NOW + Settings::default().settle_time));
 }
 
-// The peer that told of a newer revision dies before it is asked. The table has
-// the revision as well, and must be asked at once.
+// The peer that announced a newer revision dies before the fetch. The table has the
+// revision as well and must be polled at once.
 #[test]
 fn a_failed_fetch_is_followed_by_a_poll() {
     let mut sync = new_sync();
@@ -166,8 +166,8 @@
     assert_eq!(sync.step(timeout), Step::Poll);
 }
 
-// The platform is down for a long time. All routers asking it again and again
-// would keep it down when it comes back.
+// The platform is down for a long time. Without backoff, the polls of all routers would
+// overload it when it recovers.
 #[test]
 fn polls_back_off_while_the_table_is_down() {
     let mut sync = new_sync();
@@ -180,7 +180,7 @@
                 sync.record_outcome(Outcome::Failed, now);
             }
             Step::Wait(until) => now = until,
-            Step::Fetch { .. } => unreachable!("nobody has a configuration"),
+            Step::Fetch { .. } => unreachable!("no peer has a configuration"),
         }
     }
     println!("measure=polls_while_down seconds=600 value={polls}");
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -1,4 +1,4 @@
-//! What a member costs in memory.
+//! Memory per member.
 #![expect(clippy::unwrap_used, reason = "a failed setup of a test ends the test")]
 
 use std::{fs, net::SocketAddr};
@@ -14,7 +14,7 @@
 const MEMBERS: usize = 138;
 const PAGE: usize = 4096;
 
-/// The memory that the process has in use, in bytes.
+/// The resident set size of this process, in bytes.
 fn resident() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap();
     let pages: usize = text.split_whitespace().nth(1).unwrap().parse().unwrap();
@@ -56,8 +56,8 @@
     }))
 }
 
-// A router may use 256 MB for control. Whatever it keeps of each other router
-// counts as often as there are routers in the region.
+// A router may use 256 MB of memory for control. The state per member is multiplied by
+// the number of routers in the region.
 #[test]
 fn memory_per_member_is_bounded() {
     let now = Instant::from_millis(1000);
--- a/crates/fleet/tests/network/dissemination.rs
+++ b/crates/fleet/tests/network/dissemination.rs
@@ -1,4 +1,4 @@
-//! Loads, strikes and revisions as they spread.
+//! Dissemination of loads, strikes and revisions.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Gives each router ten engines with `requests` in flight altogether.
+/// Gives each router ten engines with a total of `requests` in flight.
 fn set_load(net: &mut Net, requests: u32) {
     for node in 0..net.nodes.len() {
         let load = Load {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The mean requests for each engine as each router estimates it.
+/// Each running router's estimate of the mean requests per engine.
 fn estimates(net: &Net) -> Vec<f64> {
     let loads = net.running().map(|node| node.fleet.region_load(net.now));
     loads
@@ -46,7 +46,7 @@
         .collect()
 }
 
-/// How long until the median and the last router's estimate are within a twentieth of `value`.
+/// The times until the median and the last router's estimates are within 5% of `value`.
 fn lag(net: &mut Net, value: f64) -> (Duration, Duration) {
     let start = net.now;
     let mut median = None;
@@ -63,11 +63,12 @@
             return (median.unwrap(), net.now.since(start));
         }
     }
-    panic!("the estimates do not follow");
+    panic!("not all estimates were within 5% after 30 s");
 }
 
-// The load of all engines doubles at once. Until the routers know, the bound
-// of c times the mean is too tight, and requests leave their warm engines.
+// The load of all engines doubles at once. Until the routers learn of it, the load
+// bound of c times the mean is too tight, and requests spill from engines that hold
+// their prefixes in cache.
 #[yare::parameterized(
     today = { 3, 8, 3000 },
     zone = { 1, 46, 6000 },
@@ -87,8 +88,8 @@
     }
 }
 
-// A router dies with a large load. What it last told must not weigh on the mean
-// for ever, or all others take their engines for lightly loaded.
+// A router dies with a large load. Its last report must expire from the mean, or all
+// others would take their engines for lightly loaded.
 #[test]
 fn the_load_of_a_dead_router_is_dropped() {
     let mut net = Net::region(3, Conditions::default(), 3, 9);
@@ -112,8 +113,8 @@
     );
 }
 
-// A request crashed a server on one router, and another server on another. The
-// third router must know of both before its server is next.
+// A request crashes a server through one router and another server through a second
+// router. A third router must know both strikes before it admits the request.
 #[test]
 fn strikes_are_summed_and_reach_all_routers() {
     let mut net = Net::region(4, lossy(), 3, 30);
@@ -151,7 +152,7 @@
     );
     assert!(
         counts(&net).iter().all(|count| *count == 2),
-        "one death counts once"
+        "a death reported by two routers counts once"
     );
     net.run_for(Duration::from_secs(61));
     assert!(
@@ -160,8 +161,8 @@
     );
 }
 
-// Somebody sends requests that crash servers, with another body each time. What
-// the routers remember of them is bounded, in memory and in each heartbeat.
+// A caller sends requests that crash servers, with a different body each time. The
+// strikes must stay bounded in memory and in heartbeat traffic.
 #[test]
 fn strikes_are_bounded() {
     let mut net = Net::region(5, Conditions::default(), 1, 3);
@@ -191,9 +192,9 @@
 proptest! {
     #![proptest_config(config(24, 6))]
 
-    // Revisions are accepted while zones are cut off, the platform goes down or
-    // shows old rows, and routers are killed and started again. A router that went back to an older
-    // revision would send work to a zone that operators have taken out.
+    // Revisions are accepted while a zone is partitioned, the platform is down or
+    // returns stale rows, and routers restart. A router that reverted to an older
+    // revision would send requests to a zone that operators have taken out.
     #[test]
     fn no_router_reverts_and_all_catch_up(
         seed: u64,
@@ -234,7 +235,7 @@
         net.run_for(Duration::from_secs(40));
         let table = net.table;
         prop_assert!(net.running().all(|node| node.sync.applied() == Some(table)));
-        // From now on a change is in force everywhere within seconds again.
+        // Once all faults are over, a change is applied everywhere within 5 s.
         net.table = table.next();
         net.run_for(Duration::from_secs(5));
         prop_assert!(net.running().all(|node| node.sync.applied() == Some(net.table)));
@@ -247,9 +248,9 @@
     }
 }
 
-// The platform is down, and a zone's routers are replaced one by one by fresh
-// ones, which hold nothing. They have to get the configuration from their
-// peers, or the zone would be lost although all its engines run.
+// The platform is down, and all routers are replaced one by one by new ones with empty
+// state. They have to fetch the configuration from their peers, or their zones would
+// be lost although all engines run.
 #[test]
 fn new_routers_fetch_the_configuration_from_their_peers() {
     let mut net = Net::region(8, lossy(), 3, 9);
@@ -266,8 +267,8 @@
     }
 }
 
-// A router that is cut off from all others has to find out that it is alone,
-// although it watches two routers only, and to serve with what it has.
+// A router that is isolated from all others has to detect that, although it watches
+// only two of them besides its neighbours in the load tree, and has to keep serving.
 #[test]
 fn an_isolated_router_detects_that_it_is_alone() {
     let mut net = Net::region(9, Conditions::default(), 3, 60);
@@ -285,7 +286,7 @@
     assert!(net.nodes[5].fleet.is_view_trusted(net.now));
 }
 
-// A zone of a large region goes dark at once.
+// All routers of one zone of a large region fail at once.
 #[test]
 fn a_lost_zone_is_detected_within_four_seconds() {
     for seed in 10..15 {
@@ -330,7 +331,7 @@
         applied_revisions
             .iter()
             .all(|revision| *revision == revision::Id(1)),
-        "a peer without it does not count"
+        "a revision that its announcer cannot return must not be applied"
     );
     assert!(matches!(
         net.log.iter().find(|(_, _, action)| matches!(action, Action::ViewTrusted(true))),
--- a/crates/fleet/tests/network/main.rs
+++ b/crates/fleet/tests/network/main.rs
@@ -1,4 +1,4 @@
-//! Routers on a small network that delays, drops and cuts, in virtual time.
+//! Routers on a simulated network with delays, loss and partitions, in virtual time.
 #![expect(clippy::unwrap_used, reason = "a failed setup of a test ends the test")]
 
 mod dissemination;
--- a/crates/fleet/tests/network/membership.rs
+++ b/crates/fleet/tests/network/membership.rs
@@ -1,4 +1,4 @@
-//! Failures of routers and of the network, over many seeds.
+//! Membership under process and network failures, over many seeds.
 
 use std::time::Duration;
 
@@ -7,16 +7,16 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 use units::{availability, backend, time::Instant};
 
-/// How long after the last fault all routers have to agree.
+/// How long after the last fault the views of all routers have to converge.
 const CONVERGENCE_TIME: Duration = Duration::from_secs(12);
-/// For how long two routers may act as the owner of one server.
+/// The longest time that two routers may both act as the owner of one server.
 const MAX_DOUBLE_OWNERSHIP: Duration = Duration::from_millis(1500);
-/// For how long no router may act as the owner of a server after its owner ended.
+/// The longest time that a server may have no acting owner after its owner failed.
 const MAX_OWNERLESS: Duration = Duration::from_millis(4500);
-/// How often owners are looked at.
+/// The interval at which ownership is sampled.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// One fault; the numbers are taken modulo the number of routers.
+/// One fault; router indices are taken modulo the number of routers.
 #[derive(Clone, Debug)]
 enum Fault {
     Kill(usize),
@@ -44,7 +44,7 @@
     ]
 }
 
-/// A fault that leaves the network whole.
+/// A fault other than a network partition.
 fn process_fault() -> impl Strategy<Value = Fault> {
     prop_oneof![
         any::<usize>().prop_map(Fault::Kill),
@@ -76,7 +76,7 @@
         .collect()
 }
 
-/// Carries out `fault`, with the time that it takes; `wait` lets time pass.
+/// Injects `fault`; `wait` advances the virtual time for faults that last.
 fn inject(net: &mut Net, fault: &Fault, wait: &mut impl FnMut(&mut Net, Duration)) {
     let count = net.nodes.len();
     match fault {
@@ -105,8 +105,8 @@
     }
 }
 
-/// Whether all running routers are sure of themselves, and hold those for
-/// owners that take themselves for owners.
+/// Whether all running routers trust their views, and each one's list of owners is exactly
+/// the running routers that are ready to own engines.
 fn converged(net: &Net) -> bool {
     if !net
         .running()
@@ -131,10 +131,10 @@
 proptest! {
     #![proptest_config(config(48, 1))]
 
-    // Routers are killed, started again and frozen, a zone is cut off, and
-    // datagrams are lost, in any order. A fleet that did not find back to one
-    // view would send the requests of one chat to different owners for good,
-    // and a user would see refusals from some routers and not from others.
+    // Routers are killed, restarted and paused, a zone is partitioned, and datagrams
+    // are lost, in any order. If the views did not converge afterwards, requests of
+    // one chat would go to different owners for good, and some routers would refuse
+    // requests that others accept.
     #[test]
     fn routers_converge_after_any_faults(
         seed: u64,
@@ -148,24 +148,24 @@
         }
         net.conditions.loss = 0.02;
         let converge_by = net.now + CONVERGENCE_TIME;
-        // Loss may bring a false suspicion at any moment, so agreement has to
-        // be reached at some sample, not at all of them.
+        // Datagram loss may cause a false suspicion at any time, so the views have to
+        // agree in one sample, not in all of them.
         let mut has_converged = false;
         net.run_until(converge_by - millis(3000));
         while net.now < converge_by && !has_converged {
             net.run_for(millis(100));
             has_converged = converged(&net);
         }
-        prop_assert!(has_converged, "no agreement within {CONVERGENCE_TIME:?}");
+        prop_assert!(has_converged, "views did not converge within {CONVERGENCE_TIME:?}");
         let running = net.running().count();
         let live = net.running().map(|node| node.fleet.owners(net.now).count());
         prop_assert!(live.max() <= Some(running));
     }
 
-    // A router is frozen for a while, others take its engines over, and it wakes
-    // with the belief that it still owns them; or routers come, go and miss
-    // heartbeats. Two routers that both act as the owner of one engine overload
-    // it together, and a user's request is run on an engine that falls over.
+    // A router is paused, others take over its engines, and it resumes in the belief
+    // that it still owns them; or routers are killed and restarted and heartbeats are
+    // lost. Two routers that both act as the owner of one engine overload it, and the
+    // requests on it fail when it crashes.
     #[test]
     fn double_ownership_and_ownerless_time_are_bounded(
         seed: u64,
@@ -180,13 +180,13 @@
             monitor.run(&mut net, millis(100));
         }
         monitor.run(&mut net, millis(8000));
-        prop_assert!(monitor.longest_double <= MAX_DOUBLE_OWNERSHIP, "two owners for {:?}", monitor.longest_double);
-        prop_assert!(monitor.longest_gap <= MAX_OWNERLESS, "no owner for {:?}", monitor.longest_gap);
+        prop_assert!(monitor.longest_double <= MAX_DOUBLE_OWNERSHIP, "two acting owners for {:?}", monitor.longest_double);
+        prop_assert!(monitor.longest_gap <= MAX_OWNERLESS, "no acting owner for {:?}", monitor.longest_gap);
     }
 
-    // A router is frozen until others have taken its engines over, and wakes up.
-    // A request that it serves before it has heard from anybody would run
-    // beside those of the new owner, on an engine that bears only one's share.
+    // A router is paused until others have taken over its engines, and resumes. A
+    // request that it admits before it has received an answer would run in addition to
+    // those of the new owner, on an engine with capacity for only one owner's share.
     #[test]
     fn a_resumed_router_does_not_act_as_owner_before_it_is_answered(
         seed: u64,
@@ -201,7 +201,7 @@
         net.run_for(millis(pause));
         let paused = &net.nodes[node].fleet;
         let owns_any = servers(12).iter().any(|(server, zone)| paused.owns(server, zone, net.now));
-        prop_assert!(!owns_any, "before its first event");
+        prop_assert!(!owns_any, "acts as owner before its first event");
         net.wake(node);
         for _ in 0..300 {
             for (server, zone) in servers(12) {
@@ -212,9 +212,9 @@
         }
     }
 
-    // A zone is cut off from the others and comes back. Each side has to go on
-    // with the routers that it reaches, and when the network is whole again the
-    // halves have to find each other, although each holds the other for dead.
+    // A zone is partitioned from the others for a while. Each side has to keep serving
+    // with the routers that it reaches, and after the partition heals both sides have to
+    // find each other, although each has declared the other down.
     #[test]
     fn partitions_keep_serving_and_rejoin(
         seed: u64,
@@ -231,7 +231,7 @@
             let members: Vec<_> = net.nodes.iter().filter(|node| node.partition == partition).collect();
             for node in &members {
                 let owners = node.fleet.owners(net.now).count();
-                prop_assert_eq!(owners, members.len(), "owners on side {} of {}", partition, &node.host);
+                prop_assert_eq!(owners, members.len(), "owners in partition {} as seen by {}", partition, &node.host);
             }
         }
         for node in &mut net.nodes {
@@ -242,9 +242,9 @@
         prop_assert_eq!(net.converged_count(), routers);
     }
 
-    // The network replays what a router said when it did not know the receiver
-    // yet, or sends it to another one. Believed, a recording would bring back a
-    // router that is long gone, and users' requests would be sent to it.
+    // The network replays a heartbeat that was sealed for any process, or redirects it to
+    // another router. If it were applied, it would revive a router that is long gone,
+    // and requests would be sent to it.
     #[test]
     fn introductions_are_answered_but_not_applied(seed: u64, routers in 3..8usize) {
         let mut net = Net::region(seed, Conditions::default(), 3, routers);
@@ -283,9 +283,9 @@
         prop_assert_eq!(before, after);
     }
 
-    // A host's clock went back, so its process starts with a lower boot number
-    // than the fleet knows. Its heartbeats look like old ones; ignored, the
-    // router would never get engines or requests and nobody would see why.
+    // A host's clock went back, so its process starts with a lower boot number than the
+    // other routers know. Its heartbeats look old; if they were ignored for good, the
+    // router would never own engines or get requests, without a visible cause.
     #[test]
     fn a_router_whose_clock_went_back_rejoins(seed: u64, routers in 3..10usize) {
         let mut net = Net::region(seed, Conditions::default(), 3, routers);
@@ -298,7 +298,7 @@
     }
 }
 
-/// Looks at who acts as an owner, and for how long two do or none does.
+/// Samples the acting owners, and measures for how long there are two or none.
 struct OwnershipMonitor {
     servers: Vec<(backend::Server, availability::Zone)>,
     double_since: Vec<Option<Instant>>,
@@ -343,8 +343,8 @@
     }
 }
 
-// A router wakes after others took its engines over, and takes them back. While
-// the others learn of it, requests meet two owners or none.
+// A router resumes after others took over its engines, and takes them back. Until the
+// others learn of that, requests may find two acting owners or none.
 #[test]
 fn engine_ownership_settles_quickly_after_a_resume() {
     const SEEDS: u64 = 3;
@@ -384,9 +384,9 @@
     assert!(none <= millis(1500), "{none:?}");
 }
 
-// A router that starts and stops every few seconds takes its engines over and
-// drops them each time. Users would see their chats moved and cut again and
-// again; the router has to stay out of ownership for growing times.
+// A router that restarts every few seconds would take over its engines and lose them
+// each time, which moves and interrupts chats. It has to be held out of ownership for
+// growing times.
 #[test]
 fn a_flapping_router_is_held_down() {
     let mut net = Net::region(3, Conditions::default(), 1, 5);
@@ -399,19 +399,19 @@
         net.run_for(millis(4000));
         owned.push(net.nodes[0].fleet.phase().may_own());
     }
-    assert_eq!(owned[..2], [true, true], "few restarts are ordinary");
+    assert_eq!(owned[..2], [true, true], "a few restarts are not flapping");
     assert_eq!(owned[4..], [false; 4], "many restarts are flapping");
     net.run_for(Duration::from_secs(180));
     assert!(
         net.nodes[0].fleet.phase().may_own(),
-        "it is taken back when it stays"
+        "the hold-down ends when the router stays up"
     );
     assert_eq!(net.converged_count(), 5);
 }
 
-// All routers of a zone but one flap and are held back, and then that one dies.
-// If the others were held back still, nobody would own the zone's engines and
-// its users would be refused.
+// All routers of a zone but one flap and are held down, and then that one dies. If the
+// others stayed held down, no router would own the zone's engines and its requests
+// would be refused.
 #[test]
 fn a_zone_of_only_flapping_routers_is_not_held_down() {
     let mut net = Net::region(4, Conditions::default(), 1, 3);
@@ -431,14 +431,17 @@
             .filter(|node| node.fleet.phase().may_own())
             .count()
     };
-    assert_eq!(owner_count(&net), 1, "the flapping ones are held back");
+    assert_eq!(owner_count(&net), 1, "the flapping routers are held down");
     net.kill(2);
     net.run_for(millis(4000));
-    assert!(owner_count(&net) >= 1, "somebody has to serve");
+    assert!(
+        owner_count(&net) >= 1,
+        "a router of the zone has to own its engines"
+    );
 }
 
-// A router shuts down in order. It is told apart from a dead one: its engines
-// move at once, not after the detection time, and nobody suspects it.
+// A router shuts down gracefully. Unlike after a crash, its engines move at once, not
+// after the detection time, and no router suspects it.
 #[test]
 fn a_leaving_router_releases_its_engines_at_once() {
     let mut net = Net::region(5, Conditions::default(), 3, 8);
--- a/crates/fleet/tests/network/net.rs
+++ b/crates/fleet/tests/network/net.rs
@@ -1,6 +1,6 @@
-//! A small deterministic network that carries heartbeats between routers.
+//! A deterministic simulated network that carries heartbeats between routers.
 //!
-//! It delays, drops and cuts; processes can be killed, started again and
+//! It simulates delays, loss and partitions; processes can be killed, restarted and
 //! paused. Time is virtual.
 
 use std::{
@@ -16,9 +16,10 @@
 use units::{availability, backend, host, revision, time::Instant};
 use wire::{heartbeat, seal};
 
-/// What the seal and the headers of UDP and IPv4 add to a heartbeat; a test of `wire` measures it.
+/// The bytes that the seal and the UDP and IPv4 headers add to a heartbeat; a test of
+/// `wire` measures the seal's share.
 pub const OVERHEAD: usize = 34 + 28;
-/// How many datagrams wait in the socket of a paused process.
+/// The capacity of a paused process's socket buffer, in datagrams.
 const SOCKET_QUEUE: usize = 200;
 
 /// How the network and the platform behave.
@@ -29,7 +30,7 @@
     pub region_delay: Duration,
     pub distant_delay: Duration,
     pub poll_time: Duration,
-    /// How likely the table shows the revision before its last one.
+    /// The probability that a table read returns the previous revision.
     pub stale_read: f64,
 }
 
@@ -168,7 +169,7 @@
         net
     }
 
-    /// Adds a router to `zone`; it starts within a quarter of a second.
+    /// Adds a router to `zone`; its first tick is within 100 ms.
     pub fn add(&mut self, zone: &str) -> usize {
         let index = self.nodes.len();
         let zone: availability::Zone = zone.parse().unwrap();
@@ -228,7 +229,7 @@
         self.schedule(self.now + offset, NetEvent::Tick { node, start });
     }
 
-    /// Gives every running router the list of all hosts.
+    /// Passes the list of all hosts to every router that is up.
     pub fn send_host_list(&mut self) {
         let seeds: Vec<Seed> = self
             .nodes
@@ -252,12 +253,13 @@
         self.nodes[node].queue.clear();
     }
 
-    /// Starts a killed router again, without any memory.
+    /// Restarts a router with empty state and the next boot number.
     pub fn restart(&mut self, node: usize) {
         let boot = self.nodes[node].boot + 1;
         self.restart_with_boot(node, boot);
     }
 
+    /// Restarts a router with empty state and the given boot number.
     pub fn restart_with_boot(&mut self, node: usize, boot: u64) {
         let (host, zone) = (self.nodes[node].host.clone(), self.nodes[node].zone.clone());
         let address = self.nodes[node].address;
@@ -278,7 +280,7 @@
         self.nodes[node].paused = true;
     }
 
-    /// Lets a paused process go on: first it reads what waited in its socket.
+    /// Resumes a paused process: first it reads the datagrams buffered in its socket.
     pub fn wake(&mut self, node: usize) {
         self.nodes[node].paused = false;
         for (_, message) in std::mem::take(&mut self.nodes[node].queue) {
@@ -331,7 +333,7 @@
         }
     }
 
-    /// Tells a router's spread of its share of the polls, twice a second.
+    /// Updates a router's share of the zone's polls, twice a second.
     fn update_poll_share(&mut self, node: usize) {
         let Node {
             fleet,
@@ -488,7 +490,7 @@
         self.nodes.iter().filter(|node| node.up && !node.paused)
     }
 
-    /// The routers that act as the owner of `server`.
+    /// The running routers that act as the owner of `server`.
     pub fn acting_owners(&self, server: &backend::Server, zone: &availability::Zone) -> Vec<usize> {
         (0..self.nodes.len())
             .filter(|&index| self.nodes[index].up && !self.nodes[index].paused)
@@ -496,7 +498,7 @@
             .collect()
     }
 
-    /// How many running routers see exactly the running routers as owners.
+    /// The number of running routers whose list of owners is exactly the running routers.
     pub fn converged_count(&self) -> usize {
         let running: Vec<&host::Id> = self.running().map(|node| &node.host).collect();
         self.running()
--- a/crates/fleet/tests/network/scale.rs
+++ b/crates/fleet/tests/network/scale.rs
@@ -1,4 +1,4 @@
-//! Detection, spread and control traffic at 8, 46 and 1,000 routers.
+//! Failure detection, propagation and control traffic at 8, 46, 138 and 1,000 routers.
 
 use std::time::Duration;
 
@@ -32,7 +32,7 @@
     net
 }
 
-/// Bytes a second of each router, sent and received, as the mean and the most.
+/// The mean and the maximum over the routers of bytes sent and received per second.
 fn traffic(net: &mut Net, seconds: u64) -> (usize, usize) {
     net.reset_counts();
     net.run_for(Duration::from_secs(seconds));
@@ -56,7 +56,7 @@
     )
 }
 
-/// How long until all routers hold the killed `node` for dead, and the first.
+/// The times until the first and the last router declare the killed `node` down.
 fn detection(net: &mut Net, node: usize) -> (Duration, Duration) {
     let host = net.nodes[node].host.clone();
     net.log.clear();
@@ -74,7 +74,7 @@
     assert_eq!(
         times.len(),
         net.running().count(),
-        "every router learns of it"
+        "every running router has to declare it down once"
     );
     (
         times.iter().min().copied().unwrap(),
@@ -82,7 +82,7 @@
     )
 }
 
-/// How long until every router applied a revision that the table got, and the first.
+/// The times until the first and the last router apply a revision new in the table.
 fn propagation(net: &mut Net) -> (Duration, Duration) {
     net.table = net.table.next();
     let accepted_at = net.now;
@@ -102,11 +102,11 @@
             return (first.unwrap(), net.now.since(accepted_at));
         }
     }
-    panic!("not in force everywhere within 30 s");
+    panic!("the revision was not applied by all routers within 30 s");
 }
 
-// A router dies without a word. Until the others know, requests go to it and
-// users wait; the engines that it owned have no owner.
+// A router crashes. Until the others detect it, requests to it time out and its engines
+// have no owner.
 #[yare::parameterized(
     today = { 3, 8 },
     zone = { 1, 46 },
@@ -124,8 +124,8 @@
     assert!(slowest <= Duration::from_secs(3), "{slowest:?}");
 }
 
-// An operator changes the configuration. Until a router has it, its users get
-// the old one: a zone that was taken out still gets work.
+// An operator changes the configuration. Until a router applies it, it acts on the old
+// one: a zone that was taken out still gets requests.
 #[yare::parameterized(
     today = { 3, 8 },
     zone = { 1, 46 },
@@ -144,8 +144,9 @@
     assert!(slowest <= Duration::from_secs(5), "{slowest:?}");
 }
 
-// Control traffic that grows with the fleet would take the network from the
-// requests. The bounds are the brief's, less what polls and probes of engines need.
+// Control traffic that grows with the fleet would take bandwidth from requests. The
+// bounds are the required limits on control traffic minus the share of table polls
+// and engine probes.
 #[yare::parameterized(
     today = { 3, 8, 800 },
     zone = { 1, 46, 2800 },
