--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -5,7 +5,7 @@
 use units::{availability, host, request, revision, time};
 use wire::{heartbeat, seal};
 
-use crate::Strike;
+use crate::StrikeCount;
 
 /// A router on the platform's host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -102,7 +102,7 @@
     /// The total load of the region's engines changed.
     Load(heartbeat::Load),
     /// A strike was received from another router.
-    Strike(Strike),
+    Strike(StrikeCount),
     /// The boot number was too low, because a clock went back: recreate the
     /// [`seal::Sealer`] and the [`seal::Opener`] with this boot number.
     BootChanged(seal::Boot),
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -110,14 +110,14 @@
             Event::Tick => self.tick(now, &mut out),
             Event::Heartbeat(received) => self.receive(&received, now, &mut out),
             Event::Hosts(seeds) => self.set_hosts(seeds),
-            Event::Applied(revision) => self.applied(revision, now),
+            Event::Applied(revision) => self.set_revision(revision, now),
             Event::Ready => self.set_ready(now),
             Event::Load(load) => self.load = load,
             Event::Strike {
                 fingerprint,
                 attempt,
                 expires_at,
-            } => self.strike(fingerprint, attempt, expires_at, now),
+            } => self.record_strike(fingerprint, attempt, expires_at, now),
             Event::Leaving => self.enter(heartbeat::Phase::Leaving, now),
             Event::Left => self.leave(now, &mut out),
         }
@@ -134,7 +134,7 @@
         self.remote = remote.into_iter().map(by_host).collect();
     }
 
-    fn applied(&mut self, revision: revision::Id, now: time::Instant) {
+    fn set_revision(&mut self, revision: revision::Id, now: time::Instant) {
         if revision <= self.revision {
             return;
         }
@@ -142,7 +142,7 @@
         self.timers.push_revision(now);
     }
 
-    fn strike(
+    fn record_strike(
         &mut self,
         fingerprint: request::Fingerprint,
         attempt: request::Attempt,
--- a/crates/fleet/src/fleet/timers.rs
+++ b/crates/fleet/src/fleet/timers.rs
@@ -119,7 +119,7 @@
         self.member_list.recompute_watchers(&self.settings, now);
         self.join(now, out);
         self.end_outage_probes(now);
-        self.watch(now, out);
+        self.detect_failures(now, out);
         self.probe_for_outage(now, out);
         self.beat(now, out);
         self.gossip(now, out);
@@ -146,7 +146,7 @@
     }
 
     /// Probes and suspects watched routers that are silent, and declares suspects down.
-    fn watch(&mut self, now: time::Instant, out: &mut Actions) {
+    fn detect_failures(&mut self, now: time::Instant, out: &mut Actions) {
         let mut probes: SmallVec<[host::Id; 4]> = SmallVec::new();
         let mut updates: SmallVec<[heartbeat::Member; 4]> = SmallVec::new();
         for member in self.member_list.live() {
--- a/crates/fleet/src/fleet/view.rs
+++ b/crates/fleet/src/fleet/view.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3;
 
 use super::Fleet;
-use crate::{Region, Strike, load, member::Member, owner};
+use crate::{Region, StrikeCount, load, member::Member, owner};
 
 impl Fleet {
     /// The phase that this router announces.
@@ -120,11 +120,18 @@
     ///
     /// Reports older than [`crate::Settings::load_expiry`] are left out.
     pub fn region_load(&self, now: time::Instant) -> heartbeat::Load {
-        load::add(self.zone_load(now), self.zone_totals.others(self.zone_tag))
+        load::add(
+            self.zone_load(now),
+            self.zone_totals.sum_except(self.zone_tag),
+        )
     }
 
     /// The number and expiry of the known strikes against a request.
-    pub fn strikes(&self, fingerprint: request::Fingerprint, now: time::Instant) -> Option<Strike> {
+    pub fn strikes(
+        &self,
+        fingerprint: request::Fingerprint,
+        now: time::Instant,
+    ) -> Option<StrikeCount> {
         self.strikes.count(fingerprint, now)
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -29,4 +29,4 @@
 pub use owner::owner;
 pub use region::Region;
 pub use settings::Settings;
-pub use strike::Strike;
+pub use strike::StrikeCount;
--- a/crates/fleet/src/load.rs
+++ b/crates/fleet/src/load.rs
@@ -54,7 +54,7 @@
     }
 
     /// The sum over all zones except `local`.
-    pub(crate) fn others(&self, local: heartbeat::ZoneTag) -> heartbeat::Load {
+    pub(crate) fn sum_except(&self, local: heartbeat::ZoneTag) -> heartbeat::Load {
         let others = self.sums.iter().filter(|(zone, _)| **zone != local);
         others.fold(heartbeat::Load::default(), |sum, (_, zone)| {
             add(sum, zone.load)
--- a/crates/fleet/src/member_list.rs
+++ b/crates/fleet/src/member_list.rs
@@ -126,7 +126,7 @@
         member.address = update.address;
         member.incarnation = update.incarnation;
         member.phase = update.phase;
-        schedule(member, settings, now);
+        schedule_expiry(member, settings, now);
         if restarted || old_state != (update.phase.is_live(), can_watch(update.phase)) {
             self.watchers_stale = true;
         }
@@ -147,7 +147,7 @@
             return Change::None;
         }
         let mut member = Member::new(update.clone());
-        schedule(&mut member, settings, now);
+        schedule_expiry(&mut member, settings, now);
         self.digest ^= digest_of(update);
         let host = update.host.clone();
         self.tags.insert(member.tag, host.clone());
@@ -244,7 +244,7 @@
 }
 
 /// Sets when a suspected member is declared down and when a tombstone expires.
-fn schedule(member: &mut Member, settings: &Settings, now: time::Instant) {
+fn schedule_expiry(member: &mut Member, settings: &Settings, now: time::Instant) {
     member.down_at = match member.phase {
         heartbeat::Phase::Suspect => now + settings.suspicion_timeout,
         _ => time::Instant::NEVER,
--- a/crates/fleet/src/revision_sync.rs
+++ b/crates/fleet/src/revision_sync.rs
@@ -102,7 +102,7 @@
     sources: Vec<Source>,
     pending: Call,
     poll_at: time::Instant,
-    failures: u32,
+    poll_failures: u32,
     /// Whether the next interval is drawn uniformly from zero to its full length.
     randomize_next_poll: bool,
     settle_deadline: time::Instant,
@@ -123,7 +123,7 @@
             sources: Vec::new(),
             pending: Call::Idle,
             poll_at: now,
-            failures: 0,
+            poll_failures: 0,
             randomize_next_poll: true,
             settle_deadline,
             highest_seen: revision::Id::default(),
@@ -161,7 +161,7 @@
     /// Sets whether this router is the zone's designated poller,
     /// see [`crate::Fleet::is_designated_poller`].
     pub fn set_designated_poller(&mut self, designated: bool, now: time::Instant) {
-        if designated && !self.designated_poller && self.failures == 0 {
+        if designated && !self.designated_poller && self.poll_failures == 0 {
             self.poll_at = self
                 .poll_at
                 .min(now + self.settings.designated_poll_interval);
@@ -221,11 +221,11 @@
             (Call::Fetch(_), _) => self.finish_fetch(),
             (Call::Poll(_), Outcome::Succeeded(revision)) => {
                 self.highest_seen = self.highest_seen.max(revision);
-                self.failures = 0;
+                self.poll_failures = 0;
                 self.poll_at = now + self.interval();
             }
             (Call::Poll(_), Outcome::Failed) => {
-                self.failures = self.failures.saturating_add(1);
+                self.poll_failures = self.poll_failures.saturating_add(1);
                 self.randomize_next_poll = true;
                 self.poll_at = now + self.backoff();
             }
@@ -270,7 +270,7 @@
     }
 
     fn backoff(&mut self) -> Duration {
-        let doublings = self.failures.saturating_sub(1).min(8);
+        let doublings = self.poll_failures.saturating_sub(1).min(8);
         let wait = self
             .settings
             .poll_interval_min
--- a/crates/fleet/src/ring.rs
+++ b/crates/fleet/src/ring.rs
@@ -82,13 +82,14 @@
 /// Assigns a watcher to each node, in ring order.
 fn assign(nodes: &[Node]) -> Vec<Option<usize>> {
     let mut watched = vec![0; nodes.len()];
-    let inner = inner(nodes);
+    let full_in_tree = full_in_tree(nodes);
     (0..nodes.len())
         .map(|index| {
             let successors = || (index + 1..nodes.len()).chain(0..index);
             let eligible = || successors().filter(|other| nodes[*other].can_watch);
             let in_other_zone = |other: &usize| nodes[*other].zone != nodes[index].zone;
-            let has_capacity = |other: &usize| !inner[*other] && watched[*other] < MAX_WATCHED;
+            let has_capacity =
+                |other: &usize| !full_in_tree[*other] && watched[*other] < MAX_WATCHED;
             let preferred = eligible().find(|other| in_other_zone(other) && has_capacity(other));
             let fallback = || {
                 eligible()
@@ -103,7 +104,7 @@
 }
 
 /// For each node, whether it has all possible children in its zone's load tree.
-fn inner(nodes: &[Node]) -> Vec<bool> {
+fn full_in_tree(nodes: &[Node]) -> Vec<bool> {
     let mut sizes: BTreeMap<&availability::Zone, usize> = BTreeMap::new();
     for node in nodes {
         *sizes.entry(&node.zone).or_default() += 1;
--- a/crates/fleet/src/strike.rs
+++ b/crates/fleet/src/strike.rs
@@ -19,7 +19,7 @@
 
 /// The strikes against one request: backend servers that died with it in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
+pub struct StrikeCount {
     /// The fingerprint of the request.
     pub fingerprint: request::Fingerprint,
     /// The number of its attempts during which the server died.
@@ -57,7 +57,7 @@
         attempt: [u8; 4],
         expires_at: time::Instant,
         now: time::Instant,
-    ) -> Option<Strike> {
+    ) -> Option<StrikeCount> {
         let cause = Cause {
             fingerprint,
             attempt,
@@ -84,7 +84,7 @@
         &self,
         fingerprint: request::Fingerprint,
         now: time::Instant,
-    ) -> Option<Strike> {
+    ) -> Option<StrikeCount> {
         let first = Cause {
             fingerprint,
             attempt: [0; 4],
@@ -98,7 +98,7 @@
             .range(first..=last)
             .map(|(_, entry)| entry.expires_at);
         let live: SmallVec<[time::Instant; MAX_COUNT]> = live.filter(|at| *at > now).collect();
-        live.iter().max().map(|expires_at| Strike {
+        live.iter().max().map(|expires_at| StrikeCount {
             fingerprint,
             count: live.len(),
             expires_at: *expires_at,
--- a/crates/fleet/tests/network/dissemination.rs
+++ b/crates/fleet/tests/network/dissemination.rs
@@ -70,7 +70,7 @@
 // bound of c times the mean is too tight, and requests spill from engines that hold
 // their prefixes in cache.
 #[yare::parameterized(
-    today = { 3, 8, 3000 },
+    current = { 3, 8, 3000 },
     zone = { 1, 46, 6000 },
     region = { 3, 138, 7500 },
 )]
--- a/crates/fleet/tests/network/membership.rs
+++ b/crates/fleet/tests/network/membership.rs
@@ -463,9 +463,9 @@
 }
 
 #[yare::parameterized(
-    today = { "lk-west-1", "lk-west" },
+    numbered = { "lk-west-1", "lk-west" },
     lettered = { "dk-east-1a", "dk-east" },
-    plain = { "a", "" },
+    without_dash = { "a", "" },
 )]
 fn zones_belong_to_regions(zone: &str, region: &str) {
     let zone = zone.parse().unwrap();
--- a/crates/fleet/tests/network/net.rs
+++ b/crates/fleet/tests/network/net.rs
@@ -20,7 +20,7 @@
 /// `wire` measures the seal's share.
 pub const OVERHEAD: usize = 34 + 28;
 /// The capacity of a paused process's socket buffer, in datagrams.
-const SOCKET_QUEUE: usize = 200;
+const SOCKET_BUFFER: usize = 200;
 
 /// How the network and the platform behave.
 #[derive(Clone, Debug)]
@@ -64,8 +64,8 @@
     pub frames: usize,
     pub polls: usize,
     pub partition: u8,
-    queue: Vec<(usize, Message)>,
-    start: u64,
+    socket_buffer: Vec<(usize, Message)>,
+    generation: u64,
     ticks: u64,
 }
 
@@ -81,7 +81,7 @@
 enum NetEvent {
     Tick {
         node: usize,
-        start: u64,
+        generation: u64,
     },
     Arrive {
         node: usize,
@@ -89,12 +89,12 @@
     },
     Fetched {
         node: usize,
-        start: u64,
+        generation: u64,
         from: usize,
     },
     Polled {
         node: usize,
-        start: u64,
+        generation: u64,
     },
 }
 
@@ -196,8 +196,8 @@
             frames: 0,
             polls: 0,
             partition: 0,
-            queue: Vec::new(),
-            start: 0,
+            socket_buffer: Vec::new(),
+            generation: 0,
             ticks: 0,
         });
         self.schedule_tick(index);
@@ -225,8 +225,8 @@
 
     fn schedule_tick(&mut self, node: usize) {
         let offset = Duration::from_micros(self.rng.random_range(0..100_000));
-        let start = self.nodes[node].start;
-        self.schedule(self.now + offset, NetEvent::Tick { node, start });
+        let generation = self.nodes[node].generation;
+        self.schedule(self.now + offset, NetEvent::Tick { node, generation });
     }
 
     /// Passes the list of all hosts to every router that is up.
@@ -250,7 +250,7 @@
     pub fn kill(&mut self, node: usize) {
         self.nodes[node].up = false;
         self.nodes[node].paused = false;
-        self.nodes[node].queue.clear();
+        self.nodes[node].socket_buffer.clear();
     }
 
     /// Restarts a router with empty state and the next boot number.
@@ -271,7 +271,7 @@
         target.up = true;
         target.paused = false;
         target.ready_reported = false;
-        target.start += 1;
+        target.generation += 1;
         self.schedule_tick(node);
         self.send_host_list();
     }
@@ -283,12 +283,12 @@
     /// Resumes a paused process: first it reads the datagrams buffered in its socket.
     pub fn wake(&mut self, node: usize) {
         self.nodes[node].paused = false;
-        for (_, message) in std::mem::take(&mut self.nodes[node].queue) {
+        for (_, message) in std::mem::take(&mut self.nodes[node].socket_buffer) {
             self.arrive(node, &message);
         }
-        self.nodes[node].start += 1;
-        let start = self.nodes[node].start;
-        self.schedule(self.now, NetEvent::Tick { node, start });
+        self.nodes[node].generation += 1;
+        let generation = self.nodes[node].generation;
+        self.schedule(self.now, NetEvent::Tick { node, generation });
     }
 
     fn schedule(&mut self, at: Instant, event: NetEvent) {
@@ -316,20 +316,24 @@
 
     fn process(&mut self, event: NetEvent) {
         match event {
-            NetEvent::Tick { node, start } => {
+            NetEvent::Tick { node, generation } => {
                 let target = &self.nodes[node];
-                if !target.up || target.paused || target.start != start {
+                if !target.up || target.paused || target.generation != generation {
                     return;
                 }
                 self.handle(node, Event::Tick);
                 self.update_poll_share(node);
                 self.drive_sync(node);
                 let tick = self.settings.tick;
-                self.schedule(self.now + tick, NetEvent::Tick { node, start });
+                self.schedule(self.now + tick, NetEvent::Tick { node, generation });
             }
             NetEvent::Arrive { node, message } => self.arrive(node, &message),
-            NetEvent::Fetched { node, start, from } => self.fetched(node, start, from),
-            NetEvent::Polled { node, start } => self.polled(node, start),
+            NetEvent::Fetched {
+                node,
+                generation,
+                from,
+            } => self.fetched(node, generation, from),
+            NetEvent::Polled { node, generation } => self.polled(node, generation),
         }
     }
 
@@ -355,8 +359,8 @@
             return;
         }
         if target.paused {
-            if target.queue.len() < SOCKET_QUEUE {
-                target.queue.push((node, message.clone()));
+            if target.socket_buffer.len() < SOCKET_BUFFER {
+                target.socket_buffer.push((node, message.clone()));
             }
             return;
         }
@@ -435,39 +439,46 @@
     }
 
     fn drive_sync(&mut self, node: usize) {
-        let start = self.nodes[node].start;
+        let generation = self.nodes[node].generation;
         match self.nodes[node].sync.step(self.now) {
             revision_sync::Step::Fetch { address, .. } => {
                 let from = self.addresses[&address];
                 let time = self.delay(node, from) * 3 + Duration::from_millis(1);
-                self.schedule(self.now + time, NetEvent::Fetched { node, start, from });
+                self.schedule(
+                    self.now + time,
+                    NetEvent::Fetched {
+                        node,
+                        generation,
+                        from,
+                    },
+                );
             }
             revision_sync::Step::Poll => {
                 self.nodes[node].polls += 1;
                 let at = self.now + self.conditions.poll_time;
-                self.schedule(at, NetEvent::Polled { node, start });
+                self.schedule(at, NetEvent::Polled { node, generation });
             }
             revision_sync::Step::Wait(_) => {}
         }
     }
 
-    fn fetched(&mut self, node: usize, start: u64, from: usize) {
+    fn fetched(&mut self, node: usize, generation: u64, from: usize) {
         let source = &self.nodes[from];
         let answers = source.up && !source.paused && self.reachable(node, from);
         let revision_read = answers.then(|| source.sync.applied()).flatten();
-        self.complete_read(node, start, revision_read);
+        self.complete_read(node, generation, revision_read);
     }
 
-    fn polled(&mut self, node: usize, start: u64) {
+    fn polled(&mut self, node: usize, generation: u64) {
         let answers = self.platform_up && self.nodes[node].table_reachable;
         let stale = self.rng.random_bool(self.conditions.stale_read);
         let revision_read = revision::Id(self.table.0 - u64::from(stale && self.table.0 > 1));
-        self.complete_read(node, start, answers.then_some(revision_read));
+        self.complete_read(node, generation, answers.then_some(revision_read));
     }
 
-    fn complete_read(&mut self, node: usize, start: u64, revision_read: Option<revision::Id>) {
+    fn complete_read(&mut self, node: usize, generation: u64, revision_read: Option<revision::Id>) {
         let target = &mut self.nodes[node];
-        if !target.up || target.paused || target.start != start {
+        if !target.up || target.paused || target.generation != generation {
             return;
         }
         let applied = revision_read.filter(|revision| target.sync.apply(*revision));
--- a/crates/fleet/tests/network/scale.rs
+++ b/crates/fleet/tests/network/scale.rs
@@ -16,7 +16,7 @@
 }
 
 /// 1,000 routers in 22 zones of 10 regions.
-fn planned(seed: u64) -> Net {
+fn planned_deployment(seed: u64) -> Net {
     let mut net = Net::new(seed, lossy());
     let zones: Vec<String> = (0..10)
         .flat_map(|region| {
@@ -108,7 +108,7 @@
 // A router crashes. Until the others detect it, requests to it time out and its engines
 // have no owner.
 #[yare::parameterized(
-    today = { 3, 8 },
+    current = { 3, 8 },
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
@@ -127,7 +127,7 @@
 // An operator changes the configuration. Until a router applies it, it acts on the old
 // one: a zone that was taken out still gets requests.
 #[yare::parameterized(
-    today = { 3, 8 },
+    current = { 3, 8 },
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
@@ -148,7 +148,7 @@
 // bounds are the required limits on control traffic minus the share of table polls
 // and engine probes.
 #[yare::parameterized(
-    today = { 3, 8, 800 },
+    current = { 3, 8, 800 },
     zone = { 1, 46, 2800 },
     region = { 3, 138, 2800 },
 )]
@@ -162,7 +162,7 @@
 
 #[test]
 fn the_planned_size_stays_within_its_propagation_and_traffic_bounds() {
-    let mut net = planned(1);
+    let mut net = planned_deployment(1);
     net.run_for(Duration::from_secs(6));
     let (mean, max) = traffic(&mut net, 4);
     println!("measure=control routers=1000 mean={mean} most={max} unit=B/s");
