--- a/crates/fleet/tests/network/net.rs
+++ b/crates/fleet/tests/network/net.rs
@@ -65,6 +65,7 @@
     pub polls: usize,
     pub partition: u8,
     socket_buffer: Vec<(usize, Message)>,
+    /// Raised by each restart and resume, so that events scheduled before are dropped.
     generation: u64,
     ticks: u64,
 }
