--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -157,9 +157,8 @@
             boot: received.boot,
             refutation: received.frame.refutation,
         };
-        let overriding_update =
-            (member.incarnation, member.phase) > (reported, received.frame.phase);
-        overriding_update.then(|| member.to_update())
+        let overrides = (member.incarnation, member.phase) > (reported, received.frame.phase);
+        overrides.then(|| member.to_update())
     }
 
     /// Sends the known boot number to a process whose boot number is too low.
