--- a/crates/fleet/src/event.rs
+++ b/crates/fleet/src/event.rs
@@ -87,7 +87,8 @@
         /// Its current phase.
         phase: heartbeat::Phase,
     },
-    /// Whether this router may act as an owner changed; see [`crate::Fleet::is_view_trusted`].
+    /// This router may act as an owner from now on, or no longer; see
+    /// [`crate::Fleet::is_view_trusted`].
     ViewTrusted(bool),
     /// A router has a higher revision than this one; pass it to
     /// [`crate::revision_sync::RevisionSync::add_source`].
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -41,6 +41,7 @@
     ready: bool,
     revision: revision::Id,
     load: heartbeat::Load,
+    /// The version of the heartbeat that was built last.
     version: u32,
     member_list: MemberList,
     zone_totals: ZoneTotals,
@@ -48,7 +49,9 @@
     strikes: Strikes,
     flaps: Flaps,
     pause_detector: PauseDetector,
+    /// The last value of [`Action::ViewTrusted`].
     was_trusted: bool,
+    /// The last value of [`Action::Load`].
     reported_load: heartbeat::Load,
     /// The region's other routers on the platform's host list.
     listed: BTreeMap<host::Id, Seed>,
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Answers a heartbeat that was not sealed for this process, without applying its contents.
+    /// Answers a heartbeat that was sealed for any process, without applying its contents.
     ///
     /// It may be a replay. The answer is sealed for the boot in the heartbeat and is
     /// small; the rate of such answers is limited.
