--- a/crates/fleet/tests/decisions.rs
+++ b/crates/fleet/tests/decisions.rs
@@ -113,9 +113,9 @@
         let owner = owner_among(&server(index), &zone(index % 3), &routers).unwrap();
         *owned.entry(owner.clone()).or_default() += 1;
     }
-    let most = owned.values().max().unwrap();
-    println!("measure=owned servers=1365 routers=138 most={most}");
-    assert!(*most <= 22, "{most}");
+    let max_owned = owned.values().max().unwrap();
+    println!("measure=owned servers=1365 routers=138 most={max_owned}");
+    assert!(*max_owned <= 22, "{max_owned}");
 }
 
 #[test]
--- a/crates/fleet/tests/network/dissemination.rs
+++ b/crates/fleet/tests/network/dissemination.rs
@@ -47,7 +47,7 @@
 }
 
 /// The times until the median and the last router's estimates are within 5% of `value`.
-fn lag(net: &mut Net, value: f64) -> (Duration, Duration) {
+fn convergence_times(net: &mut Net, value: f64) -> (Duration, Duration) {
     let start = net.now;
     let mut median = None;
     while net.now.since(start) < Duration::from_secs(30) {
@@ -80,7 +80,7 @@
     net.run_for(Duration::from_secs(15));
     for requests in [80, 40, 120] {
         set_load(&mut net, requests);
-        let (median, last) = lag(&mut net, f64::from(requests) / 10.0);
+        let (median, last) = convergence_times(&mut net, f64::from(requests) / 10.0);
         println!(
             "measure=load_lag routers={routers} requests={requests} median={median:?} last={last:?}"
         );
--- a/crates/fleet/tests/network/membership.rs
+++ b/crates/fleet/tests/network/membership.rs
@@ -76,8 +76,8 @@
         .collect()
 }
 
-/// Injects `fault`; `wait` advances the virtual time for faults that last.
-fn inject(net: &mut Net, fault: &Fault, wait: &mut impl FnMut(&mut Net, Duration)) {
+/// Injects `fault`; `advance` advances the virtual time for faults that last.
+fn inject(net: &mut Net, fault: &Fault, advance: &mut impl FnMut(&mut Net, Duration)) {
     let count = net.nodes.len();
     match fault {
         Fault::Kill(node) if net.running().count() > 3 => net.kill(node % count),
@@ -87,7 +87,7 @@
             let node = node % count;
             if net.nodes[node].up {
                 net.pause(node);
-                wait(net, millis(*ms));
+                advance(net, millis(*ms));
                 net.wake(node);
             }
         }
@@ -95,13 +95,13 @@
             for node in &mut net.nodes {
                 node.partition = u8::from(node.zone.as_str() == "lk-west-1");
             }
-            wait(net, millis(*ms));
+            advance(net, millis(*ms));
             for node in &mut net.nodes {
                 node.partition = 0;
             }
         }
         Fault::Loss(percent) => net.conditions.loss = f64::from(*percent) / 100.0,
-        Fault::Idle(ms) => wait(net, millis(*ms)),
+        Fault::Idle(ms) => advance(net, millis(*ms)),
     }
 }
 
--- a/crates/fleet/tests/network/scale.rs
+++ b/crates/fleet/tests/network/scale.rs
@@ -89,11 +89,11 @@
     let mut first = None;
     while net.now.since(accepted_at) < Duration::from_secs(30) {
         net.run_for(Duration::from_millis(10));
-        let has = |revision: Option<revision::Id>| revision == Some(net.table);
+        let is_current = |revision: Option<revision::Id>| revision == Some(net.table);
         let count = net
             .nodes
             .iter()
-            .filter(|node| has(node.sync.applied()))
+            .filter(|node| is_current(node.sync.applied()))
             .count();
         if count > 0 {
             first.get_or_insert(net.now.since(accepted_at));
