--- a/crates/fleet/benches/membership.rs
+++ b/crates/fleet/benches/membership.rs
@@ -1,16 +1,16 @@
-//! Time of one heartbeat, one tick and one look-up of an owner, by the fleet's size.
+//! Time of processing a heartbeat, a tick and an owner lookup, by fleet size.
 
 use std::{hint::black_box, net::SocketAddr, time::Duration};
 
 use criterion::{BenchmarkId, Criterion, criterion_group, criterion_main};
-use fleet::{Event, Fleet, Heard, Settings};
+use fleet::{Event, Fleet, Received, Settings};
 use units::{backend, host, revision, time::Instant};
 use wire::{
     heartbeat::{Frame, Identity, Kind, Load, Phase},
     seal::{self, Boot},
 };
 
-/// Routers of a region: today's, a zone's and a region's of the planned size.
+/// Numbers of routers: the current region, and one zone and one region of the planned size.
 const SIZES: [usize; 3] = [8, 46, 138];
 const ZONES: usize = 3;
 const TICK: Duration = Duration::from_millis(100);
@@ -24,7 +24,7 @@
     }
 }
 
-fn heard(index: usize, version: u32) -> Event {
+fn received(index: usize, version: u32) -> Event {
     let identity = identity(index);
     let frame = Frame {
         kind: Kind::Beat,
@@ -41,7 +41,7 @@
         totals: [].into_iter().collect(),
         strikes: [].into_iter().collect(),
     };
-    Event::Heard(Box::new(Heard {
+    Event::Heartbeat(Box::new(Received {
         from: identity.address,
         tag: seal::Tag::new(&identity.host),
         boot: Boot(1),
@@ -50,12 +50,12 @@
     }))
 }
 
-/// A router that has heard from all others of a region of `size`.
+/// A router that has received a heartbeat from all others of a region of `size` routers.
 fn fleet(size: usize) -> (Fleet, Instant) {
     let now = Instant::from_millis(1000);
     let mut fleet = Fleet::new(Settings::default(), identity(0), Boot(1), 1, now);
     for index in 1..size {
-        fleet.handle(heard(index, 1), now);
+        fleet.handle(received(index, 1), now);
     }
     (fleet, now)
 }
@@ -69,7 +69,7 @@
             bencher.iter_batched(
                 || {
                     version += 1;
-                    heard(1, version)
+                    received(1, version)
                 },
                 |event| black_box(fleet.handle(event, now)),
                 criterion::BatchSize::SmallInput,
@@ -88,11 +88,11 @@
                 let mut spent = Duration::ZERO;
                 for _ in 0..count {
                     now = now + TICK;
-                    // All others speak every second, so that none is suspected.
+                    // All others send a heartbeat every second, so that none is suspected.
                     if now.as_micros().is_multiple_of(1_000_000) {
                         version += 1;
                         (1..size).for_each(|index| {
-                            fleet.handle(heard(index, version), now);
+                            fleet.handle(received(index, version), now);
                         });
                     }
                     let start = std::time::Instant::now();
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,8 +1,8 @@
 //! The state of one router's membership.
 
-mod hear;
-mod reach;
-mod speak;
+mod join;
+mod receive;
+mod send;
 mod timers;
 mod view;
 
@@ -18,17 +18,17 @@
     Region, Settings,
     event::{Action, Event, Seed},
     flap::Flaps,
-    load::Zones,
-    pause::Pause,
-    roster::{Change, Roster},
-    rumor::Rumors,
+    load::ZoneTotals,
+    member_list::{Change, MemberList},
+    pause::PauseDetector,
     strike::Strikes,
+    update_queue::UpdateQueue,
 };
 
-/// Actions that follow from one event.
+/// The actions that result from one event.
 pub type Actions = SmallVec<[Action; 4]>;
 
-/// One router's view of the others.
+/// One router's view of the other routers of its region.
 #[derive(Debug)]
 pub struct Fleet {
     settings: Settings,
@@ -37,29 +37,32 @@
     zone_tag: heartbeat::ZoneTag,
     incarnation: heartbeat::Incarnation,
     phase: heartbeat::Phase,
-    /// Whether this router said that it can serve.
+    /// Whether [`Event::Ready`] was received.
     ready: bool,
     revision: revision::Id,
     load: heartbeat::Load,
+    /// The version of the heartbeat that was built last.
     version: u32,
-    roster: Roster,
-    zones: Zones,
-    rumors: Rumors,
+    member_list: MemberList,
+    zone_totals: ZoneTotals,
+    update_queue: UpdateQueue,
     strikes: Strikes,
     flaps: Flaps,
-    pause: Pause,
-    was_sure: bool,
-    told_load: heartbeat::Load,
-    /// The hosts of the region on the platform's list.
+    pause_detector: PauseDetector,
+    /// The last value of [`Action::ViewTrusted`].
+    was_trusted: bool,
+    /// The last value of [`Action::Load`].
+    reported_load: heartbeat::Load,
+    /// The region's other routers on the platform's host list.
     listed: BTreeMap<host::Id, Seed>,
-    /// The hosts of other regions on the platform's list.
-    distant: BTreeMap<host::Id, Seed>,
+    /// The routers of other regions on the platform's host list.
+    remote: BTreeMap<host::Id, Seed>,
     rng: ChaCha8Rng,
     timers: timers::Timers,
 }
 
 impl Fleet {
-    /// The view of a router that starts as `identity` with `boot`, higher than at its last start.
+    /// The initial view of the router `identity`; `boot` must be higher than at its last start.
     pub fn new(
         settings: Settings,
         identity: heartbeat::Identity,
@@ -70,8 +73,12 @@
         Self {
             region: Region::of(&identity.zone),
             zone_tag: heartbeat::ZoneTag::new(&identity.zone),
-            roster: Roster::new(identity.host.clone(), identity.zone.clone()),
-            pause: Pause::new(now, settings.pause, settings.grace),
+            member_list: MemberList::new(identity.host.clone(), identity.zone.clone()),
+            pause_detector: PauseDetector::new(
+                now,
+                settings.pause_threshold,
+                settings.grace_period,
+            ),
             timers: timers::Timers::new(now),
             settings,
             identity,
@@ -84,53 +91,53 @@
             revision: revision::Id::default(),
             load: heartbeat::Load::default(),
             version: 0,
-            zones: Zones::default(),
-            rumors: Rumors::default(),
+            zone_totals: ZoneTotals::default(),
+            update_queue: UpdateQueue::default(),
             strikes: Strikes::default(),
             flaps: Flaps::default(),
-            was_sure: false,
-            told_load: heartbeat::Load::default(),
+            was_trusted: false,
+            reported_load: heartbeat::Load::default(),
             listed: BTreeMap::new(),
-            distant: BTreeMap::new(),
+            remote: BTreeMap::new(),
             rng: ChaCha8Rng::seed_from_u64(seed),
         }
     }
 
-    /// Takes in an event and says what follows.
+    /// Processes an event and returns the resulting actions.
     pub fn handle(&mut self, event: Event, now: time::Instant) -> Actions {
         let mut out = Actions::new();
-        if self.pause.observe(now) {
-            self.wake(now);
+        if self.pause_detector.observe(now) {
+            self.handle_resume(now);
         }
         match event {
             Event::Tick => self.tick(now, &mut out),
-            Event::Heard(heard) => self.hear(&heard, now, &mut out),
-            Event::Hosts(seeds) => self.list(seeds),
-            Event::Applied(revision) => self.applied(revision, now),
+            Event::Heartbeat(received) => self.receive(&received, now, &mut out),
+            Event::Hosts(seeds) => self.set_hosts(seeds),
+            Event::Applied(revision) => self.set_revision(revision, now),
             Event::Ready => self.set_ready(now),
             Event::Load(load) => self.load = load,
             Event::Strike {
                 fingerprint,
                 attempt,
                 expires_at,
-            } => self.strike(fingerprint, attempt, expires_at, now),
+            } => self.record_strike(fingerprint, attempt, expires_at, now),
             Event::Leaving => self.enter(heartbeat::Phase::Leaving, now),
             Event::Left => self.leave(now, &mut out),
         }
-        self.report(now, &mut out);
+        self.report_trust(now, &mut out);
         out
     }
 
-    fn list(&mut self, seeds: Vec<Seed>) {
-        let own = self.identity.host.clone();
-        let others = seeds.into_iter().filter(|seed| seed.host != own);
-        let (listed, distant) = others.partition::<Vec<_>, _>(|s| self.region.contains(&s.zone));
+    fn set_hosts(&mut self, seeds: Vec<Seed>) {
+        let local = self.identity.host.clone();
+        let others = seeds.into_iter().filter(|seed| seed.host != local);
+        let (listed, remote) = others.partition::<Vec<_>, _>(|s| self.region.contains(&s.zone));
         let by_host = |seed: Seed| (seed.host.clone(), seed);
         self.listed = listed.into_iter().map(by_host).collect();
-        self.distant = distant.into_iter().map(by_host).collect();
+        self.remote = remote.into_iter().map(by_host).collect();
     }
 
-    fn applied(&mut self, revision: revision::Id, now: time::Instant) {
+    fn set_revision(&mut self, revision: revision::Id, now: time::Instant) {
         if revision <= self.revision {
             return;
         }
@@ -138,7 +145,7 @@
         self.timers.push_revision(now);
     }
 
-    fn strike(
+    fn record_strike(
         &mut self,
         fingerprint: request::Fingerprint,
         attempt: request::Attempt,
@@ -146,10 +153,10 @@
         now: time::Instant,
     ) {
         let [a, b, c, d, ..] = attempt.0.to_le_bytes();
-        let learned = self
+        let recorded = self
             .strikes
-            .learn(fingerprint, [a, b, c, d], expires_at, now);
-        if learned.is_some() {
+            .record(fingerprint, [a, b, c, d], expires_at, now);
+        if recorded.is_some() {
             self.timers.push(now);
         }
     }
@@ -159,7 +166,7 @@
         self.settle_phase(now);
     }
 
-    /// Enters the phase that follows from readiness and from holds.
+    /// Switches between starting and ready, according to readiness and hold-down.
     fn settle_phase(&mut self, now: time::Instant) {
         if !matches!(
             self.phase,
@@ -167,11 +174,11 @@
         ) {
             return;
         }
-        if self.timers.hold_until > now && !self.zone_has_owner() {
-            // When all routers of a zone flap, somebody has to serve.
-            self.timers.hold_until = time::Instant::ZERO;
+        if self.timers.hold_down_until > now && !self.zone_has_owner() {
+            // When all routers of a zone flap, one of them still has to serve.
+            self.timers.hold_down_until = time::Instant::ZERO;
         }
-        let phase = if self.ready && self.timers.hold_until <= now {
+        let phase = if self.ready && self.timers.hold_down_until <= now {
             heartbeat::Phase::Ready
         } else {
             heartbeat::Phase::Starting
@@ -179,9 +186,9 @@
         self.enter(phase, now);
     }
 
-    /// Whether another router of the zone may own engines, so that this one can be spared.
+    /// Whether another router of the zone may own engines while this one is held down.
     fn zone_has_owner(&self) -> bool {
-        self.roster
+        self.member_list
             .live_in_zone()
             .any(|member| member.phase.may_own())
     }
@@ -191,113 +198,117 @@
             return;
         }
         if phase < self.phase {
-            // Others take a lower phase over only from a later incarnation.
+            // Other routers accept a lower phase only with a higher incarnation.
             self.incarnation.refutation += 1;
         }
         self.phase = phase;
-        self.tell_of_self(now);
+        self.queue_local_update(now);
     }
 
-    fn tell_of_self(&mut self, now: time::Instant) {
+    fn queue_local_update(&mut self, now: time::Instant) {
         let host = self.identity.host.clone();
-        self.rumors.add(&host);
+        self.update_queue.enqueue(&host);
         self.timers.push(now);
     }
 
-    /// How many routers of the region are thought to run.
+    /// The number of live routers of the region, this one included.
     fn size(&self) -> usize {
-        self.roster.live().count() + 1
+        self.member_list.live().count() + 1
     }
 
-    /// Takes in a claim about another router.
-    fn learn(
+    /// Applies a membership update about another router.
+    fn apply_update(
         &mut self,
-        claim: &heartbeat::Member,
+        update: &heartbeat::Member,
         now: time::Instant,
         out: &mut Actions,
     ) -> Change {
-        let before = self.roster.get(&claim.host);
+        let before = self.member_list.get(&update.host);
         let was_live = before.is_some_and(|member| member.phase.is_live());
         let boot = before.map(|member| member.incarnation.boot);
-        let change = self.roster.learn(claim, &self.settings, now);
+        let change = self.member_list.apply_update(update, &self.settings, now);
         if change == Change::None {
             return change;
         }
-        let returned = claim.phase.is_live() && (!was_live || boot != Some(claim.incarnation.boot));
+        let returned =
+            update.phase.is_live() && (!was_live || boot != Some(update.incarnation.boot));
         if returned {
-            self.flaps.note(&claim.host, &self.settings, now);
-            self.timers.reach_fast(now, &self.settings);
+            self.flaps.record_join(&update.host, &self.settings, now);
+            self.timers.reconnect_fast(now, &self.settings);
         }
-        self.rumors.add(&claim.host);
+        self.update_queue.enqueue(&update.host);
         self.timers.changed_at = now;
         self.timers.push(now);
         if change == Change::Phase {
             out.push(Action::Phase {
-                host: claim.host.clone(),
-                phase: claim.phase,
+                host: update.host.clone(),
+                phase: update.phase,
             });
         }
         change
     }
 
-    /// Denies a claim that this router does not run, or runs as another process.
-    fn refute(&mut self, claim: &heartbeat::Member, now: time::Instant, out: &mut Actions) {
-        if claim.incarnation.boot > self.incarnation.boot {
-            // A clock went back, or a process with this name ran elsewhere. The
-            // others ignore all that this one says, until its boot is higher.
+    /// Refutes an update that contradicts this router's own phase or boot number.
+    fn refute(&mut self, update: &heartbeat::Member, now: time::Instant, out: &mut Actions) {
+        if update.incarnation.boot > self.incarnation.boot {
+            // A clock went back, or another process ran under this host name. The
+            // other routers ignore this one's heartbeats until its boot is higher.
             self.incarnation = heartbeat::Incarnation {
-                boot: seal::Boot(claim.incarnation.boot.0 + 1),
+                boot: seal::Boot(update.incarnation.boot.0 + 1),
                 refutation: 0,
             };
-            out.push(Action::Reboot(self.incarnation.boot));
-            self.tell_of_self(now);
+            out.push(Action::BootChanged(self.incarnation.boot));
+            self.queue_local_update(now);
             return;
         }
-        let order = (claim.incarnation, claim.phase);
-        if order <= (self.incarnation, self.phase) {
+        let update_order = (update.incarnation, update.phase);
+        if update_order <= (self.incarnation, self.phase) {
             return;
         }
-        self.incarnation.refutation = claim.incarnation.refutation + 1;
-        if claim.phase == heartbeat::Phase::Down {
-            self.given_up(now);
+        self.incarnation.refutation = update.incarnation.refutation + 1;
+        if update.phase == heartbeat::Phase::Down {
+            self.handle_declared_down(now);
         }
-        self.tell_of_self(now);
+        self.queue_local_update(now);
     }
 
-    /// Others took over this router's engines: it waits until all know of its return.
-    fn given_up(&mut self, now: time::Instant) {
-        self.pause.settle(now + self.settings.settle);
+    /// Handles that this router was declared down and its engines were taken over.
+    ///
+    /// It delays acting as an owner until its return has reached all routers.
+    fn handle_declared_down(&mut self, now: time::Instant) {
+        self.pause_detector
+            .delay_until(now + self.settings.settle_time);
         let host = self.identity.host.clone();
-        self.flaps.note(&host, &self.settings, now);
-        let hold = self.flaps.hold(&host, &self.settings);
-        self.timers.hold_until = self.timers.hold_until.max(now + hold);
+        self.flaps.record_join(&host, &self.settings, now);
+        let hold_down = self.flaps.hold_down(&host, &self.settings);
+        self.timers.hold_down_until = self.timers.hold_down_until.max(now + hold_down);
         self.settle_phase(now);
     }
 
-    /// Distrusts everything after a pause.
+    /// Marks the view as untrusted after a pause of this process.
     ///
-    /// The others seem silent because this process did not run. Without a new
-    /// start of all watches it would declare them all suspect at once.
-    fn wake(&mut self, now: time::Instant) {
-        self.pause
-            .distrust(now, self.settings.grace, self.version + 1);
-        for member in self.roster.iter_mut() {
-            if member.watched_at.is_some() {
-                member.watched_at = Some(now);
+    /// The other routers seem silent because this process did not run. Without
+    /// restarting all silence timeouts it would suspect all of them at once.
+    fn handle_resume(&mut self, now: time::Instant) {
+        self.pause_detector
+            .distrust(now, self.settings.grace_period, self.version + 1);
+        for member in self.member_list.iter_mut() {
+            if member.watched_since.is_some() {
+                member.watched_since = Some(now);
             }
             if member.phase == heartbeat::Phase::Suspect {
-                member.down_at = now + self.settings.suspicion;
+                member.down_at = now + self.settings.suspicion_timeout;
             }
         }
         self.timers.rejoin(now);
     }
 
-    /// Reports what changed by the event or by the time.
-    fn report(&mut self, now: time::Instant, out: &mut Actions) {
-        let sure = self.is_sure(now);
-        if sure != self.was_sure {
-            self.was_sure = sure;
-            out.push(Action::Sure(sure));
+    /// Reports when [`Self::is_view_trusted`] changed, through an event or the passage of time.
+    fn report_trust(&mut self, now: time::Instant, out: &mut Actions) {
+        let trusted = self.is_view_trusted(now);
+        if trusted != self.was_trusted {
+            self.was_trusted = trusted;
+            out.push(Action::ViewTrusted(trusted));
         }
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,9 +1,10 @@
-//! Membership of routers, engine ownership and spread of configuration.
+//! Router membership, engine ownership and configuration propagation.
 //!
-//! [`Fleet`] is one router's view of the others: events go in, actions come
-//! out. [`owner`] tells which router owns a backend server, [`spread`] decides
-//! where the next revision of the configuration comes from. Nothing here has a
-//! clock, a socket or a thread.
+//! [`Fleet`] is one router's view of the other routers: it takes events and
+//! returns actions. [`owner`] computes which router owns a backend server,
+//! [`revision_sync`] decides from which peer or table the next revision of the
+//! configuration is read. The crate is sans-IO: the caller supplies the clock,
+//! the sockets and the threads.
 #![doc = include_str!("../../../docs/design/driving.md")]
 
 mod event;
@@ -11,21 +12,21 @@
 mod fleet;
 mod load;
 mod member;
+mod member_list;
 mod owner;
 mod pause;
 mod region;
+pub mod revision_sync;
 mod ring;
-mod roster;
-mod rumor;
 mod settings;
-pub mod spread;
 mod strike;
 mod tree;
+mod update_queue;
 
-pub use event::{Action, Event, Heard, Seed, Send};
+pub use event::{Action, Event, Received, Seed, Send};
 pub use fleet::Fleet;
 pub use member::Member;
 pub use owner::owner;
 pub use region::Region;
 pub use settings::Settings;
-pub use strike::Strike;
+pub use strike::StrikeCount;
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -1,4 +1,4 @@
-//! What is known of another router.
+//! The state that this router keeps about another one.
 
 use std::net;
 
@@ -12,60 +12,66 @@
     pub host: host::Id,
     /// Its availability zone.
     pub zone: availability::Zone,
-    /// Where it takes heartbeats (UDP) and hops (TCP).
+    /// Its peer address, for heartbeats (UDP) and hops (TCP).
     pub address: net::SocketAddr,
-    /// The incarnation that the phase belongs to.
+    /// The incarnation that announced the phase.
     pub incarnation: heartbeat::Incarnation,
-    /// In which phase it is thought to be.
+    /// Its phase, as far as this router knows.
     pub phase: heartbeat::Phase,
-    /// The revision of the configuration that it last said to have applied.
+    /// The configuration revision that it last reported as applied.
     pub revision: revision::Id,
-    /// The load that it last told of.
+    /// The load that it last reported.
     pub load: heartbeat::Load,
-    /// When it told of the revision and the load.
-    pub told_at: Option<time::Instant>,
+    /// When the revision and the load were received, if they were.
+    pub reported_at: Option<time::Instant>,
     pub(crate) tag: seal::Tag,
     pub(crate) short_tag: heartbeat::Tag,
+    /// The version of the heartbeat that reported the revision and the load.
     pub(crate) version: u32,
-    pub(crate) heard_at: Option<time::Instant>,
-    /// Since when this router watches it, if it does.
-    pub(crate) watched_at: Option<time::Instant>,
-    /// Until when it is watched although the ring does not say so.
-    pub(crate) alarm_until: time::Instant,
-    /// What it last told of itself and the routers below it, and when.
+    pub(crate) last_heartbeat_at: Option<time::Instant>,
+    /// The start of its silence timeout if this router watches it, else `None`.
+    pub(crate) watched_since: Option<time::Instant>,
+    /// Until when it is watched because of a suspected outage.
+    pub(crate) outage_probe_until: time::Instant,
+    /// The sum over its subtree that it last reported, and when.
     pub(crate) subtree: Option<(heartbeat::Subtree, time::Instant)>,
+    /// When it is declared down, if it stays suspected.
     pub(crate) down_at: time::Instant,
-    pub(crate) forget_at: time::Instant,
-    pub(crate) acquainted: bool,
-    pub(crate) told: u8,
+    /// When its tombstone expires, once it is down or has left.
+    pub(crate) remove_at: time::Instant,
+    /// Whether it has sent a heartbeat sealed for this process, so that it knows this
+    /// router's identity.
+    pub(crate) knows_identity: bool,
+    /// How often the current summary of it was relayed.
+    pub(crate) summary_transmissions: u8,
 }
 
 impl Member {
-    pub(crate) fn new(claim: heartbeat::Member) -> Self {
+    pub(crate) fn new(update: heartbeat::Member) -> Self {
         Self {
-            tag: seal::Tag::new(&claim.host),
-            short_tag: heartbeat::Tag::new(&claim.host),
-            host: claim.host,
-            zone: claim.zone,
-            address: claim.address,
-            incarnation: claim.incarnation,
-            phase: claim.phase,
+            tag: seal::Tag::new(&update.host),
+            short_tag: heartbeat::Tag::new(&update.host),
+            host: update.host,
+            zone: update.zone,
+            address: update.address,
+            incarnation: update.incarnation,
+            phase: update.phase,
             revision: revision::Id::default(),
             load: heartbeat::Load::default(),
-            told_at: None,
+            reported_at: None,
             version: 0,
-            heard_at: None,
-            watched_at: None,
-            alarm_until: time::Instant::ZERO,
+            last_heartbeat_at: None,
+            watched_since: None,
+            outage_probe_until: time::Instant::ZERO,
             subtree: None,
             down_at: time::Instant::NEVER,
-            forget_at: time::Instant::NEVER,
-            acquainted: false,
-            told: 0,
+            remove_at: time::Instant::NEVER,
+            knows_identity: false,
+            summary_transmissions: 0,
         }
     }
 
-    pub(crate) fn claim(&self) -> heartbeat::Member {
+    pub(crate) fn to_update(&self) -> heartbeat::Member {
         heartbeat::Member {
             host: self.host.clone(),
             zone: self.zone.clone(),
@@ -89,14 +95,16 @@
         }
     }
 
-    /// Since when nothing was heard of a watched router.
+    /// Since when a watched router has sent no heartbeat, `None` if it is not watched.
     pub(crate) fn silent_since(&self) -> Option<time::Instant> {
-        self.watched_at
-            .map(|watched| self.heard_at.map_or(watched, |heard| heard.max(watched)))
+        self.watched_since.map(|since| {
+            self.last_heartbeat_at
+                .map_or(since, |received| received.max(since))
+        })
     }
 
-    /// Takes over what the router says of itself, if it is newer than what is known.
-    pub(crate) fn tell(
+    /// Applies the router's report about itself; false if it is not newer than the last one.
+    pub(crate) fn apply_report(
         &mut self,
         version: u32,
         revision: revision::Id,
@@ -109,8 +117,8 @@
         self.version = version;
         self.revision = revision;
         self.load = load;
-        self.told_at = Some(now);
-        self.told = 0;
+        self.reported_at = Some(now);
+        self.summary_transmissions = 0;
         true
     }
 }
--- a/crates/fleet/src/ring.rs
+++ b/crates/fleet/src/ring.rs
@@ -1,12 +1,12 @@
-//! Who watches whom across zones.
+//! The hash ring that assigns watchers across zones.
 //!
-//! Each router is watched by the next one of another zone, in the order of a
-//! hash, so that a zone that is cut off is noticed from outside. With no other
-//! zone it is the next one of its own. Within the zone the routers next to
-//! each other in the tree of loads watch each other, since they hear from each
-//! other anyway. So the cost for each router stays the same however many there
-//! are. A suspected router watches nobody: if it is dead and the one that it
-//! watched died with it, nobody else would notice.
+//! Each router is watched by the next router of another zone on the ring, so
+//! that the isolation of a zone is detected from outside. If there is no other
+//! zone, the next router of its own zone watches it. Within a zone, neighbours
+//! in the load tree watch each other, since they exchange heartbeats anyway. The
+//! cost per router is therefore independent of the number of routers. A
+//! suspected router is not assigned as a watcher: if it is dead and the router
+//! that it watched died with it, no other router would detect that.
 
 use std::collections::BTreeMap;
 
@@ -15,14 +15,15 @@
 
 use crate::tree;
 
-/// How many routers one watches, where there are enough others.
+/// The most routers that one router watches, if there are enough other watchers.
 ///
-/// Where many routers of one zone follow each other in the ring, the next one
-/// of another zone would have to watch all of them and exceed its traffic. The
-/// inner routers of large zones' trees have enough to do and watch nobody here.
+/// Where many routers of one zone follow each other on the ring, the next router
+/// of another zone would have to watch all of them and exceed its traffic
+/// budget. Routers with all their children in a load tree have the most traffic
+/// and are assigned only as a last resort.
 const MAX_WATCHED: usize = 2;
 
-/// The routers of a region in the order of a hash of their names.
+/// The routers of a region, ordered by the hashes of their host names.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Ring {
     nodes: Vec<Node>,
@@ -35,22 +36,22 @@
     hash: u64,
     host: host::Id,
     zone: availability::Zone,
-    watches: bool,
+    can_watch: bool,
 }
 
 impl Ring {
-    /// The ring of `routers`, each with whether it is thought to watch others.
+    /// The ring of `routers`, each with its zone and whether it can watch others.
     pub(crate) fn new<'a, I>(routers: I) -> Self
     where
         I: IntoIterator<Item = (&'a host::Id, &'a availability::Zone, bool)>,
     {
         let mut nodes: Vec<Node> = routers
             .into_iter()
-            .map(|(host, zone, watches)| Node {
+            .map(|(host, zone, can_watch)| Node {
                 hash: xxh3::xxh3_64(host.as_str().as_bytes()),
                 host: host.clone(),
                 zone: zone.clone(),
-                watches,
+                can_watch,
             })
             .collect();
         nodes.sort();
@@ -66,10 +67,10 @@
 
     /// The routers that `host` watches.
     pub(crate) fn watched(&self, host: &host::Id) -> impl Iterator<Item = &host::Id> {
-        let own = self.position(host);
+        let local = self.position(host);
         let pairs = self.nodes.iter().zip(&self.watchers);
         pairs
-            .filter(move |(_, watcher)| own.is_some() && **watcher == own)
+            .filter(move |(_, watcher)| local.is_some() && **watcher == local)
             .map(|(node, _)| &node.host)
     }
 
@@ -78,31 +79,32 @@
     }
 }
 
-/// Finds the watchers of all nodes in turn.
+/// Assigns a watcher to each node, in ring order.
 fn assign(nodes: &[Node]) -> Vec<Option<usize>> {
     let mut watched = vec![0; nodes.len()];
-    let inner = inner(nodes);
+    let full_in_tree = full_in_tree(nodes);
     (0..nodes.len())
         .map(|index| {
-            let after = || (index + 1..nodes.len()).chain(0..index);
-            let able = || after().filter(|other| nodes[*other].watches);
-            let outside = |other: &usize| nodes[*other].zone != nodes[index].zone;
-            let has_room = |other: &usize| !inner[*other] && watched[*other] < MAX_WATCHED;
-            let free = able().find(|other| outside(other) && has_room(other));
-            let any = || {
-                able()
-                    .find(|other| outside(other))
-                    .or_else(|| able().next())
+            let successors = || (index + 1..nodes.len()).chain(0..index);
+            let eligible = || successors().filter(|other| nodes[*other].can_watch);
+            let in_other_zone = |other: &usize| nodes[*other].zone != nodes[index].zone;
+            let has_capacity =
+                |other: &usize| !full_in_tree[*other] && watched[*other] < MAX_WATCHED;
+            let preferred = eligible().find(|other| in_other_zone(other) && has_capacity(other));
+            let fallback = || {
+                eligible()
+                    .find(|other| in_other_zone(other))
+                    .or_else(|| eligible().next())
             };
-            let watcher = free.or_else(any)?;
+            let watcher = preferred.or_else(fallback)?;
             watched[watcher] += 1;
             Some(watcher)
         })
         .collect()
 }
 
-/// Which nodes have all the children they can have in the trees of their zones.
-fn inner(nodes: &[Node]) -> Vec<bool> {
+/// For each node, whether it has all possible children in its zone's load tree.
+fn full_in_tree(nodes: &[Node]) -> Vec<bool> {
     let mut sizes: BTreeMap<&availability::Zone, usize> = BTreeMap::new();
     for node in nodes {
         *sizes.entry(&node.zone).or_default() += 1;
--- a/crates/fleet/src/strike.rs
+++ b/crates/fleet/src/strike.rs
@@ -1,4 +1,4 @@
-//! Strikes of suspect requests, as the routers pass them on.
+//! Strikes against requests during which backend servers died, and their dissemination.
 
 use std::{cmp, collections::BTreeMap, time::Duration};
 
@@ -6,35 +6,35 @@
 use units::{request, time};
 use wire::heartbeat;
 
-/// How many strikes are remembered; those that expire first are dropped.
+/// The most strikes that are kept; when full, the one that expires first is evicted.
 const MAX_STRIKES: usize = 1024;
-/// How many strikes of one request are counted.
+/// The most strikes that are counted against one request.
 const MAX_COUNT: usize = 4;
-/// In how many pushes a strike goes out.
-const PUSHES: usize = 2;
-/// How many strikes may be known for one of them to be pushed again.
-const MAX_URGENT: usize = 16;
-/// How often one router tells of a strike.
+/// The number of pushes that carry a strike.
+const PUSH_ROUNDS: usize = 2;
+/// The most known strikes with which strikes still trigger pushes.
+const MAX_PUSHED: usize = 16;
+/// How often one router sends a strike.
 const TRANSMISSIONS: u8 = 12;
 
-/// How many backend servers died with a request in flight.
+/// The strikes against one request: backend servers that died with it in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Strike {
-    /// The request.
+pub struct StrikeCount {
+    /// The fingerprint of the request.
     pub fingerprint: request::Fingerprint,
-    /// The number of attempts that ended with the server's death.
+    /// The number of its attempts during which the server died.
     pub count: usize,
-    /// When the last of them is forgotten.
+    /// When the last of the strikes expires.
     pub expires_at: time::Instant,
 }
 
-/// The strikes that this router knows.
+/// The strikes known to this router.
 ///
-/// Strikes are told apart by the attempt, so that one death that several
-/// routers saw counts once, and deaths seen by different routers add up.
+/// Strikes are identified by the attempt, so that a death reported by several
+/// routers counts once, and deaths seen by different routers are summed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Strikes {
-    known: BTreeMap<Cause, Known>,
+    entries: BTreeMap<Cause, Entry>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -44,20 +44,20 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Known {
+struct Entry {
     expires_at: time::Instant,
     remaining: u8,
 }
 
 impl Strikes {
-    /// Adds a strike; the new count when it was not known.
-    pub(crate) fn learn(
+    /// Adds a strike; returns the new count if the strike was not known.
+    pub(crate) fn record(
         &mut self,
         fingerprint: request::Fingerprint,
         attempt: [u8; 4],
         expires_at: time::Instant,
         now: time::Instant,
-    ) -> Option<Strike> {
+    ) -> Option<StrikeCount> {
         let cause = Cause {
             fingerprint,
             attempt,
@@ -65,26 +65,26 @@
         let before = self
             .count(fingerprint, now)
             .map_or(0, |strike| strike.count);
-        if expires_at <= now || before >= MAX_COUNT || self.known.contains_key(&cause) {
+        if expires_at <= now || before >= MAX_COUNT || self.entries.contains_key(&cause) {
             return None;
         }
-        if self.known.len() >= MAX_STRIKES {
-            self.drop_first();
+        if self.entries.len() >= MAX_STRIKES {
+            self.evict_earliest();
         }
-        let known = Known {
+        let entry = Entry {
             expires_at,
             remaining: TRANSMISSIONS,
         };
-        self.known.insert(cause, known);
+        self.entries.insert(cause, entry);
         self.count(fingerprint, now)
     }
 
-    /// The strikes against one request.
+    /// The number and the latest expiry of the strikes against one request.
     pub(crate) fn count(
         &self,
         fingerprint: request::Fingerprint,
         now: time::Instant,
-    ) -> Option<Strike> {
+    ) -> Option<StrikeCount> {
         let first = Cause {
             fingerprint,
             attempt: [0; 4],
@@ -94,87 +94,90 @@
             attempt: [u8::MAX; 4],
         };
         let live = self
-            .known
+            .entries
             .range(first..=last)
-            .map(|(_, known)| known.expires_at);
+            .map(|(_, entry)| entry.expires_at);
         let live: SmallVec<[time::Instant; MAX_COUNT]> = live.filter(|at| *at > now).collect();
-        live.iter().max().map(|expires_at| Strike {
+        live.iter().max().map(|expires_at| StrikeCount {
             fingerprint,
             count: live.len(),
             expires_at: *expires_at,
         })
     }
 
-    /// The short names of the attempts that ended with a server's death.
+    /// The short ids of the request's attempts during which a server died.
     pub(crate) fn causes(
         &self,
         fingerprint: request::Fingerprint,
         now: time::Instant,
     ) -> SmallVec<[[u8; 4]; MAX_COUNT]> {
-        let known = self.known.iter();
-        known
-            .filter(|(cause, known)| cause.fingerprint == fingerprint && known.expires_at > now)
+        let entries = self.entries.iter();
+        entries
+            .filter(|(cause, entry)| cause.fingerprint == fingerprint && entry.expires_at > now)
             .map(|(cause, _)| cause.attempt)
             .collect()
     }
 
-    /// Whether some strike has to be pushed still, to `fanout` routers each time.
+    /// Whether a strike was not yet sent in enough pushes to `fanout` routers each.
     ///
-    /// A flood of strikes is not urgent: it rides on beats, or pushes would
-    /// take more than the traffic that a router may use.
-    pub(crate) fn is_urgent(&self, fanout: usize) -> bool {
-        let told = |known: &Known| usize::from(TRANSMISSIONS - known.remaining);
+    /// A flood of strikes triggers no pushes, which would exceed the router's
+    /// traffic budget; the strikes are piggybacked on periodic heartbeats.
+    pub(crate) fn needs_push(&self, fanout: usize) -> bool {
+        let sent = |entry: &Entry| usize::from(TRANSMISSIONS - entry.remaining);
         let fresh = self
-            .known
+            .entries
             .values()
-            .any(|known| told(known) < PUSHES * fanout);
-        fresh && self.known.len() <= MAX_URGENT
+            .any(|entry| sent(entry) < PUSH_ROUNDS * fanout);
+        fresh && self.entries.len() <= MAX_PUSHED
     }
 
-    /// Takes up to `count` strikes to tell of, those least told first.
+    /// Takes up to `count` strikes to send, those sent least often first.
     pub(crate) fn take(
         &mut self,
         count: usize,
         now: time::Instant,
     ) -> SmallVec<[heartbeat::Strike; 2]> {
-        let mut order: Vec<(&Cause, &mut Known)> = self
-            .known
+        let mut order: Vec<(&Cause, &mut Entry)> = self
+            .entries
             .iter_mut()
-            .filter(|(_, known)| known.remaining > 0 && seconds_left(known, now) > 0)
+            .filter(|(_, entry)| entry.remaining > 0 && remaining_seconds(entry, now) > 0)
             .collect();
-        order.sort_by_key(|(_, known)| cmp::Reverse(known.remaining));
+        order.sort_by_key(|(_, entry)| cmp::Reverse(entry.remaining));
         order
             .into_iter()
             .take(count)
-            .map(|(cause, known)| {
-                known.remaining -= 1;
+            .map(|(cause, entry)| {
+                entry.remaining -= 1;
                 heartbeat::Strike {
                     fingerprint: cause.fingerprint,
                     attempt: cause.attempt,
-                    remaining: seconds_left(known, now),
+                    remaining: remaining_seconds(entry, now),
                 }
             })
             .collect()
     }
 
     pub(crate) fn expire(&mut self, now: time::Instant) {
-        self.known.retain(|_, known| known.expires_at > now);
+        self.entries.retain(|_, entry| entry.expires_at > now);
     }
 
-    fn drop_first(&mut self) {
-        let first = self.known.iter().min_by_key(|(_, known)| known.expires_at);
+    fn evict_earliest(&mut self) {
+        let first = self
+            .entries
+            .iter()
+            .min_by_key(|(_, entry)| entry.expires_at);
         if let Some(cause) = first.map(|(cause, _)| *cause) {
-            self.known.remove(&cause);
+            self.entries.remove(&cause);
         }
     }
 }
 
-/// The remaining time in whole seconds, so that it shrinks with every hand-on.
-fn seconds_left(known: &Known, now: time::Instant) -> u16 {
-    u16::try_from(known.expires_at.since(now).as_secs()).unwrap_or(u16::MAX)
+/// The remaining time, rounded down to seconds so that it shrinks with each relay.
+fn remaining_seconds(entry: &Entry, now: time::Instant) -> u16 {
+    u16::try_from(entry.expires_at.since(now).as_secs()).unwrap_or(u16::MAX)
 }
 
-/// When a strike that a heartbeat tells of is forgotten.
+/// When a strike received in a heartbeat expires.
 pub(crate) fn expires_at(strike: &heartbeat::Strike, now: time::Instant) -> time::Instant {
     now + Duration::from_secs(u64::from(strike.remaining))
 }
--- a/crates/fleet/tests/memory.rs
+++ b/crates/fleet/tests/memory.rs
@@ -1,9 +1,9 @@
-//! What a member costs in memory.
+//! Memory per member.
 #![expect(clippy::unwrap_used, reason = "a failed setup of a test ends the test")]
 
 use std::{fs, net::SocketAddr};
 
-use fleet::{Event, Fleet, Heard, Settings};
+use fleet::{Event, Fleet, Received, Settings};
 use units::{revision, time::Instant};
 use wire::{
     heartbeat::{Frame, Identity, Kind, Load, Phase},
@@ -14,7 +14,7 @@
 const MEMBERS: usize = 138;
 const PAGE: usize = 4096;
 
-/// The memory that the process has in use, in bytes.
+/// The resident set size of this process, in bytes.
 fn resident() -> usize {
     let text = fs::read_to_string("/proc/self/statm").unwrap();
     let pages: usize = text.split_whitespace().nth(1).unwrap().parse().unwrap();
@@ -30,7 +30,7 @@
     }
 }
 
-fn heard(index: usize) -> Event {
+fn received(index: usize) -> Event {
     let identity = identity(index);
     let frame = Frame {
         kind: Kind::Beat,
@@ -47,7 +47,7 @@
         totals: Default::default(),
         strikes: Default::default(),
     };
-    Event::Heard(Box::new(Heard {
+    Event::Heartbeat(Box::new(Received {
         from: identity.address,
         tag: seal::Tag::new(&identity.host),
         boot: Boot(1),
@@ -56,23 +56,23 @@
     }))
 }
 
-// A router may use 256 MB for control. Whatever it keeps of each other router
-// counts as often as there are routers in the region.
+// A router may use 256 MB of memory for control. The state per member is multiplied by
+// the number of routers in the region.
 #[test]
-fn a_member_takes_little_memory() {
+fn memory_per_member_is_bounded() {
     let now = Instant::from_millis(1000);
     let before = resident();
     let fleets: Vec<Fleet> = (0..FLEETS)
         .map(|_| {
             let mut fleet = Fleet::new(Settings::default(), identity(0), Boot(1), 1, now);
             for index in 1..=MEMBERS {
-                fleet.handle(heard(index), now);
+                fleet.handle(received(index), now);
             }
             fleet
         })
         .collect();
-    let each = (resident() - before) / (FLEETS * MEMBERS);
-    println!("measure=member_memory members={MEMBERS} value={each} unit=B");
+    let bytes_per_member = (resident() - before) / (FLEETS * MEMBERS);
+    println!("measure=member_memory members={MEMBERS} value={bytes_per_member} unit=B");
     assert_eq!(fleets.len(), FLEETS);
-    assert!(each <= 2048, "{each}");
+    assert!(bytes_per_member <= 2048, "{bytes_per_member}");
 }
--- a/crates/fleet/tests/network/news.rs
+++ b/crates/fleet/tests/network/dissemination.rs
@@ -1,4 +1,4 @@
-//! Loads, strikes and revisions as they spread.
+//! Dissemination of loads, strikes and revisions.
 
 use std::time::Duration;
 
@@ -26,7 +26,7 @@
     }
 }
 
-/// Gives each router ten engines with `requests` in flight altogether.
+/// Gives each router ten engines with a total of `requests` in flight.
 fn set_load(net: &mut Net, requests: u32) {
     for node in 0..net.nodes.len() {
         let load = Load {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The mean requests for each engine as each router estimates it.
+/// Each running router's estimate of the mean requests per engine.
 fn estimates(net: &Net) -> Vec<f64> {
     let loads = net.running().map(|node| node.fleet.region_load(net.now));
     loads
@@ -46,40 +46,41 @@
         .collect()
 }
 
-/// How long until the median and the last router's estimate are within a twentieth of `value`.
-fn lag(net: &mut Net, value: f64) -> (Duration, Duration) {
+/// The times until the median and the last router's estimates are within 5% of `value`.
+fn convergence_times(net: &mut Net, value: f64) -> (Duration, Duration) {
     let start = net.now;
     let mut median = None;
     while net.now.since(start) < Duration::from_secs(30) {
         net.run_for(Duration::from_millis(50));
-        let close = estimates(net)
+        let close_count = estimates(net)
             .iter()
             .filter(|e| (*e / value - 1.0).abs() <= 0.05)
             .count();
-        if close * 2 >= net.nodes.len() {
+        if close_count * 2 >= net.nodes.len() {
             median.get_or_insert(net.now.since(start));
         }
-        if close == net.nodes.len() {
+        if close_count == net.nodes.len() {
             return (median.unwrap(), net.now.since(start));
         }
     }
-    panic!("the estimates do not follow");
+    panic!("not all estimates were within 5% after 30 s");
 }
 
-// The load of all engines doubles at once. Until the routers know, the bound
-// of c times the mean is too tight, and requests leave their warm engines.
+// The load of all engines doubles at once. Until the routers learn of it, the load
+// bound of c times the mean is too tight, and requests spill from engines that hold
+// their prefixes in cache.
 #[yare::parameterized(
-    today = { 3, 8, 3000 },
+    current = { 3, 8, 3000 },
     zone = { 1, 46, 6000 },
     region = { 3, 138, 7500 },
 )]
-fn the_mean_follows_the_load(zones: usize, routers: usize, bound_ms: u64) {
+fn the_mean_load_follows_changes(zones: usize, routers: usize, bound_ms: u64) {
     let mut net = Net::region(2, lossy(), zones, routers);
     set_load(&mut net, 40);
     net.run_for(Duration::from_secs(15));
     for requests in [80, 40, 120] {
         set_load(&mut net, requests);
-        let (median, last) = lag(&mut net, f64::from(requests) / 10.0);
+        let (median, last) = convergence_times(&mut net, f64::from(requests) / 10.0);
         println!(
             "measure=load_lag routers={routers} requests={requests} median={median:?} last={last:?}"
         );
@@ -87,8 +88,8 @@
     }
 }
 
-// A router dies with a large load. What it last told must not weigh on the mean
-// for ever, or all others take their engines for lightly loaded.
+// A router dies with a large load. Its last report must expire from the mean, or all
+// others would take their engines for lightly loaded.
 #[test]
 fn the_load_of_a_dead_router_is_dropped() {
     let mut net = Net::region(3, Conditions::default(), 3, 9);
@@ -112,10 +113,10 @@
     );
 }
 
-// A request crashed a server on one router, and another server on another. The
-// third router must know of both before its server is next.
+// A request crashes a server through one router and another server through a second
+// router. A third router must know both strikes before it admits the request.
 #[test]
-fn strikes_add_up_and_are_known_to_all() {
+fn strikes_are_summed_and_reach_all_routers() {
     let mut net = Net::region(4, lossy(), 3, 30);
     net.run_for(Duration::from_secs(6));
     let fingerprint = request::Fingerprint(99);
@@ -151,7 +152,7 @@
     );
     assert!(
         counts(&net).iter().all(|count| *count == 2),
-        "one death counts once"
+        "a death reported by two routers counts once"
     );
     net.run_for(Duration::from_secs(61));
     assert!(
@@ -160,24 +161,24 @@
     );
 }
 
-// Somebody sends requests that crash servers, with another body each time. What
-// the routers remember of them is bounded, in memory and in each heartbeat.
+// A caller sends requests that crash servers, with a different body each time. The
+// strikes must stay bounded in memory and in heartbeat traffic.
 #[test]
 fn strikes_are_bounded() {
     let mut net = Net::region(5, Conditions::default(), 1, 3);
     net.run_for(Duration::from_secs(4));
     net.reset_counts();
-    for number in 0..5000 {
+    for sequence in 0..5000 {
         let event = Event::Strike {
-            fingerprint: request::Fingerprint(number),
-            attempt: request::Attempt(number),
+            fingerprint: request::Fingerprint(sequence),
+            attempt: request::Attempt(sequence),
             expires_at: net.now + Duration::from_secs(600),
         };
         net.handle(0, event);
     }
     net.run_for(Duration::from_secs(10));
-    let known = (0..5000).filter(|number| {
-        let fingerprint = request::Fingerprint(*number);
+    let known = (0..5000).filter(|sequence| {
+        let fingerprint = request::Fingerprint(*sequence);
         net.nodes[0].fleet.strikes(fingerprint, net.now).is_some()
     });
     assert_eq!(known.count(), 1024);
@@ -191,9 +192,9 @@
 proptest! {
     #![proptest_config(config(24, 6))]
 
-    // Revisions are accepted while zones are cut off, the platform goes down or
-    // shows old rows, and routers are killed and started again. A router that went back to an older
-    // revision would send work to a zone that operators have taken out.
+    // Revisions are accepted while a zone is partitioned, the platform is down or
+    // returns stale rows, and routers restart. A router that reverted to an older
+    // revision would send requests to a zone that operators have taken out.
     #[test]
     fn no_router_reverts_and_all_catch_up(
         seed: u64,
@@ -209,8 +210,8 @@
             match fault {
                 0 | 1 => net.table = net.table.next(),
                 2 => net.platform_up = !net.platform_up,
-                3 => cut(&mut net, "lk-west-1"),
-                4 => cut(&mut net, "none"),
+                3 => partition_zone(&mut net, "lk-west-1"),
+                4 => partition_zone(&mut net, "none"),
                 5 => net.nodes[node].table_reachable = !net.nodes[node].table_reachable,
                 _ => net.restart(node),
             }
@@ -218,40 +219,40 @@
             while net.now < end {
                 net.run_for(Duration::from_millis(100));
                 for (node, last) in net.nodes.iter().zip(&mut applied) {
-                    let own = (node.boot, node.spread.own().unwrap_or_default());
-                    prop_assert!(own >= *last, "{:?} after {:?}", own, last);
-                    *last = own;
+                    let current = (node.boot, node.sync.applied().unwrap_or_default());
+                    prop_assert!(current >= *last, "{:?} after {:?}", current, last);
+                    *last = current;
                 }
                 let fresh = net.running().filter(|node| node.fleet.phase().may_own());
-                prop_assert!(fresh.into_iter().all(|node| node.spread.own().is_some()));
+                prop_assert!(fresh.into_iter().all(|node| node.sync.applied().is_some()));
             }
         }
-        cut(&mut net, "none");
+        partition_zone(&mut net, "none");
         net.platform_up = true;
         for node in &mut net.nodes {
             node.table_reachable = true;
         }
         net.run_for(Duration::from_secs(40));
         let table = net.table;
-        prop_assert!(net.running().all(|node| node.spread.own() == Some(table)));
-        // From now on a change is in force everywhere within seconds again.
+        prop_assert!(net.running().all(|node| node.sync.applied() == Some(table)));
+        // Once all faults are over, a change is applied everywhere within 5 s.
         net.table = table.next();
         net.run_for(Duration::from_secs(5));
-        prop_assert!(net.running().all(|node| node.spread.own() == Some(net.table)));
+        prop_assert!(net.running().all(|node| node.sync.applied() == Some(net.table)));
     }
 }
 
-fn cut(net: &mut Net, zone: &str) {
+fn partition_zone(net: &mut Net, zone: &str) {
     for node in &mut net.nodes {
-        node.side = u8::from(node.zone.as_str() == zone);
+        node.partition = u8::from(node.zone.as_str() == zone);
     }
 }
 
-// The platform is down, and a zone's routers are replaced one by one by fresh
-// ones, which hold nothing. They have to get the configuration from their
-// peers, or the zone would be lost although all its engines run.
+// The platform is down, and all routers are replaced one by one by new ones with empty
+// state. They have to fetch the configuration from their peers, or their zones would
+// be lost although all engines run.
 #[test]
-fn fresh_routers_learn_the_configuration_from_their_peers() {
+fn new_routers_fetch_the_configuration_from_their_peers() {
     let mut net = Net::region(8, lossy(), 3, 9);
     net.table = revision::Id(41);
     net.run_for(Duration::from_secs(6));
@@ -261,39 +262,39 @@
         net.run_for(Duration::from_secs(4));
         net.restart(node);
         net.run_for(Duration::from_secs(4));
-        assert_eq!(net.nodes[node].spread.own(), Some(revision::Id(41)));
+        assert_eq!(net.nodes[node].sync.applied(), Some(revision::Id(41)));
         assert!(net.nodes[node].fleet.phase().may_own());
     }
 }
 
-// A router that is cut off from all others has to find out that it is alone,
-// although it watches two routers only, and to serve with what it has.
+// A router that is isolated from all others has to detect that, although it watches
+// only two of them besides its neighbours in the load tree, and has to keep serving.
 #[test]
-fn a_router_that_is_cut_off_finds_out() {
+fn an_isolated_router_detects_that_it_is_alone() {
     let mut net = Net::region(9, Conditions::default(), 3, 60);
     net.run_for(Duration::from_secs(6));
-    net.nodes[5].side = 1;
-    let cut_at = net.now;
+    net.nodes[5].partition = 1;
+    let partitioned_at = net.now;
     while net.nodes[5].fleet.owners(net.now).count() > 1 {
         net.run_for(Duration::from_millis(100));
-        assert!(net.now.since(cut_at) < Duration::from_secs(15));
+        assert!(net.now.since(partitioned_at) < Duration::from_secs(15));
     }
     println!(
         "measure=cut_off routers=60 value={:?}",
-        net.now.since(cut_at)
+        net.now.since(partitioned_at)
     );
-    assert!(net.nodes[5].fleet.is_sure(net.now));
+    assert!(net.nodes[5].fleet.is_view_trusted(net.now));
 }
 
-// A zone of a large region goes dark at once.
+// All routers of one zone of a large region fail at once.
 #[test]
-fn a_lost_zone_is_known_within_four_seconds() {
+fn a_lost_zone_is_detected_within_four_seconds() {
     for seed in 10..15 {
-        lose_zone(seed);
+        kill_zone(seed);
     }
 }
 
-fn lose_zone(seed: u64) {
+fn kill_zone(seed: u64) {
     let mut net = Net::region(seed, lossy(), 3, 60);
     net.run_for(Duration::from_secs(6));
     for node in 0..60 {
@@ -301,37 +302,39 @@
             net.kill(node);
         }
     }
-    let killed = net.now;
-    while net.agreeing() < 40 {
+    let killed_at = net.now;
+    while net.converged_count() < 40 {
         net.run_for(Duration::from_millis(50));
         assert!(
-            net.now.since(killed) < Duration::from_secs(4),
+            net.now.since(killed_at) < Duration::from_secs(4),
             "{}",
-            net.agreeing()
+            net.converged_count()
         );
     }
     println!(
         "measure=lost_zone routers=60 seed={seed} value={:?}",
-        net.now.since(killed)
+        net.now.since(killed_at)
     );
 }
 
 #[test]
-fn a_higher_revision_is_told_with_its_source() {
+fn an_unavailable_higher_revision_is_not_applied() {
     let mut net = Net::region(11, Conditions::default(), 1, 2);
     net.run_for(Duration::from_secs(4));
     net.handle(1, Event::Applied(revision::Id(50)));
-    let mut newer = Vec::new();
+    let mut applied_revisions = Vec::new();
     for _ in 0..40 {
         net.run_for(Duration::from_millis(50));
-        newer.extend(net.nodes[0].spread.own());
+        applied_revisions.extend(net.nodes[0].sync.applied());
     }
     assert!(
-        newer.iter().all(|own| *own == revision::Id(1)),
-        "a peer without it does not count"
+        applied_revisions
+            .iter()
+            .all(|revision| *revision == revision::Id(1)),
+        "a revision that its announcer cannot return must not be applied"
     );
     assert!(matches!(
-        net.log.iter().find(|(_, _, action)| matches!(action, Action::Sure(true))),
+        net.log.iter().find(|(_, _, action)| matches!(action, Action::ViewTrusted(true))),
         Some((at, _, _)) if *at > Instant::ZERO
     ));
 }
--- a/crates/fleet/tests/network/scale.rs
+++ b/crates/fleet/tests/network/scale.rs
@@ -1,4 +1,4 @@
-//! Detection, spread and control traffic at 8, 46 and 1,000 routers.
+//! Failure detection, propagation and control traffic at 8, 46, 138 and 1,000 routers.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 }
 
 /// 1,000 routers in 22 zones of 10 regions.
-fn planned(seed: u64) -> Net {
+fn planned_deployment(seed: u64) -> Net {
     let mut net = Net::new(seed, lossy());
     let zones: Vec<String> = (0..10)
         .flat_map(|region| {
@@ -27,12 +27,12 @@
     for index in 0..1000 {
         net.add(&zones[index % zones.len()]);
     }
-    net.list_all();
+    net.send_host_list();
     net.logging = false;
     net
 }
 
-/// Bytes a second of each router, sent and received, as the mean and the most.
+/// The mean and the maximum over the routers of bytes sent and received per second.
 fn traffic(net: &mut Net, seconds: u64) -> (usize, usize) {
     net.reset_counts();
     net.run_for(Duration::from_secs(seconds));
@@ -56,12 +56,12 @@
     )
 }
 
-/// How long until all routers hold the killed `node` for dead, and the first.
+/// The times until the first and the last router declare the killed `node` down.
 fn detection(net: &mut Net, node: usize) -> (Duration, Duration) {
     let host = net.nodes[node].host.clone();
     net.log.clear();
     net.kill(node);
-    let killed = net.now;
+    let killed_at = net.now;
     net.run_for(Duration::from_secs(8));
     let times: Vec<Duration> = net
         .log
@@ -69,12 +69,12 @@
         .filter(|(_, _, action)| {
             matches!(action, Action::Phase { host: h, phase } if *h == host && *phase == heartbeat::Phase::Down)
         })
-        .map(|(at, _, _)| at.since(killed))
+        .map(|(at, _, _)| at.since(killed_at))
         .collect();
     assert_eq!(
         times.len(),
         net.running().count(),
-        "every router learns of it"
+        "every running router has to declare it down once"
     );
     (
         times.iter().min().copied().unwrap(),
@@ -82,37 +82,37 @@
     )
 }
 
-/// How long until every router applied a revision that the table got, and the first.
-fn spread(net: &mut Net) -> (Duration, Duration) {
+/// The times until the first and the last router apply a revision new in the table.
+fn propagation(net: &mut Net) -> (Duration, Duration) {
     net.table = net.table.next();
-    let accepted = net.now;
+    let accepted_at = net.now;
     let mut first = None;
-    while net.now.since(accepted) < Duration::from_secs(30) {
+    while net.now.since(accepted_at) < Duration::from_secs(30) {
         net.run_for(Duration::from_millis(10));
-        let has = |revision: Option<revision::Id>| revision == Some(net.table);
+        let is_current = |revision: Option<revision::Id>| revision == Some(net.table);
         let count = net
             .nodes
             .iter()
-            .filter(|node| has(node.spread.own()))
+            .filter(|node| is_current(node.sync.applied()))
             .count();
         if count > 0 {
-            first.get_or_insert(net.now.since(accepted));
+            first.get_or_insert(net.now.since(accepted_at));
         }
         if count == net.nodes.len() {
-            return (first.unwrap(), net.now.since(accepted));
+            return (first.unwrap(), net.now.since(accepted_at));
         }
     }
-    panic!("not in force everywhere within 30 s");
+    panic!("the revision was not applied by all routers within 30 s");
 }
 
-// A router dies without a word. Until the others know, requests go to it and
-// users wait; the engines that it owned have no owner.
+// A router crashes. Until the others detect it, requests to it time out and its engines
+// have no owner.
 #[yare::parameterized(
-    today = { 3, 8 },
+    current = { 3, 8 },
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
-fn a_dead_router_is_known_to_all_within_three_seconds(zones: usize, routers: usize) {
+fn a_dead_router_is_detected_by_all_within_three_seconds(zones: usize, routers: usize) {
     let mut slowest = Duration::ZERO;
     for seed in 0..6 {
         let mut net = Net::region(seed, lossy(), zones, routers);
@@ -124,51 +124,52 @@
     assert!(slowest <= Duration::from_secs(3), "{slowest:?}");
 }
 
-// An operator changes the configuration. Until a router has it, its users get
-// the old one: a zone that was taken out still gets work.
+// An operator changes the configuration. Until a router applies it, it acts on the old
+// one: a zone that was taken out still gets requests.
 #[yare::parameterized(
-    today = { 3, 8 },
+    current = { 3, 8 },
     zone = { 1, 46 },
     region = { 3, 138 },
 )]
-fn a_revision_is_in_force_everywhere_within_five_seconds(zones: usize, routers: usize) {
+fn a_revision_is_applied_everywhere_within_five_seconds(zones: usize, routers: usize) {
     let mut net = Net::region(11, lossy(), zones, routers);
     net.run_for(Duration::from_secs(10));
     let mut slowest = Duration::ZERO;
     for round in 0..20 {
         net.run_for(Duration::from_millis(700));
-        let (first, last) = spread(&mut net);
+        let (first, last) = propagation(&mut net);
         println!("measure=spread routers={routers} round={round} first={first:?} last={last:?}");
         slowest = slowest.max(last);
     }
     assert!(slowest <= Duration::from_secs(5), "{slowest:?}");
 }
 
-// Control traffic that grows with the fleet would take the network from the
-// requests. The bounds are the brief's, less what polls and probes of engines need.
+// Control traffic that grows with the fleet would take bandwidth from requests. The
+// bounds are the required limits on control traffic minus the share of table polls
+// and engine probes.
 #[yare::parameterized(
-    today = { 3, 8, 800 },
+    current = { 3, 8, 800 },
     zone = { 1, 46, 2800 },
     region = { 3, 138, 2800 },
 )]
 fn control_traffic_is_bounded(zones: usize, routers: usize, bound: usize) {
     let mut net = Net::region(5, lossy(), zones, routers);
     net.run_for(Duration::from_secs(10));
-    let (mean, most) = traffic(&mut net, 20);
-    println!("measure=control routers={routers} mean={mean} most={most} unit=B/s");
-    assert!(most <= bound, "{most}");
+    let (mean, max) = traffic(&mut net, 20);
+    println!("measure=control routers={routers} mean={mean} most={max} unit=B/s");
+    assert!(max <= bound, "{max}");
 }
 
 #[test]
-fn the_planned_size_spreads_and_stays_in_its_budget() {
-    let mut net = planned(1);
+fn the_planned_size_stays_within_its_propagation_and_traffic_bounds() {
+    let mut net = planned_deployment(1);
     net.run_for(Duration::from_secs(6));
-    let (mean, most) = traffic(&mut net, 4);
-    println!("measure=control routers=1000 mean={mean} most={most} unit=B/s");
+    let (mean, max) = traffic(&mut net, 4);
+    println!("measure=control routers=1000 mean={mean} most={max} unit=B/s");
     let polls: usize = net.nodes.iter().map(|node| node.polls).sum();
     println!("measure=polls routers=1000 value={} unit=1/s", polls / 4);
-    let (first, last) = spread(&mut net);
+    let (first, last) = propagation(&mut net);
     println!("measure=spread routers=1000 first={first:?} last={last:?}");
-    assert!(most <= 2800, "{most}");
+    assert!(max <= 2800, "{max}");
     assert!(last <= Duration::from_secs(5), "{last:?}");
 }
