--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -11,49 +11,49 @@
     workspace,
 };
 
-const RUNNING: u64 = 48;
+const MAX_RUNNING: u64 = 48;
 
-fn names(count: usize) -> Vec<workspace::Id> {
+fn workspace_ids(count: usize) -> Vec<workspace::Id> {
     let name = |number: usize| format!("workspace-{number}").parse().expect("a valid name");
     (0..count).map(name).collect()
 }
 
-struct Load {
+struct LoadedServer {
     server: Server,
-    names: Vec<workspace::Id>,
+    workspaces: Vec<workspace::Id>,
     now: Instant,
-    next: u64,
+    next_attempt: u64,
     running: VecDeque<Attempt>,
 }
 
-impl Load {
+impl LoadedServer {
     /// A server at its limit with `queued` tickets of `workspaces`.
     fn new(queued: usize, workspaces: usize) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings {
-            max_concurrency: RUNNING as u32,
-            queue_total: 1 << 20,
-            queue_per_workspace: 1 << 20,
-            run_per_cost: Duration::from_nanos(1),
+            max_concurrency: MAX_RUNNING as u32,
+            max_queued: 1 << 20,
+            max_queued_per_workspace: 1 << 20,
+            initial_run_time_per_cost: Duration::from_nanos(1),
             ..Settings::default()
         };
         let mut server = Server::new(settings, now);
-        server.handed_over(
+        server.apply_handover(
             Handover {
                 limit: 64,
                 in_flight: 0,
             },
             now,
         );
-        let names = names(workspaces);
+        let workspaces = workspace_ids(workspaces);
         let mut load = Self {
             server,
-            names,
+            workspaces,
             now,
-            next: 0,
+            next_attempt: 0,
             running: VecDeque::new(),
         };
-        for _ in 0..RUNNING as usize + queued {
+        for _ in 0..MAX_RUNNING as usize + queued {
             load.offer();
         }
         load
@@ -61,15 +61,15 @@
 
     fn offer(&mut self) {
         let ticket = Ticket {
-            attempt: Attempt(self.next),
-            workspace: self.names[self.next as usize % self.names.len()].clone(),
-            cost: Cost(100 + self.next % 900),
+            attempt: Attempt(self.next_attempt),
+            workspace: self.workspaces[self.next_attempt as usize % self.workspaces.len()].clone(),
+            cost: Cost(100 + self.next_attempt % 900),
             priority: Priority::Normal,
             standing: Standing::Clear,
             deadline: Instant::NEVER,
         };
         let attempt = ticket.attempt;
-        self.next += 1;
+        self.next_attempt += 1;
         let offered = hint::black_box(self.server.offer(ticket, self.now));
         if offered.decision == Decision::Admitted {
             self.running.push_back(attempt);
@@ -77,7 +77,7 @@
     }
 
     /// One request ends, another is admitted and a new one queued.
-    fn turn(&mut self) {
+    fn finish_and_offer(&mut self) {
         let now = self.now;
         let outcome = Outcome::Completed {
             first_token_at: now,
@@ -96,23 +96,23 @@
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
     for queued in [0, 100, 1000, 10_000] {
-        let mut load = Load::new(queued, 100);
+        let mut load = LoadedServer::new(queued, 100);
         group.bench_function(BenchmarkId::new("queued", queued), |bencher| {
-            bencher.iter(|| load.turn());
+            bencher.iter(|| load.finish_and_offer());
         });
     }
     for workspaces in [1, 10, 100, 970] {
-        let mut load = Load::new(1000, workspaces);
+        let mut load = LoadedServer::new(1000, workspaces);
         group.bench_function(BenchmarkId::new("workspaces", workspaces), |bencher| {
-            bencher.iter(|| load.turn());
+            bencher.iter(|| load.finish_and_offer());
         });
     }
-    let mut load = Load::new(1000, 100);
+    let mut load = LoadedServer::new(1000, 100);
     let mut seq = 0;
     group.bench_function("report", |bencher| {
         bencher.iter(|| {
             seq += 1;
-            let running = RUNNING as u32;
+            let running = MAX_RUNNING as u32;
             let report = Report {
                 boot: 1,
                 seq,
--- a/crates/admission/examples/admission_memory.rs
+++ b/crates/admission/examples/admission_memory.rs
@@ -2,7 +2,7 @@
 
 use std::{fs, hint, time::Duration};
 
-use admission::{Lengths, Server, Settings, Standing, Ticket};
+use admission::{OutputLengths, Server, Settings, Standing, Ticket};
 use units::{
     cost::Cost,
     request::{Attempt, Priority},
@@ -20,9 +20,9 @@
 fn server(tickets: u64, workspaces: u64) -> Server {
     let now = Instant::from_millis(1000);
     let settings = Settings {
-        queue_total: usize::MAX,
-        queue_per_workspace: usize::MAX,
-        run_per_cost: Duration::ZERO,
+        max_queued: usize::MAX,
+        max_queued_per_workspace: usize::MAX,
+        initial_run_time_per_cost: Duration::ZERO,
         ..Settings::default()
     };
     let mut server = Server::new(settings, now);
@@ -53,12 +53,12 @@
     let bytes = (resident() - before).saturating_sub(queued) / tickets;
     println!("workspace_bytes={bytes}");
     let before = resident();
-    let mut lengths: Vec<Lengths> = Vec::new();
+    let mut lengths: Vec<OutputLengths> = Vec::new();
     for _ in 0..50 {
-        let mut each = Lengths::new(Cost(300));
+        let mut each = OutputLengths::new(Cost(300));
         for number in 0..4000 {
             let workspace = format!("workspace-{number}").parse().expect("a valid name");
-            each.learn(&workspace, "chat", Cost(200));
+            each.record(&workspace, "chat", Cost(200));
         }
         lengths.push(each);
     }
--- a/crates/admission/examples/weigh.rs
+++ b/crates/admission/examples/weigh.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use admission::{Server, Settings};
-use engine::Kind;
+use engine::Profile;
 use sim::Sim;
 use units::time::Instant;
 
@@ -21,37 +21,37 @@
 
 fn sim(settings: &Settings, rate: f64, costs: (u64, u64), seed: u64) -> Sim {
     let server = Server::new(settings.clone(), Instant::ZERO);
-    let mut sim = Sim::new(server, Kind::default());
+    let mut sim = Sim::new(server, Profile::default());
     for workspace in 0..4 {
         let name = format!("w{workspace}");
-        sim.arrivals(&name, rate, (0, 300), costs, seed * 10 + workspace);
+        sim.schedule_arrivals(&name, rate, (0, 300), costs, seed * 10 + workspace);
     }
-    sim.reports(300);
+    sim.schedule_reports(300);
     sim
 }
 
-fn limits(name: &str, settings: &Settings) {
+fn compare_limits(name: &str, settings: &Settings) {
     for (load, rate, costs) in LOADS {
-        let (mut start, mut before, mut after, mut most) = (0, 0, 0, 0);
+        let (mut start, mut before, mut after, mut max_before) = (0, 0, 0, 0);
         let (mut served, mut lows, mut recovery) = (0, 0, 0);
         for seed in 0..SEEDS {
             let mut steady = sim(settings, rate, costs, seed);
             steady.run(100);
-            start += steady.seen.overload.1;
-            let warm = steady.seen.completed;
+            start += steady.stats.overload.1;
+            let warm = steady.stats.completed;
             for second in 101..300 {
                 steady.run(second);
                 lows += u64::from(steady.server.snapshot(steady.now).limit < 8);
             }
-            served += steady.seen.completed - warm;
+            served += steady.stats.completed - warm;
             let mut cold = sim(settings, rate, costs, seed);
             cold.run(100);
-            cold.seen.overload = (0, 0);
+            cold.stats.overload = (0, 0);
             cold.turn_cold(100);
             cold.run(300);
-            before += cold.seen.overload.0;
-            most = most.max(cold.seen.overload.0);
-            after += cold.seen.overload.1;
+            before += cold.stats.overload.0;
+            max_before = max_before.max(cold.stats.overload.0);
+            after += cold.stats.overload.1;
             let mut restarted = sim(settings, rate, costs, seed);
             restarted.run(100);
             restarted.restart(100);
@@ -63,7 +63,7 @@
         }
         let mean = |sum: u64| sum as f64 / SEEDS as f64;
         println!(
-            "limit={name} load={load} overload_at_start={} before={:.1} most_before={most} \
+            "limit={name} load={load} overload_at_start={} before={:.1} most_before={max_before} \
              after={:.1} served={:.0} low_seconds={:.1} recovery_s={:.1}",
             mean(start),
             mean(before),
@@ -75,7 +75,7 @@
     }
 }
 
-fn fairness(headroom: u32, rate: f64) {
+fn compare_fairness(headroom: u32, rate: f64) {
     let settings = Settings {
         max_concurrency: 16,
         headroom,
@@ -86,18 +86,18 @@
         for seed in 0..SEEDS {
             let mut sim = Sim::new(
                 Server::new(settings.clone(), Instant::ZERO),
-                Kind::default(),
+                Profile::default(),
             );
             for workspace in 0..8 {
                 let name = format!("quiet{workspace}");
-                sim.arrivals(&name, rate, (60, 360), (200, 3000), seed * 100 + workspace);
+                sim.schedule_arrivals(&name, rate, (60, 360), (200, 3000), seed * 100 + workspace);
             }
-            sim.arrivals("warm-up", 6.0, (0, 60), (200, 3000), seed * 100 + 50);
+            sim.schedule_arrivals("warm-up", 6.0, (0, 60), (200, 3000), seed * 100 + 50);
             let surge = 2.0 * rate * surge;
-            sim.arrivals("surge", surge, (60, 360), (200, 3000), seed * 100 + 51);
-            sim.reports(360);
+            sim.schedule_arrivals("surge", surge, (60, 360), (200, 3000), seed * 100 + 51);
+            sim.schedule_reports(360);
             sim.run(360);
-            for (name, waits) in &sim.seen.waits {
+            for (name, waits) in &sim.stats.waits {
                 if name.as_str().starts_with("quiet") {
                     quiet.extend(waits.iter().copied());
                 } else if name.as_str() == "surge" {
@@ -118,60 +118,60 @@
 
 fn main() {
     let chosen = Settings::default();
-    limits("chosen", &chosen);
+    compare_limits("chosen", &chosen);
     let halving = Settings {
-        late_run: 1,
+        consecutive_late_threshold: 1,
         ..chosen.clone()
     };
-    limits("halve_on_each_late", &halving);
+    compare_limits("halve_on_each_late", &halving);
     // A target that the fake's first tokens miss now and then at any load.
     let tight = Settings {
-        first_token: Duration::from_millis(60),
-        first_token_per_cost: Duration::from_micros(200),
+        first_token_target: Duration::from_millis(60),
+        first_token_target_per_cost: Duration::from_micros(200),
         ..chosen.clone()
     };
-    limits("chosen_tight_target", &tight);
+    compare_limits("chosen_tight_target", &tight);
     let halving = Settings {
-        late_run: 1,
+        consecutive_late_threshold: 1,
         ..tight
     };
-    limits("halve_on_each_late_tight_target", &halving);
-    let blind = Settings {
-        jump: 1e9,
+    compare_limits("halve_on_each_late_tight_target", &halving);
+    let without_spikes = Settings {
+        spike_factor: 1e9,
         ..chosen.clone()
     };
-    limits("without_jump", &blind);
+    compare_limits("without_jump", &without_spikes);
     let late_only = Settings {
-        inflated_run: 1000,
+        consecutive_inflated_threshold: 1000,
         ..chosen.clone()
     };
-    limits("without_inflation", &late_only);
-    let patience = Duration::from_millis(1);
-    limits(
+    compare_limits("without_inflation", &late_only);
+    let tolerance_doubling_time = Duration::from_millis(1);
+    compare_limits(
         "without_ease",
         &Settings {
-            patience,
+            tolerance_doubling_time,
             ..chosen.clone()
         },
     );
-    let growth_time = Duration::from_millis(1);
-    limits(
+    let full_growth_run_time = Duration::from_millis(1);
+    compare_limits(
         "growth_by_count",
         &Settings {
-            growth_time,
+            full_growth_run_time,
             ..chosen.clone()
         },
     );
-    limits(
+    compare_limits(
         "growth_doubling",
         &Settings {
-            growth: 1.0,
+            growth_step: 1.0,
             ..chosen.clone()
         },
     );
     for rate in [0.25, 0.3] {
         for headroom in [0, 8, 4, 3] {
-            fairness(headroom, rate);
+            compare_fairness(headroom, rate);
         }
     }
 }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -30,22 +30,22 @@
 //! ```
 
 mod estimate;
-mod lane;
-mod lengths;
 mod limit;
 mod load;
 mod message;
+mod output_lengths;
 mod queue;
 mod server;
 mod settings;
 mod share;
+mod suspect_queue;
 
-pub use lengths::Lengths;
 pub use limit::{FirstToken, Limit, Phase};
 pub use message::{
     Action, Actions, Bound, Decision, Handover, Offered, Outcome, Report, Snapshot, Standing,
     State, Ticket,
 };
+pub use output_lengths::OutputLengths;
 pub use queue::{Queue, Waiting};
 pub use server::Server;
 pub use settings::Settings;
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -7,17 +7,17 @@
 use crate::{Report, Settings};
 
 /// The limit of a server that is cold.
-const COLD: f64 = 1.0;
+const COLD_LIMIT: f64 = 1.0;
 /// The weight of the newest first token in the typical one.
-const GAIN: f64 = 0.02;
+const BASELINE_GAIN: f64 = 0.02;
 /// The same while the server may be cold, and for a sudden one.
-const SLOW_GAIN: f64 = 0.005;
+const SLOW_BASELINE_GAIN: f64 = 0.005;
 /// How many mean deviations a first token is above the typical one to be sudden.
-const DEVIATIONS: f64 = 3.0;
+const SPIKE_DEVIATIONS: f64 = 3.0;
 /// Below this part of its target no first token is a sign of load.
-const QUICK: f64 = 0.1;
+const GROWTH_RATIO_FLOOR: f64 = 0.1;
 /// Below this part of its target no first token is sudden.
-const UNREMARKABLE: f64 = 0.3;
+const SPIKE_RATIO_FLOOR: f64 = 0.3;
 
 /// How the limit moves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -61,20 +61,20 @@
     value: f64,
     phase: Phase,
     /// Logarithm of first token time over its target on the warm server, smoothed.
-    typical: f64,
+    baseline: f64,
     /// Its mean deviation.
     deviation: f64,
     /// When the server was last found to be cold.
     cold_since: Instant,
     /// Late first tokens in a row.
-    late: u32,
+    consecutive_late: u32,
     /// First tokens in a row that are late by the inflation factor.
-    inflated: u32,
+    consecutive_inflated: u32,
     /// First tokens in a row that took much longer than the typical one.
-    sudden: u32,
+    consecutive_spikes: u32,
     /// Requests admitted before this instant say nothing about the present limit.
-    fell_at: Instant,
-    has_fallen: bool,
+    decreased_at: Instant,
+    has_decreased: bool,
     /// When the server was last known to be the one that the limit was learned on.
     confirmed_at: Instant,
     boot: Option<u64>,
@@ -86,16 +86,16 @@
     /// The limit of a server of which nothing is known.
     pub fn new(settings: &Settings, now: Instant) -> Self {
         Self {
-            value: COLD,
+            value: COLD_LIMIT,
             phase: Phase::Cold,
-            typical: settings.typical.ln(),
+            baseline: settings.initial_baseline.ln(),
             deviation: 0.0,
             cold_since: now,
-            late: 0,
-            inflated: 0,
-            sudden: 0,
-            fell_at: now,
-            has_fallen: false,
+            consecutive_late: 0,
+            consecutive_inflated: 0,
+            consecutive_spikes: 0,
+            decreased_at: now,
+            has_decreased: false,
             confirmed_at: now,
             boot: None,
             seq: 0,
@@ -105,16 +105,16 @@
 
     /// Requests that may run at once, at least one.
     pub fn get(&self, settings: &Settings) -> u32 {
-        let most = match self.capacity {
+        let max = match self.capacity {
             0 => settings.max_concurrency,
             capacity => capacity.min(settings.max_concurrency),
         };
-        (self.value as u32).clamp(1, most.max(1))
+        (self.value as u32).clamp(1, max.max(1))
     }
 
     /// Whether the last first token was late or sudden.
-    pub fn is_uneasy(&self) -> bool {
-        self.late > 0 || self.sudden > 0
+    pub fn has_recent_delay(&self) -> bool {
+        self.consecutive_late > 0 || self.consecutive_spikes > 0
     }
 
     /// How the limit moves at present.
@@ -123,7 +123,7 @@
     }
 
     /// Takes over the limit that an earlier owner learned.
-    pub fn adopt(&mut self, limit: u32, now: Instant) {
+    pub fn inherit(&mut self, limit: u32, now: Instant) {
         self.value = f64::from(limit.max(1));
         self.confirmed_at = now;
     }
@@ -134,45 +134,45 @@
     /// to regain, so that the limit settles where that share is late. Several
     /// in a row are no chance any more.
     pub fn first_token(&mut self, token: FirstToken, settings: &Settings, now: Instant) {
-        let is_old = token.admitted_at < self.fell_at;
-        if is_old && self.value <= COLD {
+        let predates_decrease = token.admitted_at < self.decreased_at;
+        if predates_decrease && self.value <= COLD_LIMIT {
             return;
         }
         let ratio = token.ratio();
-        if self.compare(ratio, settings) {
-            self.jumped(now);
+        if self.update_baseline(ratio, settings) {
+            self.halve_on_spikes(now);
         }
         if ratio <= 1.0 {
-            self.late = 0;
-            self.inflated = 0;
+            self.consecutive_late = 0;
+            self.consecutive_inflated = 0;
             return;
         }
-        self.inflated = if ratio >= f64::from(settings.inflation) {
-            self.inflated + 1
+        self.consecutive_inflated = if ratio >= f64::from(settings.inflation_factor) {
+            self.consecutive_inflated + 1
         } else {
             0
         };
-        if self.inflated >= settings.inflated_run {
-            self.collapse(now);
-        } else if !is_old {
-            self.late(settings, now);
+        if self.consecutive_inflated >= settings.consecutive_inflated_threshold {
+            self.reset(now);
+        } else if !predates_decrease {
+            self.decrease_on_late(settings, now);
         }
     }
 
-    fn late(&mut self, settings: &Settings, now: Instant) {
-        self.late += 1;
-        if self.late >= settings.late_run {
+    fn decrease_on_late(&mut self, settings: &Settings, now: Instant) {
+        self.consecutive_late += 1;
+        if self.consecutive_late >= settings.consecutive_late_threshold {
             return self.halve(now);
         }
-        let on_time = (1.0 - settings.late_share) / settings.late_share;
-        self.value = (self.value - on_time / self.value).max(COLD);
-        self.slow_down(now);
+        let on_time_per_late = (1.0 - settings.late_share) / settings.late_share;
+        self.value = (self.value - on_time_per_late / self.value).max(COLD_LIMIT);
+        self.leave_cold_phase(now);
     }
 
     /// How long a first token that is allowed `target` may take before it is
     /// doubtful that the server is still warm.
-    pub fn doubtful_after(&self, target: Duration, settings: &Settings) -> Duration {
-        target.mul_f64(self.sudden_ratio(settings).min(1.0))
+    pub fn slow_after(&self, target: Duration, settings: &Settings) -> Duration {
+        target.mul_f64(self.spike_ratio(settings).min(1.0))
     }
 
     /// A request completed whose first token was judged before. The limit grows
@@ -188,20 +188,21 @@
         now: Instant,
     ) {
         let ratio = token.ratio();
-        if token.admitted_at < self.fell_at || ratio > 1.0 {
+        if token.admitted_at < self.decreased_at || ratio > 1.0 {
             return;
         }
         self.confirmed_at = now;
         if !in_use {
             return;
         }
-        if ratio > self.ease(settings, now) {
+        if ratio > self.max_growth_ratio(settings, now) {
             return;
         }
-        let ran = now.since(token.admitted_at).as_secs_f64() / settings.growth_time.as_secs_f64();
+        let run_fraction = now.since(token.admitted_at).as_secs_f64()
+            / settings.full_growth_run_time.as_secs_f64();
         self.value += match self.phase {
-            Phase::Cold => settings.growth * ran.min(1.0),
-            Phase::Warm => settings.growth.min(1.0 / self.value),
+            Phase::Cold => settings.growth_step * run_fraction.min(1.0),
+            Phase::Warm => settings.growth_step.min(1.0 / self.value),
         };
         self.value = self.value.min(f64::from(settings.max_concurrency.max(1)));
     }
@@ -218,9 +219,9 @@
     ///
     /// Those run already; the limit starts above them as it starts above none
     /// on an idle server. Once it has fallen it is raised by own work alone.
-    pub fn carry(&mut self, foreign: u32) {
-        if self.phase == Phase::Cold && !self.has_fallen {
-            self.value = self.value.max(f64::from(foreign) + COLD);
+    pub fn raise_above_foreign(&mut self, foreign: u32) {
+        if self.phase == Phase::Cold && !self.has_decreased {
+            self.value = self.value.max(f64::from(foreign) + COLD_LIMIT);
         }
     }
 
@@ -235,7 +236,7 @@
         self.seq = report.seq;
         self.capacity = report.capacity;
         if restarted {
-            self.collapse(now);
+            self.reset(now);
             return true;
         }
         self.confirmed_at = now;
@@ -251,13 +252,15 @@
     ///
     /// A server may restart while it is idle and does not report. Nobody would
     /// notice before the next surge, which would hit it at the old limit.
-    pub fn age(&mut self, settings: &Settings, now: Instant) {
-        if settings.unconfirmed.is_zero() {
+    pub fn decay(&mut self, settings: &Settings, now: Instant) {
+        if settings.unconfirmed_half_life.is_zero() {
             return;
         }
-        while self.value > COLD && now.since(self.confirmed_at) >= settings.unconfirmed {
-            self.value = (self.value / 2.0).max(COLD);
-            self.confirmed_at = self.confirmed_at + settings.unconfirmed;
+        while self.value > COLD_LIMIT
+            && now.since(self.confirmed_at) >= settings.unconfirmed_half_life
+        {
+            self.value = (self.value / 2.0).max(COLD_LIMIT);
+            self.confirmed_at = self.confirmed_at + settings.unconfirmed_half_life;
         }
     }
 
@@ -266,16 +269,16 @@
     /// A cold server is slow, though perhaps within the target, and bears
     /// little. So the limit waits for first tokens as quick as on the warm
     /// server. What is slow for long is slow by nature and lets the limit grow.
-    fn ease(&self, settings: &Settings, now: Instant) -> f64 {
-        let cold_for = now.since(self.cold_since).as_secs_f64();
-        let doublings = cold_for / settings.patience.as_secs_f64();
-        (self.typical.exp() * settings.ease).max(QUICK) * doublings.exp2()
+    fn max_growth_ratio(&self, settings: &Settings, now: Instant) -> f64 {
+        let cold_seconds = now.since(self.cold_since).as_secs_f64();
+        let doublings = cold_seconds / settings.tolerance_doubling_time.as_secs_f64();
+        (self.baseline.exp() * settings.growth_tolerance).max(GROWTH_RATIO_FLOOR) * doublings.exp2()
     }
 
     /// The ratio above which a first token is sudden.
-    fn sudden_ratio(&self, settings: &Settings) -> f64 {
-        let spread = (self.deviation * DEVIATIONS).max(settings.jump.ln());
-        (self.typical + spread).exp().max(UNREMARKABLE)
+    fn spike_ratio(&self, settings: &Settings) -> f64 {
+        let spread = (self.deviation * SPIKE_DEVIATIONS).max(settings.spike_factor.ln());
+        (self.baseline + spread).exp().max(SPIKE_RATIO_FLOOR)
     }
 
     /// Learns what is typical, and returns whether first tokens have jumped.
@@ -283,52 +286,60 @@
     /// A target that leaves room for long queues hides a server that turned
     /// cold: its tokens take many times longer and still come in time. What
     /// shows it is the jump. A server that stays slow becomes the typical one.
-    fn compare(&mut self, ratio: f64, settings: &Settings) -> bool {
-        let is_sudden = ratio > self.sudden_ratio(settings);
-        let is_low = self.value < 2.0 * COLD;
-        let gain = if is_sudden || is_low { SLOW_GAIN } else { GAIN };
-        let error = ratio.max(f64::MIN_POSITIVE).ln() - self.typical;
-        self.typical += gain * error;
+    fn update_baseline(&mut self, ratio: f64, settings: &Settings) -> bool {
+        let is_spike = ratio > self.spike_ratio(settings);
+        let is_near_cold = self.value < 2.0 * COLD_LIMIT;
+        let gain = if is_spike || is_near_cold {
+            SLOW_BASELINE_GAIN
+        } else {
+            BASELINE_GAIN
+        };
+        let error = ratio.max(f64::MIN_POSITIVE).ln() - self.baseline;
+        self.baseline += gain * error;
         self.deviation += gain * (error.abs() - self.deviation);
-        self.sudden = if is_sudden { self.sudden + 1 } else { 0 };
-        self.sudden >= settings.jump_run
+        self.consecutive_spikes = if is_spike {
+            self.consecutive_spikes + 1
+        } else {
+            0
+        };
+        self.consecutive_spikes >= settings.consecutive_spike_threshold
     }
 
     fn halve(&mut self, now: Instant) {
-        self.value = (self.value / 2.0).max(COLD);
-        self.slow_down(now);
-        self.fall(now);
+        self.value = (self.value / 2.0).max(COLD_LIMIT);
+        self.leave_cold_phase(now);
+        self.record_decrease(now);
     }
 
     /// Halves the limit for each sudden first token after a run of them. Unlike
     /// a late one, it does not wait for requests admitted since the last fall.
-    fn jumped(&mut self, now: Instant) {
-        self.value = (self.value / 2.0).max(COLD);
+    fn halve_on_spikes(&mut self, now: Instant) {
+        self.value = (self.value / 2.0).max(COLD_LIMIT);
         self.cold_since = now;
-        self.has_fallen = true;
+        self.has_decreased = true;
     }
 
     /// Ends the fast growth, unless the server is still cold.
-    fn slow_down(&mut self, now: Instant) {
-        if self.value > COLD {
+    fn leave_cold_phase(&mut self, now: Instant) {
+        if self.value > COLD_LIMIT {
             self.phase = Phase::Warm;
         } else {
             self.cold_since = now;
         }
     }
 
-    fn collapse(&mut self, now: Instant) {
-        self.value = COLD;
+    fn reset(&mut self, now: Instant) {
+        self.value = COLD_LIMIT;
         self.phase = Phase::Cold;
         self.cold_since = now;
-        self.fall(now);
+        self.record_decrease(now);
     }
 
-    fn fall(&mut self, now: Instant) {
-        self.fell_at = now;
-        self.has_fallen = true;
-        self.late = 0;
-        self.inflated = 0;
-        self.sudden = 0;
+    fn record_decrease(&mut self, now: Instant) {
+        self.decreased_at = now;
+        self.has_decreased = true;
+        self.consecutive_late = 0;
+        self.consecutive_inflated = 0;
+        self.consecutive_spikes = 0;
     }
 }
--- a/crates/admission/src/load.rs
+++ b/crates/admission/src/load.rs
@@ -8,7 +8,7 @@
 
 /// An own load that held until an instant.
 #[derive(Clone, Copy, Debug)]
-struct Past {
+struct PastLoad {
     until: Instant,
     own: u32,
 }
@@ -18,12 +18,12 @@
 /// Each is nearer to the present load than the one before, so there are at
 /// most as many as the highest load.
 #[derive(Clone, Debug, Default)]
-struct Window(VecDeque<Past>);
+struct ExtremeWindow(VecDeque<PastLoad>);
 
-impl Window {
-    /// Adds a load that has just ended and drops those that it `covers`.
-    fn push(&mut self, past: Past, covers: impl Fn(u32) -> bool) {
-        while self.0.back().is_some_and(|last| covers(last.own)) {
+impl ExtremeWindow {
+    /// Adds a load that has just ended and drops those that it `supersedes`.
+    fn push(&mut self, past: PastLoad, supersedes: impl Fn(u32) -> bool) {
+        while self.0.back().is_some_and(|last| supersedes(last.own)) {
             self.0.pop_back();
         }
         self.0.push_back(past);
@@ -52,8 +52,8 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Load {
     own: u32,
-    peaks: Window,
-    troughs: Window,
+    peaks: ExtremeWindow,
+    troughs: ExtremeWindow,
     foreign: u32,
     /// The most requests that an earlier owner may have left.
     inherited: u32,
@@ -95,7 +95,7 @@
     }
 
     pub fn add(&mut self, now: Instant) {
-        let past = Past {
+        let past = PastLoad {
             until: now,
             own: self.own,
         };
@@ -104,7 +104,7 @@
     }
 
     pub fn remove(&mut self, now: Instant) {
-        let past = Past {
+        let past = PastLoad {
             until: now,
             own: self.own,
         };
@@ -112,25 +112,31 @@
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes in a report. While an earlier owner may still admit, `inherits`.
-    pub fn report(&mut self, report: &Report, inherits: bool, settings: &Settings, now: Instant) {
+    /// Takes in a report. While an earlier owner may still admit, `is_takeover`.
+    pub fn report(
+        &mut self,
+        report: &Report,
+        is_takeover: bool,
+        settings: &Settings,
+        now: Instant,
+    ) {
         let oldest = now - settings.report_lag;
         let peak = self.peaks.extreme(oldest).unwrap_or(0).max(self.own);
         let trough = self.troughs.extreme(oldest).unwrap_or(u32::MAX);
         let reported = report.running.saturating_add(report.waiting);
-        let least = reported.saturating_sub(peak);
-        let most = reported.saturating_sub(trough.min(self.own));
-        if inherits {
-            self.inherited = most;
+        let min_foreign = reported.saturating_sub(peak);
+        let max_foreign = reported.saturating_sub(trough.min(self.own));
+        if is_takeover {
+            self.inherited = max_foreign;
         } else if now >= self.inherited_until {
-            self.inherited = most.min(self.inherited);
+            self.inherited = max_foreign.min(self.inherited);
         }
-        self.foreign = least.max(self.inherited);
+        self.foreign = min_foreign.max(self.inherited);
         self.foreign_until = now + settings.report_expiry;
     }
 
     /// Requests of an earlier owner that still run.
-    pub fn hand_over(&mut self, in_flight: u32, settings: &Settings, now: Instant) {
+    pub fn inherit(&mut self, in_flight: u32, settings: &Settings, now: Instant) {
         self.inherited = in_flight;
         self.inherited_until = now + settings.report_lag;
         self.foreign = in_flight;
--- a/crates/admission/src/message.rs
+++ b/crates/admission/src/message.rs
@@ -23,7 +23,7 @@
     pub attempt: request::Attempt,
     /// The workspace that it is charged to.
     pub workspace: workspace::Id,
-    /// Prompt tokens to compute plus output tokens expected; see [`crate::Lengths`].
+    /// Prompt tokens to compute plus output tokens expected; see [`crate::OutputLengths`].
     pub cost: Cost,
     /// Its urgency among the tickets of its workspace.
     pub priority: request::Priority,
--- a/crates/admission/src/lengths.rs
+++ b/crates/admission/src/output_lengths.rs
@@ -7,63 +7,69 @@
 /// The most pairs of workspace and route that are remembered.
 const MAX_ENTRIES: usize = 4096;
 /// The weight of the newest sample, as a divisor.
-const GAIN: u64 = 8;
+const SAMPLE_WEIGHT_DIVISOR: u64 = 8;
 
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     tokens: u64,
-    used: u64,
+    last_used: u64,
 }
 
 /// Expected output tokens by workspace and route.
 #[derive(Clone, Debug)]
-pub struct Lengths {
+pub struct OutputLengths {
     entries: BTreeMap<(workspace::Id, String), Entry>,
     fallback: Cost,
-    uses: u64,
+    record_count: u64,
 }
 
-impl Lengths {
+impl OutputLengths {
     /// Lengths of which nothing is known but the fallback.
     pub fn new(fallback: Cost) -> Self {
         Self {
             entries: BTreeMap::new(),
             fallback,
-            uses: 0,
+            record_count: 0,
         }
     }
 
     /// The output expected of a request, at most what its caller allows.
-    pub fn expect(&self, workspace: &workspace::Id, route: &str, most: Option<Cost>) -> Cost {
+    pub fn expected(
+        &self,
+        workspace: &workspace::Id,
+        route: &str,
+        max_output: Option<Cost>,
+    ) -> Cost {
         let key = (workspace.clone(), String::from(route));
-        let learned = self.entries.get(&key);
-        let expected = learned.map_or(self.fallback, |entry| Cost(entry.tokens));
-        most.map_or(expected, |most| expected.min(most))
+        let entry = self.entries.get(&key);
+        let expected = entry.map_or(self.fallback, |entry| Cost(entry.tokens));
+        max_output.map_or(expected, |max_output| expected.min(max_output))
     }
 
     /// Learns from a completed request.
-    pub fn learn(&mut self, workspace: &workspace::Id, route: &str, output: Cost) {
-        self.uses += 1;
+    pub fn record(&mut self, workspace: &workspace::Id, route: &str, output: Cost) {
+        self.record_count += 1;
         let key = (workspace.clone(), String::from(route));
-        let used = self.uses;
+        let last_used = self.record_count;
         if let Some(entry) = self.entries.get_mut(&key) {
-            entry.tokens = (entry.tokens * (GAIN - 1) + output.0).div_ceil(GAIN);
-            entry.used = used;
+            entry.tokens = (entry.tokens * (SAMPLE_WEIGHT_DIVISOR - 1) + output.0)
+                .div_ceil(SAMPLE_WEIGHT_DIVISOR);
+            entry.last_used = last_used;
             return;
         }
         if self.entries.len() >= MAX_ENTRIES {
-            self.forget();
+            self.evict_older_half();
         }
         let tokens = output.0;
-        self.entries.insert(key, Entry { tokens, used });
+        self.entries.insert(key, Entry { tokens, last_used });
     }
 
     /// Drops the older half at once, so that the cost is spread over many inserts.
-    fn forget(&mut self) {
-        let mut uses: Vec<u64> = self.entries.values().map(|entry| entry.used).collect();
-        let middle = uses.len() / 2;
-        let (_, &mut median, _) = uses.select_nth_unstable(middle);
-        self.entries.retain(|_, entry| entry.used >= median);
+    fn evict_older_half(&mut self) {
+        let mut last_uses: Vec<u64> = self.entries.values().map(|entry| entry.last_used).collect();
+        let middle = last_uses.len() / 2;
+        let (_, &mut median, _) = last_uses.select_nth_unstable(middle);
+        self.entries.retain(|_, entry| entry.last_used >= median);
     }
 
     /// Pairs of workspace and route that are remembered.
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -11,10 +11,10 @@
 
 /// Virtual time per token of cost at weight one, so that division by a weight
 /// keeps its precision.
-const SCALE: u64 = 1 << 10;
+const VIRTUAL_TIME_SCALE: u64 = 1 << 10;
 /// The most cost that one ticket is charged, so that virtual time cannot overflow.
-const MAX_CHARGE: u64 = 1 << 32;
-const PRIORITIES: usize = 3;
+const MAX_CHARGED_COST: u64 = 1 << 32;
+const PRIORITY_COUNT: usize = 3;
 
 /// The order of tickets within a workspace: first the instant that orders them,
 /// then the order of arrival.
@@ -35,19 +35,19 @@
     workspace: workspace::Id,
     weight: u64,
     /// The virtual start of its next ticket.
-    start: u64,
+    virtual_start: u64,
     waiting: BTreeMap<Rank, Waiting>,
-    costs: [Cost; PRIORITIES],
+    costs: [Cost; PRIORITY_COUNT],
 }
 
 impl Flow {
     fn charge(&self, cost: Cost) -> u64 {
-        cost.0.clamp(1, MAX_CHARGE) * SCALE / self.weight
+        cost.0.clamp(1, MAX_CHARGED_COST) * VIRTUAL_TIME_SCALE / self.weight
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Place {
+struct Position {
     flow: usize,
     rank: Rank,
     latest_start: Instant,
@@ -63,21 +63,21 @@
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     flows: Vec<Flow>,
-    free: Vec<usize>,
-    index: BTreeMap<workspace::Id, usize>,
+    free_flows: Vec<usize>,
+    flow_by_workspace: BTreeMap<workspace::Id, usize>,
     weights: BTreeMap<workspace::Id, u32>,
     /// Workspaces with tickets by virtual start.
     backlogged: BTreeSet<(u64, usize)>,
     /// Workspaces without tickets whose charge lies in the virtual future.
     idle: BTreeSet<(u64, usize)>,
     /// Workspaces with tickets by their number.
-    longest: BTreeSet<(usize, usize)>,
-    places: BTreeMap<request::Attempt, Place>,
+    by_length: BTreeSet<(usize, usize)>,
+    positions: BTreeMap<request::Attempt, Position>,
     expiry: BTreeSet<(Instant, request::Attempt)>,
     virtual_time: u64,
-    arrivals: u64,
+    next_arrival: u64,
     cost: Cost,
-    weight: u64,
+    backlogged_weight: u64,
 }
 
 impl Queue {
@@ -87,7 +87,7 @@
         for flow in 0..self.flows.len() {
             let weight = self.weight_of(&self.flows[flow].workspace);
             if !self.flows[flow].waiting.is_empty() {
-                self.weight = self.weight - self.flows[flow].weight + weight;
+                self.backlogged_weight = self.backlogged_weight - self.flows[flow].weight + weight;
             }
             self.flows[flow].weight = weight;
         }
@@ -95,12 +95,12 @@
 
     /// Tickets that wait.
     pub fn len(&self) -> usize {
-        self.places.len()
+        self.positions.len()
     }
 
     /// Whether no ticket waits.
     pub fn is_empty(&self) -> bool {
-        self.places.is_empty()
+        self.positions.is_empty()
     }
 
     /// The cost of the tickets that wait.
@@ -110,81 +110,84 @@
 
     /// Whether the ticket of `attempt` waits.
     pub fn contains(&self, attempt: request::Attempt) -> bool {
-        self.places.contains_key(&attempt)
+        self.positions.contains_key(&attempt)
     }
 
     /// Tickets of `workspace` that wait.
     pub fn len_of(&self, workspace: &workspace::Id) -> usize {
-        let flow = self.index.get(workspace);
+        let flow = self.flow_by_workspace.get(workspace);
         flow.map_or(0, |&flow| self.flows[flow].waiting.len())
     }
 
     /// The cost of the tickets of `workspace` that wait.
     pub fn cost_of(&self, workspace: &workspace::Id) -> Cost {
-        let flow = self.index.get(workspace);
+        let flow = self.flow_by_workspace.get(workspace);
         flow.map_or(Cost(0), |&flow| {
             self.flows[flow].costs.iter().copied().sum()
         })
     }
 
     /// The cost that is served before a ticket of `workspace` offered now.
-    pub fn ahead(&self, workspace: &workspace::Id, priority: request::Priority) -> Cost {
-        let Some(&flow) = self.index.get(workspace) else {
-            return self.ahead_of(0, self.weight_of(workspace));
+    pub fn cost_ahead(&self, workspace: &workspace::Id, priority: request::Priority) -> Cost {
+        let Some(&flow) = self.flow_by_workspace.get(workspace) else {
+            return self.cost_served_within(0, self.weight_of(workspace));
         };
         let flow = &self.flows[flow];
-        let own: Cost = flow.costs[priority as usize..].iter().copied().sum();
-        let start = flow.start.saturating_sub(self.virtual_time);
+        let own_cost: Cost = flow.costs[priority as usize..].iter().copied().sum();
+        let virtual_start = flow.virtual_start.saturating_sub(self.virtual_time);
         let idle = flow.waiting.is_empty();
-        let joining = if idle { flow.weight } else { 0 };
-        self.ahead_of(start + own.0 * SCALE / flow.weight, joining)
+        let joining_weight = if idle { flow.weight } else { 0 };
+        self.cost_served_within(
+            virtual_start + own_cost.0 * VIRTUAL_TIME_SCALE / flow.weight,
+            joining_weight,
+        )
     }
 
     /// The cost that all workspaces get while virtual time goes on by `virtual_wait`.
-    fn ahead_of(&self, virtual_wait: u64, joining: u64) -> Cost {
-        let weight = u128::from(self.weight + joining);
-        let served = u128::from(virtual_wait) * weight / u128::from(SCALE);
+    fn cost_served_within(&self, virtual_wait: u64, joining_weight: u64) -> Cost {
+        let weight = u128::from(self.backlogged_weight + joining_weight);
+        let served = u128::from(virtual_wait) * weight / u128::from(VIRTUAL_TIME_SCALE);
         // Each workspace that is ahead by a fraction may get one ticket first.
-        let round = self.mean() * self.backlogged.len() as u64;
+        let head_allowance = self.mean_cost() * self.backlogged.len() as u64;
         let served = u64::try_from(served).unwrap_or(u64::MAX);
-        self.cost.min(Cost(served.saturating_add(round)))
+        self.cost.min(Cost(served.saturating_add(head_allowance)))
     }
 
-    fn mean(&self) -> u64 {
-        self.cost.0 / (self.places.len().max(1) as u64)
+    fn mean_cost(&self) -> u64 {
+        self.cost.0 / (self.positions.len().max(1) as u64)
     }
 
     /// Charges a workspace for a ticket that did not wait in this queue.
     pub fn charge(&mut self, workspace: &workspace::Id, cost: Cost) {
         let flow = self.flow(workspace);
         self.unlink(flow);
-        let start = self.flows[flow].start.max(self.virtual_time);
+        let virtual_start = self.flows[flow].virtual_start.max(self.virtual_time);
         if self.is_empty() {
-            self.virtual_time = start;
+            self.virtual_time = virtual_start;
         }
-        self.flows[flow].start = start + self.flows[flow].charge(cost);
+        self.flows[flow].virtual_start = virtual_start + self.flows[flow].charge(cost);
         self.link(flow);
-        self.forget_idle();
+        self.remove_settled();
     }
 
     /// Adds a ticket. A lower priority orders it `step` later for each step.
     pub fn push(&mut self, waiting: Waiting, step: Duration, now: Instant) {
         let flow = self.flow(&waiting.ticket.workspace);
         let ticket = &waiting.ticket;
-        let below = request::Priority::Interactive as u32 - ticket.priority as u32;
-        let rank = (now + step * below, self.arrivals);
-        let place = Place {
+        let priority_steps = request::Priority::Interactive as u32 - ticket.priority as u32;
+        let rank = (now + step * priority_steps, self.next_arrival);
+        let position = Position {
             flow,
             rank,
             latest_start: waiting.latest_start,
         };
-        self.arrivals += 1;
+        self.next_arrival += 1;
         self.unlink(flow);
         self.cost += ticket.cost;
-        self.places.insert(ticket.attempt, place);
-        self.expiry.insert((place.latest_start, ticket.attempt));
-        let start = self.flows[flow].start.max(self.virtual_time);
-        self.flows[flow].start = start;
+        self.positions.insert(ticket.attempt, position);
+        self.expiry.insert((position.latest_start, ticket.attempt));
+        let virtual_start = self.flows[flow].virtual_start.max(self.virtual_time);
+        self.flows[flow].virtual_start = virtual_start;
         self.flows[flow].costs[ticket.priority as usize] += ticket.cost;
         self.flows[flow].waiting.insert(rank, waiting);
         self.link(flow);
@@ -198,21 +201,22 @@
 
     /// Takes a ticket to serve it, and charges its workspace.
     pub fn serve(&mut self, attempt: request::Attempt) -> Option<Waiting> {
-        let flow = self.places.get(&attempt)?.flow;
-        let start = self.flows[flow].start;
-        self.virtual_time = self.virtual_time.max(start);
+        let flow = self.positions.get(&attempt)?.flow;
+        let virtual_start = self.flows[flow].virtual_start;
+        self.virtual_time = self.virtual_time.max(virtual_start);
         let waiting = self.detach(attempt)?;
         self.unlink(flow);
-        self.flows[flow].start = start + self.flows[flow].charge(waiting.ticket.cost);
+        self.flows[flow].virtual_start =
+            virtual_start + self.flows[flow].charge(waiting.ticket.cost);
         self.link(flow);
-        self.forget_idle();
+        self.remove_settled();
         Some(waiting)
     }
 
     /// Takes a ticket out without serving it.
     pub fn remove(&mut self, attempt: request::Attempt) -> Option<Waiting> {
         let waiting = self.detach(attempt)?;
-        self.forget_idle();
+        self.remove_settled();
         Some(waiting)
     }
 
@@ -232,8 +236,8 @@
 
     /// Takes the last ticket of the workspace that has the most, if that is
     /// more than `workspace` would have with one more.
-    pub fn displace(&mut self, workspace: &workspace::Id) -> Option<Waiting> {
-        let &(length, flow) = self.longest.last()?;
+    pub fn pop_from_longest(&mut self, workspace: &workspace::Id) -> Option<Waiting> {
+        let &(length, flow) = self.by_length.last()?;
         if length <= self.len_of(workspace) + 1 {
             return None;
         }
@@ -241,30 +245,30 @@
         self.remove(last.ticket.attempt)
     }
 
-    /// Takes the tickets out for which `misses` holds, given the cost that is
+    /// Takes the tickets out for which `predicate` holds, given the cost that is
     /// served before each.
-    pub fn sweep(&mut self, misses: impl Fn(&Waiting, Cost) -> bool) -> Vec<Waiting> {
-        let mut missed = Vec::new();
-        for &(start, flow) in &self.backlogged {
+    pub fn extract_if(&mut self, predicate: impl Fn(&Waiting, Cost) -> bool) -> Vec<Waiting> {
+        let mut matching = Vec::new();
+        for &(virtual_start, flow) in &self.backlogged {
             let flow = &self.flows[flow];
-            let mut virtual_wait = start.saturating_sub(self.virtual_time);
+            let mut virtual_wait = virtual_start.saturating_sub(self.virtual_time);
             for waiting in flow.waiting.values() {
-                if misses(waiting, self.ahead_of(virtual_wait, 0)) {
-                    missed.push(waiting.ticket.attempt);
+                if predicate(waiting, self.cost_served_within(virtual_wait, 0)) {
+                    matching.push(waiting.ticket.attempt);
                 } else {
                     virtual_wait += flow.charge(waiting.ticket.cost);
                 }
             }
         }
-        let removed = missed.into_iter();
+        let removed = matching.into_iter();
         removed.filter_map(|attempt| self.remove(attempt)).collect()
     }
 
     /// Forgets all charges, when the server is idle and nobody has to wait.
-    pub fn settle(&mut self) {
+    pub fn forget_charges(&mut self) {
         if self.is_empty() {
             self.virtual_time = self.idle.last().map_or(self.virtual_time, |last| last.0);
-            self.forget_idle();
+            self.remove_settled();
         }
     }
 
@@ -275,17 +279,17 @@
     }
 
     fn flow(&mut self, workspace: &workspace::Id) -> usize {
-        if let Some(&flow) = self.index.get(workspace) {
+        if let Some(&flow) = self.flow_by_workspace.get(workspace) {
             return flow;
         }
         let new = Flow {
             workspace: workspace.clone(),
             weight: self.weight_of(workspace),
-            start: self.virtual_time,
+            virtual_start: self.virtual_time,
             waiting: BTreeMap::new(),
-            costs: [Cost(0); PRIORITIES],
+            costs: [Cost(0); PRIORITY_COUNT],
         };
-        let flow = match self.free.pop() {
+        let flow = match self.free_flows.pop() {
             Some(flow) => {
                 self.flows[flow] = new;
                 flow
@@ -295,65 +299,65 @@
                 self.flows.len() - 1
             }
         };
-        self.index.insert(workspace.clone(), flow);
+        self.flow_by_workspace.insert(workspace.clone(), flow);
         flow
     }
 
     fn detach(&mut self, attempt: request::Attempt) -> Option<Waiting> {
-        let place = self.places.remove(&attempt)?;
-        self.expiry.remove(&(place.latest_start, attempt));
-        self.unlink(place.flow);
-        let flow = &mut self.flows[place.flow];
-        let waiting = flow.waiting.remove(&place.rank)?;
+        let position = self.positions.remove(&attempt)?;
+        self.expiry.remove(&(position.latest_start, attempt));
+        self.unlink(position.flow);
+        let flow = &mut self.flows[position.flow];
+        let waiting = flow.waiting.remove(&position.rank)?;
         flow.costs[waiting.ticket.priority as usize] -= waiting.ticket.cost;
         self.cost -= waiting.ticket.cost;
-        self.link(place.flow);
+        self.link(position.flow);
         Some(waiting)
     }
 
     /// Takes a workspace out of the orders before it changes.
     fn unlink(&mut self, flow: usize) {
         let Flow {
-            start,
+            virtual_start,
             waiting,
             weight,
             ..
         } = &self.flows[flow];
         if waiting.is_empty() {
-            self.idle.remove(&(*start, flow));
+            self.idle.remove(&(*virtual_start, flow));
         } else {
-            self.weight -= weight;
-            self.backlogged.remove(&(*start, flow));
-            self.longest.remove(&(waiting.len(), flow));
+            self.backlogged_weight -= weight;
+            self.backlogged.remove(&(*virtual_start, flow));
+            self.by_length.remove(&(waiting.len(), flow));
         }
     }
 
     /// Puts a workspace into the orders after it changed.
     fn link(&mut self, flow: usize) {
         let Flow {
-            start,
+            virtual_start,
             waiting,
             weight,
             ..
         } = &self.flows[flow];
         if waiting.is_empty() {
-            self.idle.insert((*start, flow));
+            self.idle.insert((*virtual_start, flow));
         } else {
-            self.weight += weight;
-            self.backlogged.insert((*start, flow));
-            self.longest.insert((waiting.len(), flow));
+            self.backlogged_weight += weight;
+            self.backlogged.insert((*virtual_start, flow));
+            self.by_length.insert((waiting.len(), flow));
         }
     }
 
     /// Drops idle workspaces that would start at the present virtual time anyway.
-    fn forget_idle(&mut self) {
-        while let Some(&(start, flow)) = self.idle.first() {
-            if start > self.virtual_time {
+    fn remove_settled(&mut self) {
+        while let Some(&(virtual_start, flow)) = self.idle.first() {
+            if virtual_start > self.virtual_time {
                 break;
             }
             self.idle.pop_first();
-            self.index.remove(&self.flows[flow].workspace);
-            self.free.push(flow);
+            self.flow_by_workspace.remove(&self.flows[flow].workspace);
+            self.free_flows.push(flow);
         }
     }
 }
--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -7,19 +7,19 @@
 use crate::{
     Action, Actions, Bound, Decision, Handover, Limit, Offered, Outcome, Phase, Report, Settings,
     Snapshot, State, Ticket,
-    estimate::Pace,
-    lane::Lane,
+    estimate::RunTimeEstimator,
     load::Load,
     queue::{Queue, Waiting},
     share::Shares,
+    suspect_queue::SuspectQueue,
 };
 
+mod capacity;
 mod offer;
-mod room;
 mod running;
 
-use room::{Next, Room};
-use running::{Judgement, Running};
+use capacity::{Capacity, NextQueued};
+use running::{FirstTokenState, Running};
 
 /// Who else may admit requests to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,46 +40,46 @@
     bound: Bound,
     limit: Limit,
     load: Load,
-    pace: Pace,
+    run_times: RunTimeEstimator,
     shares: Shares,
     queue: Queue,
-    lane: Lane,
+    suspects: SuspectQueue,
     running: BTreeMap<request::Attempt, Running>,
     running_cost: Cost,
     /// Running attempts without a first token, by the instant that shows a cold server.
-    silent: BTreeSet<(Instant, request::Attempt)>,
+    inflated_timers: BTreeSet<(Instant, request::Attempt)>,
     /// Those whose first token is not overdue, by the instant at which it will be.
-    pending: BTreeSet<(Instant, request::Attempt)>,
+    slow_timers: BTreeSet<(Instant, request::Attempt)>,
     /// Those whose first token is overdue.
-    overdue: BTreeSet<request::Attempt>,
+    slow_attempts: BTreeSet<request::Attempt>,
     /// When the latest attempt was admitted whose first token came in time.
-    answered: Instant,
+    last_on_time_admission: Instant,
     /// Whether the owner reports first tokens, so that silence means something.
-    hears_first_tokens: bool,
+    observes_first_tokens: bool,
     /// The limit at the last look at the queue.
-    swept_limit: u32,
+    last_seen_limit: u32,
 }
 
 impl Server {
     /// A server without an earlier owner.
     pub fn new(settings: Settings, now: Instant) -> Self {
         Self {
-            pace: Pace::new(settings.run_per_cost),
+            run_times: RunTimeEstimator::new(settings.initial_run_time_per_cost),
             ownership: Ownership::Settled,
             bound: Bound::default(),
             limit: Limit::new(&settings, now),
             load: Load::default(),
             shares: Shares::default(),
             queue: Queue::default(),
-            lane: Lane::default(),
+            suspects: SuspectQueue::default(),
             running: BTreeMap::new(),
             running_cost: Cost(0),
-            silent: BTreeSet::new(),
-            pending: BTreeSet::new(),
-            overdue: BTreeSet::new(),
-            answered: now,
-            hears_first_tokens: false,
-            swept_limit: 0,
+            inflated_timers: BTreeSet::new(),
+            slow_timers: BTreeSet::new(),
+            slow_attempts: BTreeSet::new(),
+            last_on_time_admission: now,
+            observes_first_tokens: false,
+            last_seen_limit: 0,
             settings,
         }
     }
@@ -99,12 +99,12 @@
     }
 
     /// The earlier owner has stopped and tells what it knew.
-    pub fn handed_over(&mut self, handover: Handover, now: Instant) -> Actions {
+    pub fn apply_handover(&mut self, handover: Handover, now: Instant) -> Actions {
         if matches!(self.ownership, Ownership::Takeover(_)) {
             self.ownership = Ownership::Settled;
         }
-        self.limit.adopt(handover.limit, now);
-        self.load.hand_over(handover.in_flight, &self.settings, now);
+        self.limit.inherit(handover.limit, now);
+        self.load.inherit(handover.in_flight, &self.settings, now);
         self.dispatch(now)
     }
 
@@ -121,9 +121,9 @@
         let mut others = self.tick(now);
         let weight = self.queue.weight_of(&ticket.workspace);
         self.shares
-            .seen(&ticket.workspace, weight, &self.settings, now);
-        let decision = match self.check(&ticket, now) {
-            Ok(()) => self.enter(ticket, &mut others, now),
+            .offered(&ticket.workspace, weight, &self.settings, now);
+        let decision = match self.validate(&ticket, now) {
+            Ok(()) => self.admit_or_queue(ticket, &mut others, now),
             Err(refusal) => Decision::Refused(refusal),
         };
         Offered { decision, others }
@@ -131,35 +131,35 @@
 
     /// An admitted attempt ended. Unknown attempts are ignored.
     pub fn finish(&mut self, attempt: request::Attempt, outcome: Outcome, now: Instant) -> Actions {
-        let in_use = self.in_use(now);
+        let is_in_use = self.is_in_use(now);
         if let Outcome::Completed { first_token_at, .. } = outcome {
-            self.judge(attempt, first_token_at, now);
+            self.judge_first_token(attempt, first_token_at, now);
         }
         let Some(running) = self.running.remove(&attempt) else {
             return self.tick(now);
         };
-        self.silent.remove(&(running.silent_at, attempt));
-        self.pending.remove(&(running.doubtful_at, attempt));
-        self.overdue.remove(&attempt);
+        self.inflated_timers.remove(&(running.inflated_at, attempt));
+        self.slow_timers.remove(&(running.slow_at, attempt));
+        self.slow_attempts.remove(&attempt);
         self.running_cost -= running.cost;
         let weight = self.queue.weight_of(&running.workspace);
         self.shares
-            .ended(&running.workspace, weight, &self.settings, now);
+            .finished(&running.workspace, weight, &self.settings, now);
         self.load.remove(now);
-        self.lane.finished(attempt);
+        self.suspects.finished(attempt);
         match outcome {
             Outcome::Completed {
                 first_token_at,
                 ended_at,
             } => {
-                let taken = ended_at.since(running.admitted_at);
-                if running.judgement == Judgement::Whole {
-                    self.completed_whole(&running, taken, in_use, now);
+                let run_time = ended_at.since(running.admitted_at);
+                if running.first_token_state == FirstTokenState::NonStreaming {
+                    self.finish_non_streaming(&running, run_time, is_in_use, now);
                 } else {
                     let token = running.first_token(first_token_at);
-                    self.limit.completed(token, in_use, &self.settings, now);
+                    self.limit.completed(token, is_in_use, &self.settings, now);
                 }
-                self.pace.learn(running.cost, taken);
+                self.run_times.record(running.cost, run_time);
             }
             Outcome::Failed => self.limit.failed(now),
             Outcome::Cancelled => {}
@@ -173,17 +173,17 @@
             return self.finish(attempt, Outcome::Cancelled, now);
         }
         self.queue.remove(attempt);
-        self.lane.remove(attempt);
+        self.suspects.remove(attempt);
         self.tick(now)
     }
 
     /// Takes in a load report.
     pub fn report(&mut self, report: Report, now: Instant) -> Actions {
         let restarted = self.limit.report(&report, now);
-        let inherits = matches!(self.ownership, Ownership::Takeover(_));
-        self.load.report(&report, inherits, &self.settings, now);
+        let is_takeover = matches!(self.ownership, Ownership::Takeover(_));
+        self.load.report(&report, is_takeover, &self.settings, now);
         if !restarted && report.waiting == 0 {
-            self.limit.carry(self.load.foreign(now));
+            self.limit.raise_above_foreign(self.load.foreign(now));
         }
         self.tick(now)
     }
@@ -203,11 +203,17 @@
     pub fn stop(&mut self) -> Actions {
         self.ownership = Ownership::Stopped;
         let mut actions = Actions::new();
-        while let Some(waiting) = self.lane.remove_first() {
-            actions.push(Action::Refuse(waiting.ticket.attempt, offer::moved()));
+        while let Some(waiting) = self.suspects.pop_unstarted() {
+            actions.push(Action::Refuse(
+                waiting.ticket.attempt,
+                offer::moved_refusal(),
+            ));
         }
-        for waiting in self.queue.sweep(|_, _| true) {
-            actions.push(Action::Refuse(waiting.ticket.attempt, offer::moved()));
+        for waiting in self.queue.extract_if(|_, _| true) {
+            actions.push(Action::Refuse(
+                waiting.ticket.attempt,
+                offer::moved_refusal(),
+            ));
         }
         actions
     }
@@ -229,28 +235,33 @@
         {
             self.ownership = Ownership::Settled;
         }
-        self.listen(now);
+        self.check_first_tokens(now);
         self.load.expire(now);
         self.shares.expire(now);
-        self.limit.age(&self.settings, now);
-        let mut actions = self.expire(now);
-        actions.extend(self.sweep(now));
+        self.limit.decay(&self.settings, now);
+        let mut actions = self.refuse_expired(now);
+        actions.extend(self.refuse_unreachable(now));
         actions.extend(self.dispatch(now));
         actions
     }
 
     /// When [`Self::tick`] has something to do, at the latest.
     pub fn next_tick(&self) -> Option<Instant> {
-        let silence = [self.silent.first(), self.pending.first()];
-        let silence = silence.into_iter().flatten().map(|&(instant, _)| instant);
-        let silence = silence.min().filter(|_| self.hears_first_tokens);
+        let first_token_timers = [self.inflated_timers.first(), self.slow_timers.first()];
+        let first_token_timers = first_token_timers
+            .into_iter()
+            .flatten()
+            .map(|&(instant, _)| instant);
+        let first_token_timers = first_token_timers
+            .min()
+            .filter(|_| self.observes_first_tokens);
         let takeover = match self.ownership {
             Ownership::Takeover(until) => Some(until),
             Ownership::Settled | Ownership::Stopped => None,
         };
-        let waits = [self.queue.next_expiry(), self.lane.next_expiry()];
-        let others = [silence, takeover, self.load.expires_at()];
-        let instants = waits.into_iter().chain(others);
+        let queue_timers = [self.queue.next_expiry(), self.suspects.next_expiry()];
+        let others = [first_token_timers, takeover, self.load.expires_at()];
+        let instants = queue_timers.into_iter().chain(others);
         instants.flatten().min()
     }
 
@@ -263,7 +274,7 @@
             (Ownership::Settled, Phase::Cold) => State::Cold,
             (Ownership::Settled, Phase::Warm) => State::Warm,
         };
-        let queued = self.queue.len() + self.lane.len();
+        let queued = self.queue.len() + self.suspects.len();
         Snapshot {
             state,
             in_flight: self.load.own(),
@@ -271,14 +282,14 @@
             foreign: self.load.foreign(now),
             limit: self.allowed(now),
             queued: u32::try_from(queued).unwrap_or(u32::MAX),
-            queued_cost: self.queue.cost() + self.lane.cost(),
+            queued_cost: self.queue.cost() + self.suspects.cost(),
         }
     }
 
     /// Admits what has room, in fair order.
     fn dispatch(&mut self, now: Instant) -> Actions {
         let mut actions = Actions::new();
-        while let Some(ticket) = self.next_in_lane(now).or_else(|| self.next_in_queue(now)) {
+        while let Some(ticket) = self.next_suspect(now).or_else(|| self.next_regular(now)) {
             self.admit(&ticket, now);
             actions.push(Action::Admit(ticket.attempt));
         }
@@ -286,34 +297,34 @@
     }
 
     /// Takes the next suspect ticket, if it may run now.
-    fn next_in_lane(&mut self, now: Instant) -> Option<Ticket> {
-        let next = self.lane.first(!self.queue.is_empty())?;
-        if self.room(&next.ticket, now) != Room::Free {
+    fn next_suspect(&mut self, now: Instant) -> Option<Ticket> {
+        let next = self.suspects.next_runnable(!self.queue.is_empty())?;
+        if self.capacity(&next.ticket, now) != Capacity::Available {
             return None;
         }
-        let next = self.lane.pop()?.ticket;
+        let next = self.suspects.start_next()?.ticket;
         self.queue.charge(&next.workspace, next.cost);
         Some(next)
     }
 
     /// Takes the next ticket of the queue, if it may run now.
-    fn next_in_queue(&mut self, now: Instant) -> Option<Ticket> {
-        let Next::Ready(attempt) = self.next(now) else {
+    fn next_regular(&mut self, now: Instant) -> Option<Ticket> {
+        let NextQueued::Ready(attempt) = self.next_queued(now) else {
             return None;
         };
-        self.lane.passed();
+        self.suspects.regular_admitted();
         self.queue.serve(attempt).map(|waiting| waiting.ticket)
     }
 
     /// Refuses the tickets whose latest start has passed.
-    fn expire(&mut self, now: Instant) -> Actions {
+    fn refuse_expired(&mut self, now: Instant) -> Actions {
         let mut actions = Actions::new();
-        while let Some(waiting) = self.lane.pop_expired(now) {
-            let refusal = self.late(&waiting, now);
+        while let Some(waiting) = self.suspects.pop_expired(now) {
+            let refusal = self.missed_start_refusal(&waiting, now);
             actions.push(Action::Refuse(waiting.ticket.attempt, refusal));
         }
         while let Some(waiting) = self.queue.pop_expired(now) {
-            let refusal = self.late(&waiting, now);
+            let refusal = self.missed_start_refusal(&waiting, now);
             actions.push(Action::Refuse(waiting.ticket.attempt, refusal));
         }
         actions
@@ -323,23 +334,23 @@
     ///
     /// They would otherwise wait until their latest start for an answer that is
     /// certain now, and their callers would lose the time to try elsewhere.
-    fn sweep(&mut self, now: Instant) -> Actions {
+    fn refuse_unreachable(&mut self, now: Instant) -> Actions {
         let limit = self.allowed(now);
-        let fell = limit < self.swept_limit;
-        self.swept_limit = limit;
-        if !fell || self.queue.is_empty() {
+        let decreased = limit < self.last_seen_limit;
+        self.last_seen_limit = limit;
+        if !decreased || self.queue.is_empty() {
             return Actions::new();
         }
-        let base = self.starts_at(Cost(0), now);
+        let earliest_start = self.estimated_start(Cost(0), now);
         let slots = self.slots(now);
-        let pace = &self.pace;
-        let missed = self
-            .queue
-            .sweep(|waiting, ahead| base + pace.wait(ahead, slots) > waiting.latest_start);
+        let run_times = &self.run_times;
+        let unreachable = self.queue.extract_if(|waiting, ahead| {
+            earliest_start + run_times.drain_time(ahead, slots) > waiting.latest_start
+        });
         let refuse = |waiting: Waiting| {
-            let refusal = self.late(&waiting, now);
+            let refusal = self.missed_start_refusal(&waiting, now);
             Action::Refuse(waiting.ticket.attempt, refusal)
         };
-        missed.into_iter().map(refuse).collect()
+        unreachable.into_iter().map(refuse).collect()
     }
 }
--- a/crates/admission/src/server/running.rs
+++ b/crates/admission/src/server/running.rs
@@ -9,13 +9,13 @@
 
 /// What is known of an attempt's first token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Judgement {
+pub(super) enum FirstTokenState {
     /// It has not arrived and is not late enough to tell.
     Pending,
     /// It, or the lack of it, has been judged.
-    Done,
+    Judged,
     /// It comes with the last one, since the answer is in one piece.
-    Whole,
+    NonStreaming,
 }
 
 /// An attempt that was admitted.
@@ -27,10 +27,10 @@
     /// When its first token is due.
     pub due: Instant,
     /// When its silence makes the server doubtful.
-    pub doubtful_at: Instant,
+    pub slow_at: Instant,
     /// When its silence shows a cold server.
-    pub silent_at: Instant,
-    pub judgement: Judgement,
+    pub inflated_at: Instant,
+    pub first_token_state: FirstTokenState,
 }
 
 impl Running {
@@ -49,8 +49,8 @@
     /// Owners that call this learn of a cold server from the silence of requests
     /// in flight, long before any of them ends.
     pub fn first_token(&mut self, attempt: request::Attempt, now: Instant) -> Actions {
-        self.hears_first_tokens = true;
-        self.judge(attempt, now, now);
+        self.observes_first_tokens = true;
+        self.judge_first_token(attempt, now, now);
         self.tick(now)
     }
 
@@ -59,92 +59,100 @@
     /// Its first byte arrives with the last token, so that a healthy server
     /// would be taken for a cold one. Such an attempt is judged by the time
     /// that it runs, against what others of its cost took.
-    pub fn answers_whole(&mut self, attempt: request::Attempt) {
+    pub fn mark_non_streaming(&mut self, attempt: request::Attempt) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
         };
-        running.judgement = Judgement::Whole;
-        self.silent.remove(&(running.silent_at, attempt));
-        self.pending.remove(&(running.doubtful_at, attempt));
-        self.overdue.remove(&attempt);
+        running.first_token_state = FirstTokenState::NonStreaming;
+        self.inflated_timers.remove(&(running.inflated_at, attempt));
+        self.slow_timers.remove(&(running.slow_at, attempt));
+        self.slow_attempts.remove(&attempt);
     }
 
     pub(super) fn admit(&mut self, ticket: &Ticket, now: Instant) {
-        let per_cost = self.settings.first_token_per_cost.as_micros() as u64;
+        let per_cost = self.settings.first_token_target_per_cost.as_micros() as u64;
         let micros = per_cost.saturating_mul(ticket.cost.0);
-        let target = self.settings.first_token + Duration::from_micros(micros);
+        let target = self.settings.first_token_target + Duration::from_micros(micros);
         let weight = self.queue.weight_of(&ticket.workspace);
         self.shares
-            .began(&ticket.workspace, weight, &self.settings, now);
+            .admitted(&ticket.workspace, weight, &self.settings, now);
         let running = Running {
             workspace: ticket.workspace.clone(),
             cost: ticket.cost,
             admitted_at: now,
             due: now + target,
-            doubtful_at: now + self.limit.doubtful_after(target, &self.settings),
-            silent_at: now + target.saturating_mul(self.settings.inflation),
-            judgement: Judgement::Pending,
+            slow_at: now + self.limit.slow_after(target, &self.settings),
+            inflated_at: now + target.saturating_mul(self.settings.inflation_factor),
+            first_token_state: FirstTokenState::Pending,
         };
-        self.silent.insert((running.silent_at, ticket.attempt));
-        self.pending.insert((running.doubtful_at, ticket.attempt));
+        self.inflated_timers
+            .insert((running.inflated_at, ticket.attempt));
+        self.slow_timers.insert((running.slow_at, ticket.attempt));
         self.running.insert(ticket.attempt, running);
         self.running_cost += ticket.cost;
         self.load.add(now);
     }
 
     /// Looks for requests whose first token is so late that the server is cold.
-    pub(super) fn listen(&mut self, now: Instant) {
-        while self.hears_first_tokens
-            && let Some(&(doubtful_at, attempt)) = self.pending.first()
-            && doubtful_at <= now
+    pub(super) fn check_first_tokens(&mut self, now: Instant) {
+        while self.observes_first_tokens
+            && let Some(&(slow_at, attempt)) = self.slow_timers.first()
+            && slow_at <= now
         {
-            self.pending.pop_first();
-            self.overdue.insert(attempt);
+            self.slow_timers.pop_first();
+            self.slow_attempts.insert(attempt);
         }
-        while self.hears_first_tokens
-            && let Some(&(silent_at, attempt)) = self.silent.first()
-            && silent_at <= now
+        while self.observes_first_tokens
+            && let Some(&(inflated_at, attempt)) = self.inflated_timers.first()
+            && inflated_at <= now
         {
-            self.judge(attempt, now, now);
+            self.judge_first_token(attempt, now, now);
         }
     }
 
     /// Judges an answer that came in one piece by the time that it took.
-    pub(super) fn completed_whole(
+    pub(super) fn finish_non_streaming(
         &mut self,
         running: &Running,
-        taken: Duration,
-        in_use: bool,
+        run_time: Duration,
+        is_in_use: bool,
         now: Instant,
     ) {
-        let expected = self.pace.run(running.cost);
-        let slow = expected.saturating_mul(self.settings.inflation);
-        if self.pace.is_known() && taken > slow {
+        let expected = self.run_times.run_time(running.cost);
+        let slow_run_time = expected.saturating_mul(self.settings.inflation_factor);
+        if self.run_times.has_samples() && run_time > slow_run_time {
             self.limit.failed(now);
             return;
         }
         // In time: it counts like a request whose first token came easily.
         let token = running.first_token(running.admitted_at);
-        self.limit.completed(token, in_use, &self.settings, now);
+        self.limit.completed(token, is_in_use, &self.settings, now);
     }
 
     /// Judges the first token of an attempt once.
     ///
     /// One that a later attempt has overtaken in time says nothing about the
     /// server: its connection may have gone silent.
-    pub(super) fn judge(&mut self, attempt: request::Attempt, arrived_at: Instant, now: Instant) {
+    pub(super) fn judge_first_token(
+        &mut self,
+        attempt: request::Attempt,
+        arrived_at: Instant,
+        now: Instant,
+    ) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
         };
-        self.silent.remove(&(running.silent_at, attempt));
-        self.pending.remove(&(running.doubtful_at, attempt));
-        self.overdue.remove(&attempt);
-        if running.judgement != Judgement::Pending || running.admitted_at < self.answered {
+        self.inflated_timers.remove(&(running.inflated_at, attempt));
+        self.slow_timers.remove(&(running.slow_at, attempt));
+        self.slow_attempts.remove(&attempt);
+        if running.first_token_state != FirstTokenState::Pending
+            || running.admitted_at < self.last_on_time_admission
+        {
             return;
         }
-        running.judgement = Judgement::Done;
+        running.first_token_state = FirstTokenState::Judged;
         if arrived_at <= running.due {
-            self.answered = running.admitted_at;
+            self.last_on_time_admission = running.admitted_at;
         }
         let token = running.first_token(arrived_at);
         self.limit.first_token(token, &self.settings, now);
--- a/crates/admission/src/share.rs
+++ b/crates/admission/src/share.rs
@@ -8,10 +8,10 @@
 
 /// The multiple of its share that a workspace may run on average before it
 /// leaves slots free.
-const EXCESS: f64 = 1.5;
+const OVER_SHARE_FACTOR: f64 = 1.5;
 
 #[derive(Clone, Copy, Debug)]
-struct Tenant {
+struct Usage {
     in_flight: u32,
     /// Requests in flight, averaged up to `averaged_at`.
     average: f64,
@@ -20,12 +20,12 @@
     active_until: Instant,
 }
 
-impl Tenant {
+impl Usage {
     fn average(&self, settings: &Settings, now: Instant) -> f64 {
-        let age = now.since(self.averaged_at).as_secs_f64();
-        let weight = (-age / settings.usage_time.as_secs_f64()).exp();
+        let elapsed = now.since(self.averaged_at).as_secs_f64();
+        let decay = (-elapsed / settings.usage_window.as_secs_f64()).exp();
         let in_flight = f64::from(self.in_flight);
-        in_flight + (self.average - in_flight) * weight
+        in_flight + (self.average - in_flight) * decay
     }
 }
 
@@ -39,15 +39,15 @@
 /// clusters too.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
-    tenants: BTreeMap<workspace::Id, Tenant>,
+    usages: BTreeMap<workspace::Id, Usage>,
     /// Workspaces without a running request by the end of their activity.
-    leaving: BTreeSet<(Instant, workspace::Id)>,
-    weight: u64,
+    idle_by_expiry: BTreeSet<(Instant, workspace::Id)>,
+    total_weight: u64,
 }
 
 impl Shares {
     /// A request of `workspace` was offered.
-    pub fn seen(
+    pub fn offered(
         &mut self,
         workspace: &workspace::Id,
         weight: u64,
@@ -58,60 +58,65 @@
     }
 
     /// A request of `workspace` was admitted.
-    pub fn began(
+    pub fn admitted(
         &mut self,
         workspace: &workspace::Id,
         weight: u64,
         settings: &Settings,
         now: Instant,
     ) {
-        self.update(workspace, weight, settings, now, |tenant| {
-            tenant.in_flight += 1
+        self.update(workspace, weight, settings, now, |usage| {
+            usage.in_flight += 1
         });
     }
 
     /// A request of `workspace` ended.
-    pub fn ended(
+    pub fn finished(
         &mut self,
         workspace: &workspace::Id,
         weight: u64,
         settings: &Settings,
         now: Instant,
     ) {
-        self.update(workspace, weight, settings, now, |tenant| {
-            tenant.in_flight = tenant.in_flight.saturating_sub(1);
+        self.update(workspace, weight, settings, now, |usage| {
+            usage.in_flight = usage.in_flight.saturating_sub(1);
         });
     }
 
-    /// Whether `workspace` runs `EXCESS` times its share of `limit` or more on
+    /// Whether `workspace` runs `OVER_SHARE_FACTOR` times its share of `limit` or more on
     /// average, while others are active.
-    pub fn is_over(
+    pub fn is_over_share(
         &self,
         workspace: &workspace::Id,
         limit: u32,
         settings: &Settings,
         now: Instant,
     ) -> bool {
-        let Some(tenant) = self.tenants.get(workspace) else {
+        let Some(usage) = self.usages.get(workspace) else {
             return false;
         };
-        let share = f64::from(limit) * tenant.weight as f64 / self.weight as f64;
-        tenant.weight < self.weight && tenant.average(settings, now) >= share * EXCESS
+        let share = f64::from(limit) * usage.weight as f64 / self.total_weight as f64;
+        usage.weight < self.total_weight
+            && usage.average(settings, now) >= share * OVER_SHARE_FACTOR
     }
 
     /// Requests of `workspace` that run.
     pub fn in_flight(&self, workspace: &workspace::Id) -> u32 {
-        let tenant = self.tenants.get(workspace);
-        tenant.map_or(0, |tenant| tenant.in_flight)
+        let usage = self.usages.get(workspace);
+        usage.map_or(0, |usage| usage.in_flight)
     }
 
     /// Forgets workspaces whose activity has ended.
     pub fn expire(&mut self, now: Instant) {
-        while self.leaving.first().is_some_and(|(until, _)| *until <= now) {
-            if let Some((_, workspace)) = self.leaving.pop_first()
-                && let Some(tenant) = self.tenants.remove(&workspace)
+        while self
+            .idle_by_expiry
+            .first()
+            .is_some_and(|(until, _)| *until <= now)
+        {
+            if let Some((_, workspace)) = self.idle_by_expiry.pop_first()
+                && let Some(usage) = self.usages.remove(&workspace)
             {
-                self.weight -= tenant.weight;
+                self.total_weight -= usage.weight;
             }
         }
     }
@@ -122,26 +127,26 @@
         weight: u64,
         settings: &Settings,
         now: Instant,
-        change: impl FnOnce(&mut Tenant),
+        change: impl FnOnce(&mut Usage),
     ) {
-        let tenant = self.tenants.entry(workspace.clone()).or_insert(Tenant {
+        let usage = self.usages.entry(workspace.clone()).or_insert(Usage {
             in_flight: 0,
             average: 0.0,
             averaged_at: now,
             weight: 0,
             active_until: now,
         });
-        self.leaving
-            .remove(&(tenant.active_until, workspace.clone()));
-        self.weight = self.weight - tenant.weight + weight;
-        tenant.weight = weight;
-        tenant.active_until = now + settings.activity;
-        tenant.average = tenant.average(settings, now);
-        tenant.averaged_at = now;
-        change(tenant);
-        if tenant.in_flight == 0 {
-            self.leaving
-                .insert((tenant.active_until, workspace.clone()));
+        self.idle_by_expiry
+            .remove(&(usage.active_until, workspace.clone()));
+        self.total_weight = self.total_weight - usage.weight + weight;
+        usage.weight = weight;
+        usage.active_until = now + settings.activity_timeout;
+        usage.average = usage.average(settings, now);
+        usage.averaged_at = now;
+        change(usage);
+        if usage.in_flight == 0 {
+            self.idle_by_expiry
+                .insert((usage.active_until, workspace.clone()));
         }
     }
 }
--- a/crates/admission/src/lane.rs
+++ b/crates/admission/src/suspect_queue.rs
@@ -14,14 +14,14 @@
 /// innocent one would be refused for good. Run one at a time, an innocent
 /// request finishes, and only the guilty one dies again.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct Lane {
+pub(crate) struct SuspectQueue {
     waiting: VecDeque<Waiting>,
     running: Option<request::Attempt>,
     /// Whether the last admission came from the lane while others waited.
-    yielding: bool,
+    yields_next: bool,
 }
 
-impl Lane {
+impl SuspectQueue {
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -42,15 +42,15 @@
 
     /// The ticket that may run now. The lane lets one of the queue pass after
     /// each of its own, so that a server with a limit of one serves both.
-    pub fn first(&self, queue_waits: bool) -> Option<&Waiting> {
-        if self.running.is_some() || (self.yielding && queue_waits) {
+    pub fn next_runnable(&self, regular_waiting: bool) -> Option<&Waiting> {
+        if self.running.is_some() || (self.yields_next && regular_waiting) {
             return None;
         }
         self.waiting.front()
     }
 
     /// Whether a ticket that does not wait overtakes none that may run.
-    pub fn would_pass(&self, standing: Standing) -> bool {
+    pub fn may_bypass(&self, standing: Standing) -> bool {
         match standing {
             Standing::Suspect => self.running.is_none() && self.waiting.is_empty(),
             Standing::Clear => self.running.is_some() || self.waiting.is_empty(),
@@ -58,27 +58,27 @@
     }
 
     /// Takes the ticket that may run now.
-    pub fn pop(&mut self) -> Option<Waiting> {
+    pub fn start_next(&mut self) -> Option<Waiting> {
         let waiting = self.waiting.pop_front()?;
         self.running = Some(waiting.ticket.attempt);
-        self.yielding = true;
+        self.yields_next = true;
         Some(waiting)
     }
 
     /// A suspect ticket was admitted without waiting.
-    pub fn run(&mut self, attempt: request::Attempt) {
+    pub fn start(&mut self, attempt: request::Attempt) {
         self.running = Some(attempt);
-        self.yielding = true;
+        self.yields_next = true;
     }
 
     /// Takes the first ticket out without running it.
-    pub fn remove_first(&mut self) -> Option<Waiting> {
+    pub fn pop_unstarted(&mut self) -> Option<Waiting> {
         self.waiting.pop_front()
     }
 
     /// Another ticket was admitted.
-    pub fn passed(&mut self) {
-        self.yielding = false;
+    pub fn regular_admitted(&mut self) {
+        self.yields_next = false;
     }
 
     pub fn finished(&mut self, attempt: request::Attempt) {
--- a/crates/admission/tests/failures/cold.rs
+++ b/crates/admission/tests/failures/cold.rs
@@ -4,7 +4,7 @@
 use units::time::Instant;
 use yare::parameterized;
 
-use crate::{engine::Kind, sim::Sim};
+use crate::{engine::Profile, sim::Sim};
 
 /// What befalls the engine.
 enum Fault {
@@ -24,24 +24,24 @@
     long_turns_cold = { 2.0, (200, 3000), Fault::TurnsCold, 9 },
     long_restarts = { 2.0, (200, 3000), Fault::Restarts, 0 },
 )]
-fn a_cold_engine_gets_no_more_than_it_bears(
+fn a_cold_engine_is_not_overloaded_once_detected(
     rate: f64,
     costs: (u64, u64),
     fault: Fault,
-    before: u64,
+    max_early_overload: u64,
 ) {
     for seed in 0..10 {
         let server = Server::new(Settings::default(), Instant::ZERO);
-        let mut sim = Sim::new(server, Kind::default());
+        let mut sim = Sim::new(server, Profile::default());
         for workspace in 0..4 {
             let name = format!("w{workspace}");
-            sim.arrivals(&name, rate, (0, 300), costs, seed * 10 + workspace);
+            sim.schedule_arrivals(&name, rate, (0, 300), costs, seed * 10 + workspace);
         }
-        sim.reports(300);
+        sim.schedule_reports(300);
         sim.run(100);
         assert!(sim.server.snapshot(sim.now).limit >= 16, "did not warm up");
         assert_eq!(
-            sim.seen.overload,
+            sim.stats.overload,
             (0, 0),
             "seed {seed}: overloaded at the start"
         );
@@ -50,12 +50,15 @@
             Fault::Restarts => sim.restart(100),
         }
         sim.run(300);
-        let (early, after) = sim.seen.overload;
-        println!("overload before={early} after={after}");
-        assert_eq!(after, 0, "seed {seed}: overloaded though known to be cold");
+        let (early_overload, late_overload) = sim.stats.overload;
+        println!("overload before={early_overload} after={late_overload}");
+        assert_eq!(
+            late_overload, 0,
+            "seed {seed}: overloaded though known to be cold"
+        );
         assert!(
-            early <= before,
-            "seed {seed}: {early} before it was known to be cold"
+            early_overload <= max_early_overload,
+            "seed {seed}: {early_overload} before it was known to be cold"
         );
         assert!(sim.server.snapshot(sim.now).limit >= 16, "did not recover");
     }
--- a/crates/admission/tests/failures/day.rs
+++ b/crates/admission/tests/failures/day.rs
@@ -5,48 +5,48 @@
 use admission::{Server, Settings};
 use units::time::Instant;
 
-use crate::{engine::Kind, sim::Sim};
+use crate::{engine::Profile, sim::Sim};
 
 const GOLDEN: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden/day.txt");
 /// Rewrites the golden file:
 /// `WEIR_GOLDEN=write cargo test -p admission --test failures day`.
 const REWRITE: &str = "WEIR_GOLDEN";
 
-fn line(sim: &Sim) -> String {
+fn summary_line(sim: &Sim) -> String {
     let snapshot = sim.server.snapshot(sim.now);
-    let refused: u64 = sim.seen.refused.values().sum();
+    let refused: u64 = sim.stats.refused.values().sum();
     format!(
         "second={} state={:?} limit={} bears={} in_flight={} queued={} completed={} refused={refused}\n",
         sim.now.as_micros() / 1_000_000,
         snapshot.state,
         snapshot.limit,
-        sim.engine.bears(sim.now),
+        sim.engine.capacity(sim.now),
         snapshot.in_flight,
         snapshot.queued,
-        sim.seen.completed,
+        sim.stats.completed,
     )
 }
 
 /// Starts cold, warms up, sees a surge, restarts without a warning, is drained.
-fn day() -> String {
+fn simulate_day() -> String {
     let mut sim = Sim::new(
         Server::new(Settings::default(), Instant::ZERO),
-        Kind::default(),
+        Profile::default(),
     );
     for workspace in 0..4 {
         let name = format!("w{workspace}");
-        sim.arrivals(&name, 1.2, (0, 360), (200, 3000), workspace);
+        sim.schedule_arrivals(&name, 1.2, (0, 360), (200, 3000), workspace);
     }
-    sim.arrivals("surge", 8.0, (120, 180), (200, 3000), 9);
+    sim.schedule_arrivals("surge", 8.0, (120, 180), (200, 3000), 9);
     sim.restart(240);
-    sim.reports(360);
+    sim.schedule_reports(360);
     let mut text = String::new();
     for second in (5..=360).step_by(5) {
         sim.run(second);
         if second == 340 {
             sim.drain();
         }
-        text += &line(&sim);
+        text += &summary_line(&sim);
     }
     text
 }
@@ -55,14 +55,14 @@
 // Whatever changes in how its limit moves and its queue empties is seen here,
 // before users see it as refusals.
 #[test]
-fn a_day_of_one_engine() {
-    let day = day();
+fn a_simulated_day_matches_the_golden_file() {
+    let actual_day = simulate_day();
     if env::var(REWRITE).is_ok_and(|value| value == "write") {
-        fs::write(GOLDEN, &day).expect("the golden file can be written");
+        fs::write(GOLDEN, &actual_day).expect("the golden file can be written");
     }
     let golden = fs::read_to_string(Path::new(GOLDEN)).expect("the golden file is there");
-    for (actual, expected) in day.lines().zip(golden.lines()) {
+    for (actual, expected) in actual_day.lines().zip(golden.lines()) {
         assert_eq!(actual, expected);
     }
-    assert_eq!(day.len(), golden.len());
+    assert_eq!(actual_day.len(), golden.len());
 }
--- a/crates/admission/tests/failures/engine.rs
+++ b/crates/admission/tests/failures/engine.rs
@@ -9,9 +9,9 @@
 
 /// What an engine is like.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct Profile {
     /// What it bears right after a start, in requests, and when it is warm.
-    pub bears: (u32, u32),
+    pub capacity: (u32, u32),
     /// How many times slower it is right after a start.
     pub slowdown: f64,
     pub warm_up: Duration,
@@ -23,10 +23,10 @@
     pub noise: f64,
 }
 
-impl Default for Kind {
+impl Default for Profile {
     fn default() -> Self {
         Self {
-            bears: (2, 32),
+            capacity: (2, 32),
             slowdown: 8.0,
             warm_up: Duration::from_secs(20),
             prefill: Duration::from_micros(100),
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Engine {
-    kind: Kind,
+    profile: Profile,
     boot: u64,
     seq: u64,
     started_at: Instant,
@@ -48,9 +48,9 @@
 }
 
 impl Engine {
-    pub fn new(kind: Kind, now: Instant) -> Self {
+    pub fn new(profile: Profile, now: Instant) -> Self {
         Self {
-            kind,
+            profile,
             boot: 1,
             seq: 0,
             started_at: now,
@@ -61,35 +61,35 @@
 
     fn noise(&mut self) -> f64 {
         let sum: f64 = (0..12).map(|_| self.rng.random::<f64>()).sum();
-        (self.kind.noise * (sum - 6.0)).exp()
+        (self.profile.noise * (sum - 6.0)).exp()
     }
 
     /// From zero right after a start to one.
-    pub fn warmth(&self, now: Instant) -> f64 {
+    pub fn warm_fraction(&self, now: Instant) -> f64 {
         let age = now.since(self.started_at).as_secs_f64();
-        (age / self.kind.warm_up.as_secs_f64()).min(1.0)
+        (age / self.profile.warm_up.as_secs_f64()).min(1.0)
     }
 
-    pub fn bears(&self, now: Instant) -> u32 {
-        let (cold, warm) = self.kind.bears;
-        cold + (f64::from(warm - cold) * self.warmth(now).powi(2)) as u32
+    pub fn capacity(&self, now: Instant) -> u32 {
+        let (cold, warm) = self.profile.capacity;
+        cold + (f64::from(warm - cold) * self.warm_fraction(now).powi(2)) as u32
     }
 
     /// Begins a request. Returns when its first and its last token are out.
-    pub fn begin(&mut self, cost: Cost, now: Instant) -> (Instant, Instant) {
+    pub fn start(&mut self, cost: Cost, now: Instant) -> (Instant, Instant) {
         self.running += 1;
-        let slowdown = 1.0 + (self.kind.slowdown - 1.0) * (1.0 - self.warmth(now));
-        let load = f64::from(self.running) / f64::from(self.bears(now));
-        let crowd = if load > 1.0 {
+        let slowdown = 1.0 + (self.profile.slowdown - 1.0) * (1.0 - self.warm_fraction(now));
+        let load = f64::from(self.running) / f64::from(self.capacity(now));
+        let contention = if load > 1.0 {
             load.min(3.0).powi(2)
         } else {
             1.0 + load / 4.0
         };
-        let output = cost.0 / self.kind.output_share;
-        let prefill = self.kind.prefill * (cost.0 - output) as u32;
-        let first = now + prefill.mul_f64(slowdown * crowd * self.noise());
-        let decode = self.kind.decode * output as u32;
-        (first, first + decode.mul_f64(slowdown.sqrt() * crowd))
+        let output = cost.0 / self.profile.output_share;
+        let prefill = self.profile.prefill * (cost.0 - output) as u32;
+        let first = now + prefill.mul_f64(slowdown * contention * self.noise());
+        let decode = self.profile.decode * output as u32;
+        (first, first + decode.mul_f64(slowdown.sqrt() * contention))
     }
 
     /// Turns cold; what it runs goes on.
--- a/crates/admission/tests/failures/fairness.rs
+++ b/crates/admission/tests/failures/fairness.rs
@@ -10,7 +10,7 @@
 };
 
 use crate::{
-    engine::Kind,
+    engine::Profile,
     sim::{self, Sim},
 };
 
@@ -18,34 +18,34 @@
 
 /// The queue times in milliseconds of the workspaces that do not surge, and how
 /// many of their requests were refused.
-fn quiet(surge: f64, seed: u64) -> (Vec<u64>, u64) {
+fn quiet_workspaces(surge: f64, seed: u64) -> (Vec<u64>, u64) {
     let settings = Settings {
         max_concurrency: 16,
         ..Settings::default()
     };
-    let mut sim = Sim::new(Server::new(settings, Instant::ZERO), Kind::default());
+    let mut sim = Sim::new(Server::new(settings, Instant::ZERO), Profile::default());
     for workspace in 0..8 {
         let name = format!("quiet{workspace}");
-        sim.arrivals(&name, 0.3, (60, 360), (200, 3000), seed * 100 + workspace);
+        sim.schedule_arrivals(&name, 0.3, (60, 360), (200, 3000), seed * 100 + workspace);
     }
-    sim.arrivals("warm-up", 6.0, (0, 60), (200, 3000), seed * 100 + 50);
-    sim.arrivals(
+    sim.schedule_arrivals("warm-up", 6.0, (0, 60), (200, 3000), seed * 100 + 50);
+    sim.schedule_arrivals(
         "surge",
         0.6 * surge,
         (60, 360),
         (200, 3000),
         seed * 100 + 51,
     );
-    sim.reports(360);
+    sim.schedule_reports(360);
     sim.run(360);
     let is_quiet = |name: &str| name.starts_with("quiet");
     let waits = sim
-        .seen
+        .stats
         .waits
         .iter()
         .filter(|(name, _)| is_quiet(name.as_str()));
     let refused = sim
-        .seen
+        .stats
         .refused
         .iter()
         .filter(|(name, _)| is_quiet(name.as_str()));
@@ -59,11 +59,11 @@
 // four fifths. The others ask for no more than before, and see no reason why
 // their requests should wait longer or be refused.
 #[test]
-fn a_surge_leaves_the_queue_times_of_others_alone() {
+fn a_surge_does_not_delay_other_workspaces() {
     let (mut before, mut during, mut refused) = (Vec::new(), Vec::new(), 0);
     for seed in 0..SEEDS {
-        before.extend(quiet(1.0, seed).0);
-        let (waits, count) = quiet(10.0, seed);
+        before.extend(quiet_workspaces(1.0, seed).0);
+        let (waits, count) = quiet_workspaces(10.0, seed);
         during.extend(waits);
         refused += count;
     }
@@ -105,10 +105,10 @@
 // A workspace sends urgent requests without a pause, and one that may wait. If
 // the urgent ones always went first, the other would never be answered.
 #[test]
-fn a_low_priority_is_served_in_the_end() {
+fn low_priority_is_not_starved() {
     let mut now = Instant::from_millis(1);
     let settings = Settings {
-        growth: 0.0,
+        growth_step: 0.0,
         ..Settings::default()
     };
     let mut server = Server::new(settings, now);
@@ -139,7 +139,7 @@
     const WEIGHTS: [u32; 4] = [1, 2, 4, 1];
     let now = Instant::from_millis(1);
     let settings = Settings {
-        growth: 0.0,
+        growth_step: 0.0,
         ..Settings::default()
     };
     let mut server = Server::new(settings, now);
@@ -147,14 +147,14 @@
     let weights = weights.map(|(name, weight)| (name.parse().expect("a valid name"), weight));
     server.set_weights(weights.collect());
     // The attempt tells the workspace.
-    let offer = |server: &mut Server, turn: u64, name: usize| {
-        let attempt = turn * 4 + name as u64;
+    let offer = |server: &mut Server, round: u64, name: usize| {
+        let attempt = round * 4 + name as u64;
         server.offer(ticket(attempt, NAMES[name], Priority::Normal, now), now);
     };
     let mut running = Attempt(0);
-    let mut serve = |server: &mut Server, turns: u32| {
+    let mut serve = |server: &mut Server, rounds: u32| {
         let mut served = [0_u32; 4];
-        for _ in 0..turns {
+        for _ in 0..rounds {
             served[running.0 as usize % 4] += 1;
             let actions = server.finish(running, completed(now), now);
             let Some(Action::Admit(next)) = actions.first() else {
@@ -164,15 +164,15 @@
         }
         served
     };
-    for turn in 0..300 {
-        (0..3).for_each(|name| offer(&mut server, turn, name));
+    for round in 0..300 {
+        (0..3).for_each(|name| offer(&mut server, round, name));
     }
     let served = serve(&mut server, 140);
     for name in 0..3 {
         let expected = 140 / 7 * WEIGHTS[name];
         assert!(served[name].abs_diff(expected) <= 2, "{served:?}");
     }
-    (0..50).for_each(|turn| offer(&mut server, turn, 3));
+    (0..50).for_each(|round| offer(&mut server, round, 3));
     let served = serve(&mut server, 80);
     assert!(
         served[3].abs_diff(10) <= 2,
--- a/crates/admission/tests/failures/invariants.rs
+++ b/crates/admission/tests/failures/invariants.rs
@@ -13,7 +13,7 @@
     time::Instant,
 };
 
-use crate::ledger::{Entry, Fate, Ledger};
+use crate::ticket_log::{Entry, TicketLog, TicketState};
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -73,24 +73,24 @@
     actions.iter().any(admits)
 }
 
-struct Run {
+struct Harness {
     server: Server,
     settings: Settings,
-    ledger: Ledger,
+    tickets: TicketLog,
     bound: Bound,
     now: Instant,
     offers: u64,
     reports: u64,
 }
 
-impl Run {
+impl Harness {
     fn new(takes_over: bool) -> Self {
         let settings = Settings {
             max_concurrency: 6,
             takeover_share: 3,
-            queue_total: 8,
-            queue_per_workspace: 5,
-            queue_suspects: 2,
+            max_queued: 8,
+            max_queued_per_workspace: 5,
+            max_queued_suspects: 2,
             ..Settings::default()
         };
         let now = Instant::from_millis(1000);
@@ -98,11 +98,11 @@
             true => Server::taking_over(settings.clone(), Instant::from_millis(6000), now),
             false => Server::new(settings.clone(), now),
         };
-        let (ledger, bound) = (Ledger::default(), Bound::default());
+        let (tickets, bound) = (TicketLog::default(), Bound::default());
         Self {
             server,
             settings,
-            ledger,
+            tickets,
             bound,
             now,
             offers: 0,
@@ -115,18 +115,18 @@
         while let Some(due) = self.server.next_tick().filter(|due| *due <= until) {
             self.now = self.now.max(due);
             let actions = self.server.tick(self.now);
-            self.applied(&actions);
+            self.apply(&actions);
         }
         self.now = until;
     }
 
-    fn applied(&mut self, actions: &Actions) {
-        self.ledger.apply(actions, self.now);
+    fn apply(&mut self, actions: &Actions) {
+        self.tickets.apply(actions, self.now);
         self.check(has_admission(actions));
     }
 
-    fn nth(&self, fate: Fate, nth: usize) -> Option<Attempt> {
-        let attempts = self.ledger.with(fate);
+    fn nth(&self, state: TicketState, nth: usize) -> Option<Attempt> {
+        let attempts = self.tickets.in_state(state);
         attempts.get(nth % attempts.len().max(1)).copied()
     }
 
@@ -148,23 +148,23 @@
         };
         let deadline = ticket.deadline;
         let entry = Entry {
-            fate: Fate::Queued,
+            state: TicketState::Queued,
             suspect,
             offered_at: self.now,
             deadline,
         };
         let offered = self.server.offer(ticket, self.now);
-        self.ledger.offered(attempt, entry, &offered, self.now);
+        self.tickets.offered(attempt, entry, &offered, self.now);
         let admitted = offered.decision == Decision::Admitted;
         self.check(admitted || has_admission(&offered.others));
     }
 
     fn finish(&mut self, nth: usize, outcome: u8) {
-        let Some(attempt) = self.nth(Fate::Admitted, nth) else {
+        let Some(attempt) = self.nth(TicketState::Admitted, nth) else {
             return;
         };
-        self.ledger.set(attempt, Fate::Finished);
-        let first_token_at = self.ledger.entries[&attempt].offered_at + Duration::from_millis(100);
+        self.tickets.set_state(attempt, TicketState::Finished);
+        let first_token_at = self.tickets.entries[&attempt].offered_at + Duration::from_millis(100);
         let outcome = match outcome {
             0 => Outcome::Failed,
             1 => Outcome::Cancelled,
@@ -174,17 +174,17 @@
             },
         };
         let actions = self.server.finish(attempt, outcome, self.now);
-        self.applied(&actions);
+        self.apply(&actions);
     }
 
     fn cancel(&mut self, nth: usize) {
-        let queued = self.nth(Fate::Queued, nth);
-        let Some(attempt) = queued.or(self.nth(Fate::Admitted, nth)) else {
+        let queued = self.nth(TicketState::Queued, nth);
+        let Some(attempt) = queued.or(self.nth(TicketState::Admitted, nth)) else {
             return;
         };
-        self.ledger.set(attempt, Fate::Cancelled);
+        self.tickets.set_state(attempt, TicketState::Cancelled);
         let actions = self.server.cancel(attempt, self.now);
-        self.applied(&actions);
+        self.apply(&actions);
     }
 
     fn handle(&mut self, event: Event) {
@@ -202,7 +202,7 @@
             Event::Finish(nth, outcome) => return self.finish(nth, outcome),
             Event::Cancel(nth) => return self.cancel(nth),
             Event::FirstToken(nth) => {
-                let Some(attempt) = self.nth(Fate::Admitted, nth) else {
+                let Some(attempt) = self.nth(TicketState::Admitted, nth) else {
                     return;
                 };
                 self.server.first_token(attempt, now)
@@ -239,19 +239,19 @@
                 )]));
                 Actions::new()
             }
-            Event::HandOver(limit, in_flight) => {
-                self.server.handed_over(Handover { limit, in_flight }, now)
-            }
+            Event::HandOver(limit, in_flight) => self
+                .server
+                .apply_handover(Handover { limit, in_flight }, now),
             Event::Stop => self.server.stop(),
             Event::Start => self.server.start(now),
             Event::Tick => self.server.tick(now),
         };
-        self.applied(&actions);
+        self.apply(&actions);
     }
 
     fn check(&self, has_admitted: bool) {
         let snapshot = self.server.snapshot(self.now);
-        let running = self.ledger.with(Fate::Admitted);
+        let running = self.tickets.in_state(TicketState::Admitted);
         assert_eq!(snapshot.in_flight as usize, running.len());
         let total = snapshot.in_flight + snapshot.foreign;
         if has_admitted {
@@ -268,15 +268,15 @@
                 "above the cost bound"
             );
         }
-        let is_suspect = |attempt: &Attempt| self.ledger.entries[attempt].suspect;
+        let is_suspect = |attempt: &Attempt| self.tickets.entries[attempt].suspect;
         let suspects = running.iter().filter(|attempt| is_suspect(attempt)).count();
         assert!(suspects <= 1, "{suspects} suspects run side by side");
 
-        let queued = self.ledger.with(Fate::Queued);
+        let queued = self.tickets.in_state(TicketState::Queued);
         assert_eq!(snapshot.queued as usize, queued.len());
         let waiting = queued.iter().filter(|attempt| !is_suspect(attempt)).count();
-        assert!(waiting <= self.settings.queue_total);
-        assert!(queued.len() - waiting <= self.settings.queue_suspects);
+        assert!(waiting <= self.settings.max_queued);
+        assert!(queued.len() - waiting <= self.settings.max_queued_suspects);
         let headroom = self.settings.max_concurrency / self.settings.headroom;
         let idle = total + headroom < snapshot.limit
             && snapshot.state != State::Doubt
@@ -297,14 +297,14 @@
 
     /// Ends all that runs; what waits is admitted or refused by then.
     fn drain(&mut self) {
-        while !self.ledger.with(Fate::Admitted).is_empty() {
+        while !self.tickets.in_state(TicketState::Admitted).is_empty() {
             self.finish(0, 2);
         }
         self.advance(self.now + Duration::from_secs(60));
-        while !self.ledger.with(Fate::Admitted).is_empty() {
+        while !self.tickets.in_state(TicketState::Admitted).is_empty() {
             self.finish(0, 2);
         }
-        let lost = self.ledger.with(Fate::Queued);
+        let lost = self.tickets.in_state(TicketState::Queued);
         assert!(lost.is_empty(), "lost: {lost:?}");
     }
 }
@@ -322,15 +322,15 @@
     // engine, as a request that is answered twice or never, or as one that was
     // refused as not run and runs all the same.
     #[test]
-    fn every_ticket_ends_once_within_limit_and_bound(
+    fn every_ticket_ends_exactly_once_within_limit_and_bound(
         takes_over in any::<bool>(),
         events in prop::collection::vec((0..1500_u64, event()), 1..120),
     ) {
-        let mut run = Run::new(takes_over);
+        let mut harness = Harness::new(takes_over);
         for (delay, event) in events {
-            run.advance(run.now + Duration::from_millis(delay / 3));
-            run.handle(event);
+            harness.advance(harness.now + Duration::from_millis(delay / 3));
+            harness.handle(event);
         }
-        run.drain();
+        harness.drain();
     }
 }
--- a/crates/admission/tests/failures/whole.rs
+++ b/crates/admission/tests/failures/non_streaming.rs
@@ -22,7 +22,7 @@
 // last token. A healthy engine looked as slow as a cold one: it was held at one
 // request at a time, and users waited beside idle engines.
 #[test]
-fn an_engine_whose_answers_come_in_one_piece_warms_up() {
+fn an_engine_with_non_streaming_responses_warms_up() {
     let mut now = Instant::ZERO;
     let mut server = Server::new(Settings::default(), now);
     let mut running: Vec<(request::Attempt, Instant)> = Vec::new();
@@ -42,7 +42,7 @@
             number += 1;
             let offered = server.offer(ticket(number, now), now);
             assert_eq!(offered.decision, Decision::Admitted);
-            server.answers_whole(request::Attempt(number));
+            server.mark_non_streaming(request::Attempt(number));
             running.push((request::Attempt(number), now + RUN));
         }
     }
--- a/crates/admission/tests/failures/owners.rs
+++ b/crates/admission/tests/failures/owners.rs
@@ -12,37 +12,37 @@
     time::Instant,
 };
 
-const LAG: Duration = Duration::from_millis(900);
-const POLL: Duration = Duration::from_millis(500);
-const UNTIL: Instant = Instant::from_millis(8000);
+const REPORT_LAG: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const TAKEOVER_ENDS_AT: Instant = Instant::from_millis(8000);
 /// The earlier owner has stopped a poll and a lag before the takeover ends.
-const STOPS: Instant = Instant::from_millis(6500);
+const EARLIER_OWNER_STOPS_AT: Instant = Instant::from_millis(6500);
 
-struct Pair {
+struct OwnerPair {
     owners: [Server; 2],
     running: [Vec<Attempt>; 2],
     bound: u32,
     now: Instant,
     /// Loads of the server that have not been reported yet.
-    past: VecDeque<(Instant, u32)>,
+    load_history: VecDeque<(Instant, u32)>,
     offers: u64,
 }
 
-impl Pair {
+impl OwnerPair {
     fn new(bound: u32, busy: u32) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings {
             takeover_share: 4,
-            report_lag: LAG + POLL,
+            report_lag: REPORT_LAG + REPORT_INTERVAL,
             ..Settings::default()
         };
         let mut old = Server::new(settings.clone(), now);
-        let mut new = Server::taking_over(settings, UNTIL, now);
+        let mut new = Server::taking_over(settings, TAKEOVER_ENDS_AT, now);
         let requests = Bound {
             requests: Some(bound),
             cost: None,
         };
-        old.handed_over(
+        old.apply_handover(
             admission::Handover {
                 limit: 64,
                 in_flight: 0,
@@ -52,13 +52,13 @@
         old.set_bound(requests, now);
         new.set_bound(requests, now);
         let running = [Vec::new(), Vec::new()];
-        let past = VecDeque::new();
+        let load_history = VecDeque::new();
         let mut pair = Self {
             owners: [old, new],
             running,
             bound,
             now,
-            past,
+            load_history,
             offers: 0,
         };
         for _ in 0..busy {
@@ -84,7 +84,7 @@
         );
     }
 
-    fn act(&mut self, owner: usize, actions: Actions) {
+    fn apply(&mut self, owner: usize, actions: Actions) {
         for action in actions {
             if let Action::Admit(attempt) = action {
                 self.admitted(owner, attempt);
@@ -106,7 +106,7 @@
         if offered.decision == Decision::Admitted {
             self.admitted(owner, Attempt(self.offers));
         }
-        self.act(owner, offered.others);
+        self.apply(owner, offered.others);
     }
 
     fn finish(&mut self, owner: usize) {
@@ -119,20 +119,20 @@
             ended_at: self.now,
         };
         let actions = self.owners[owner].finish(attempt, outcome, self.now);
-        self.act(owner, actions);
+        self.apply(owner, actions);
     }
 
     fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
-            self.now = (self.now + POLL).min(until);
-            self.past.push_back((self.now, self.total()));
-            let seen = self
-                .past
+            self.now = (self.now + REPORT_INTERVAL).min(until);
+            self.load_history.push_back((self.now, self.total()));
+            let last = self
+                .load_history
                 .iter()
-                .rfind(|(at, _)| *at + LAG <= self.now)
+                .rfind(|(at, _)| *at + REPORT_LAG <= self.now)
                 .copied();
-            let Some((at, running)) = seen else { continue };
+            let Some((at, running)) = last else { continue };
             let report = Report {
                 boot: 1,
                 seq: at.as_micros(),
@@ -142,7 +142,7 @@
             };
             for owner in 0..2 {
                 let actions = self.owners[owner].report(report, self.now);
-                self.act(owner, actions);
+                self.apply(owner, actions);
             }
         }
     }
@@ -168,17 +168,17 @@
         hands_over in any::<bool>(),
         events in prop::collection::vec((0..2_u8, 0..3_u8, 0..400_u64), 1..150),
     ) {
-        let mut pair = Pair::new(bound, busy);
+        let mut pair = OwnerPair::new(bound, busy);
         let mut stopped = false;
         for (event, owner, delay) in events {
             pair.advance(delay);
-            if pair.now >= STOPS && !stopped {
+            if pair.now >= EARLIER_OWNER_STOPS_AT && !stopped {
                 stopped = true;
                 pair.owners[0].stop();
                 if hands_over {
                     let handover = pair.owners[0].handover();
-                    let actions = pair.owners[1].handed_over(handover, pair.now);
-                    pair.act(1, actions);
+                    let actions = pair.owners[1].apply_handover(handover, pair.now);
+                    pair.apply(1, actions);
                 }
             }
             let owner = usize::from(owner.min(1));
--- a/crates/admission/tests/failures/reports.rs
+++ b/crates/admission/tests/failures/reports.rs
@@ -35,20 +35,20 @@
     // it still counts, or that have ended since, were taken for those of others,
     // the engine would seem full and stand idle while users are refused.
     #[test]
-    fn own_requests_are_not_taken_for_those_of_others(
+    fn own_requests_are_not_counted_as_foreign(
         others in 0..5_u32,
         steps in prop::collection::vec((any::<bool>(), 0..300_u64), 1..200),
     ) {
         let mut now = Instant::from_millis(10_000);
         let settings = Settings {
             max_concurrency: 1000,
-            first_token: Duration::from_secs(1000),
+            first_token_target: Duration::from_secs(1000),
             ..Settings::default()
         };
         let mut server = Server::new(settings, now);
-        server.handed_over(Handover { limit: 1000, in_flight: 0 }, now);
+        server.apply_handover(Handover { limit: 1000, in_flight: 0 }, now);
         let (mut attempts, mut running) = (0, VecDeque::new());
-        let mut past = VecDeque::from([(now, 0)]);
+        let mut load_history = VecDeque::from([(now, 0)]);
         for (offers, delay) in steps {
             now = now + Duration::from_millis(delay);
             if offers {
@@ -60,11 +60,11 @@
                 let outcome = Outcome::Completed { first_token_at: now, ended_at: now };
                 server.finish(attempt, outcome, now);
             }
-            past.push_back((now, running.len() as u32));
-            while past.len() > 1 && past[1].0 + Duration::from_millis(700) <= now {
-                past.pop_front();
+            load_history.push_back((now, running.len() as u32));
+            while load_history.len() > 1 && load_history[1].0 + Duration::from_millis(700) <= now {
+                load_history.pop_front();
             }
-            let running = past[0].1 + others;
+            let running = load_history[0].1 + others;
             let seq = now.as_micros();
             server.report(Report { boot: 1, seq, running, waiting: 0, capacity: 0 }, now);
             let foreign = server.snapshot(now).foreign;
@@ -81,13 +81,13 @@
 // Held back, its caller would learn of it when it is too late to go elsewhere.
 #[parameterized(
     too_little_time_to_run = { 500, Some(Code::Deadline) },
-    too_little_time_to_wait = { 9_000, Some(Code::Busy) },
+    too_little_time_to_queue = { 9_000, Some(Code::Busy) },
     enough_time = { 60_000, None },
 )]
-fn a_hopeless_request_is_refused_at_once(timeout: u64, refused: Option<Code>) {
+fn a_request_that_cannot_meet_its_deadline_is_refused_at_once(timeout: u64, refused: Option<Code>) {
     let start = Instant::from_millis(1000);
     let settings = Settings {
-        growth: 0.0,
+        growth_step: 0.0,
         ..Settings::default()
     };
     let mut server = Server::new(settings, start);
@@ -112,13 +112,13 @@
     };
     assert_eq!((refusal.verdict, refusal.code), (Verdict::NotRun, code));
     if code == Code::Busy {
-        let back = refusal
+        let retry_delay = refusal
             .retry_at
             .expect("an instant to come back at")
             .since(now);
         assert!(
-            back > Duration::ZERO && back < Duration::from_secs(5),
-            "back in {back:?}"
+            retry_delay > Duration::ZERO && retry_delay < Duration::from_secs(5),
+            "back in {retry_delay:?}"
         );
     }
 }
@@ -127,14 +127,14 @@
 // say so, and no connection breaks; the next surge would hit it at the limit of
 // the warm engine.
 #[parameterized(
-    another_boot = { 2, 7, 1 },
-    counters_went_back = { 1, 3, 1 },
-    the_same_boot = { 1, 7, 32 },
+    new_boot = { 2, 7, 1 },
+    sequence_went_back = { 1, 3, 1 },
+    same_boot = { 1, 7, 32 },
 )]
 fn a_restart_shows_in_reports(boot: u64, seq: u64, expected: u32) {
     let now = Instant::from_millis(1000);
     let mut server = Server::new(Settings::default(), now);
-    server.handed_over(
+    server.apply_handover(
         Handover {
             limit: 32,
             in_flight: 0,
@@ -156,10 +156,10 @@
 // An engine that does not report stands idle for minutes and may have restarted
 // meanwhile. Then its old limit is worth nothing.
 #[test]
-fn an_unconfirmed_limit_is_forgotten() {
+fn an_unconfirmed_limit_decays_to_one() {
     let now = Instant::from_millis(1000);
     let mut server = Server::new(Settings::default(), now);
-    server.handed_over(
+    server.apply_handover(
         Handover {
             limit: 32,
             in_flight: 0,
@@ -175,10 +175,10 @@
 // and all other connections are well. Taken for a sign of a cold engine, it
 // would hold up all other users until that one request is given up on.
 #[test]
-fn one_silent_connection_does_not_hold_up_the_others() {
+fn one_stalled_connection_does_not_block_other_requests() {
     let mut now = Instant::from_millis(1000);
     let mut server = Server::new(Settings::default(), now);
-    server.handed_over(
+    server.apply_handover(
         Handover {
             limit: 16,
             in_flight: 0,
--- a/crates/admission/tests/failures/sim.rs
+++ b/crates/admission/tests/failures/sim.rs
@@ -12,7 +12,7 @@
     workspace,
 };
 
-use crate::engine::{Engine, Kind};
+use crate::engine::{Engine, Profile};
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -29,13 +29,13 @@
 }
 
 /// How long a report is on its way.
-const LAG: Duration = Duration::from_millis(800);
-const POLL: Duration = Duration::from_millis(1000);
-const TIMEOUT: Duration = Duration::from_secs(30);
+const REPORT_LAG: Duration = Duration::from_millis(800);
+const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What was seen.
 #[derive(Clone, Debug, Default)]
-pub struct Seen {
+pub struct Stats {
     /// Queue times in milliseconds of the admitted, by workspace.
     pub waits: BTreeMap<workspace::Id, Vec<u64>>,
     pub refused: BTreeMap<workspace::Id, u64>,
@@ -49,10 +49,10 @@
 pub struct Sim {
     pub server: Server,
     pub engine: Engine,
-    pub seen: Seen,
+    pub stats: Stats,
     pub now: Instant,
     events: BTreeMap<(Instant, u64), Event>,
-    entered: u64,
+    next_sequence: u64,
     tickets: BTreeMap<Attempt, (Ticket, Instant)>,
     running: BTreeMap<Attempt, u64>,
     boots: u64,
@@ -60,15 +60,15 @@
 }
 
 impl Sim {
-    pub fn new(server: Server, kind: Kind) -> Self {
+    pub fn new(server: Server, profile: Profile) -> Self {
         let now = Instant::ZERO;
         Self {
             server,
-            engine: Engine::new(kind, now),
-            seen: Seen::default(),
+            engine: Engine::new(profile, now),
+            stats: Stats::default(),
             now,
             events: BTreeMap::new(),
-            entered: 0,
+            next_sequence: 0,
             tickets: BTreeMap::new(),
             running: BTreeMap::new(),
             boots: 0,
@@ -77,12 +77,12 @@
     }
 
     fn push(&mut self, at: Instant, event: Event) {
-        self.entered += 1;
-        self.events.insert((at, self.entered), event);
+        self.next_sequence += 1;
+        self.events.insert((at, self.next_sequence), event);
     }
 
     /// Poisson arrivals of `workspace` at `rate` a second.
-    pub fn arrivals(
+    pub fn schedule_arrivals(
         &mut self,
         workspace: &str,
         rate: f64,
@@ -104,17 +104,17 @@
                 cost: Cost(rng.random_range(costs.0..costs.1)),
                 priority: Priority::Normal,
                 standing: Standing::Clear,
-                deadline: at + TIMEOUT,
+                deadline: at + REQUEST_TIMEOUT,
             };
             self.push(at, Event::Arrive(ticket));
         }
     }
 
-    pub fn reports(&mut self, until: u64) {
+    pub fn schedule_reports(&mut self, until: u64) {
         let mut at = self.now;
         while at < Instant::from_millis(until * 1000) {
             self.push(at, Event::Report);
-            at = at + POLL;
+            at = at + REPORT_INTERVAL;
         }
     }
 
@@ -130,7 +130,7 @@
     pub fn drain(&mut self) {
         for action in self.server.stop() {
             if let Action::Refuse(attempt, _) = action {
-                self.refused(attempt);
+                self.record_refusal(attempt);
             }
         }
     }
@@ -174,7 +174,7 @@
                 match offered.decision {
                     Decision::Admitted => self.send(attempt),
                     Decision::Queued => {}
-                    Decision::Refused(_) => self.refused(attempt),
+                    Decision::Refused(_) => self.record_refusal(attempt),
                 }
                 offered.others
             }
@@ -182,31 +182,31 @@
                 self.server.first_token(attempt, now)
             }
             Event::Done(attempt, outcome) if self.is_current(attempt) => {
-                self.done(attempt, outcome)
+                self.finish(attempt, outcome)
             }
             Event::FirstToken(_) | Event::Done(..) => return,
             Event::Report => {
                 let report = self.engine.report();
-                return self.push(now + LAG, Event::Reported(report));
+                return self.push(now + REPORT_LAG, Event::Reported(report));
             }
             Event::Reported(report) => self.server.report(report, now),
             Event::Tick => self.server.tick(now),
             Event::TurnCold => {
                 self.engine.turn_cold(now);
                 self.cold_at = Some(now);
-                return self.seen.detected_at = None;
+                return self.stats.detected_at = None;
             }
             Event::Restart => return self.crash(),
         };
         for action in actions {
             match action {
                 Action::Admit(attempt) => self.send(attempt),
-                Action::Refuse(attempt, _) => self.refused(attempt),
+                Action::Refuse(attempt, _) => self.record_refusal(attempt),
             }
         }
         let snapshot = self.server.snapshot(now);
-        if self.cold_at.is_some() && self.seen.detected_at.is_none() && snapshot.limit == 1 {
-            self.seen.detected_at = Some(now);
+        if self.cold_at.is_some() && self.stats.detected_at.is_none() && snapshot.limit == 1 {
+            self.stats.detected_at = Some(now);
         }
     }
 
@@ -215,7 +215,7 @@
         self.engine.restart(self.now);
         self.boots += 1;
         self.cold_at = Some(self.now);
-        self.seen.detected_at = None;
+        self.stats.detected_at = None;
         let broken: Vec<Attempt> = self.running.keys().copied().collect();
         for attempt in broken {
             self.running.insert(attempt, self.boots);
@@ -227,14 +227,14 @@
         self.running.contains_key(&attempt)
     }
 
-    fn done(&mut self, attempt: Attempt, outcome: Outcome) -> admission::Actions {
+    fn finish(&mut self, attempt: Attempt, outcome: Outcome) -> admission::Actions {
         let boot = self.running.remove(&attempt);
         if matches!(outcome, Outcome::Completed { .. }) {
             if boot != Some(self.boots) {
                 return admission::Actions::new();
             }
             self.engine.running -= 1;
-            self.seen.completed += 1;
+            self.stats.completed += 1;
         }
         self.server.finish(attempt, outcome, self.now)
     }
@@ -243,16 +243,16 @@
         let now = self.now;
         let (ticket, arrived_at) = self.tickets.remove(&attempt).expect("an offered ticket");
         let wait = now.since(arrived_at).as_millis() as u64;
-        self.seen
+        self.stats
             .waits
             .entry(ticket.workspace)
             .or_default()
             .push(wait);
-        let (first_token_at, ended_at) = self.engine.begin(ticket.cost, now);
-        if self.engine.warmth(now) < 1.0 && self.engine.running > self.engine.bears(now) {
-            match self.seen.detected_at {
-                None => self.seen.overload.0 += 1,
-                Some(_) => self.seen.overload.1 += 1,
+        let (first_token_at, ended_at) = self.engine.start(ticket.cost, now);
+        if self.engine.warm_fraction(now) < 1.0 && self.engine.running > self.engine.capacity(now) {
+            match self.stats.detected_at {
+                None => self.stats.overload.0 += 1,
+                Some(_) => self.stats.overload.1 += 1,
             }
         }
         self.running.insert(attempt, self.boots);
@@ -264,9 +264,9 @@
         self.push(ended_at, Event::Done(attempt, outcome));
     }
 
-    fn refused(&mut self, attempt: Attempt) {
+    fn record_refusal(&mut self, attempt: Attempt) {
         let (ticket, _) = self.tickets.remove(&attempt).expect("an offered ticket");
-        *self.seen.refused.entry(ticket.workspace).or_default() += 1;
+        *self.stats.refused.entry(ticket.workspace).or_default() += 1;
     }
 }
 
--- a/crates/admission/tests/failures/ledger.rs
+++ b/crates/admission/tests/failures/ticket_log.rs
@@ -7,7 +7,7 @@
 use verdict::{Refusal, Verdict};
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum TicketState {
     Queued,
     Admitted,
     Finished,
@@ -17,7 +17,7 @@
 
 #[derive(Clone, Debug)]
 pub struct Entry {
-    pub fate: Fate,
+    pub state: TicketState,
     pub suspect: bool,
     pub offered_at: Instant,
     pub deadline: Instant,
@@ -25,11 +25,11 @@
 
 /// Checks that each ticket ends exactly once, in time and truthfully.
 #[derive(Default)]
-pub struct Ledger {
+pub struct TicketLog {
     pub entries: BTreeMap<Attempt, Entry>,
 }
 
-impl Ledger {
+impl TicketLog {
     pub fn offered(&mut self, attempt: Attempt, entry: Entry, offered: &Offered, now: Instant) {
         self.entries.insert(attempt, entry);
         match &offered.decision {
@@ -50,7 +50,7 @@
     }
 
     fn admit(&mut self, attempt: Attempt, now: Instant) {
-        self.settle(attempt, Fate::Admitted, now);
+        self.transition(attempt, TicketState::Admitted, now);
         assert!(
             now < self.entries[&attempt].deadline,
             "{attempt} admitted after its deadline"
@@ -58,36 +58,39 @@
     }
 
     fn refuse(&mut self, attempt: Attempt, refusal: &Refusal, now: Instant) {
-        self.settle(attempt, Fate::Refused, now);
+        self.transition(attempt, TicketState::Refused, now);
         assert_eq!(refusal.verdict, Verdict::NotRun);
         assert!(refusal.retry_at.is_none_or(|instant| instant >= now));
     }
 
-    fn settle(&mut self, attempt: Attempt, fate: Fate, now: Instant) {
+    fn transition(&mut self, attempt: Attempt, state: TicketState, now: Instant) {
         let entry = self.entries.get_mut(&attempt).expect("an offered ticket");
         assert_eq!(
-            entry.fate,
-            Fate::Queued,
-            "{attempt} became {fate:?} afterwards"
+            entry.state,
+            TicketState::Queued,
+            "{attempt} became {state:?} afterwards"
         );
-        let patience = entry.deadline.since(entry.offered_at) / 2;
+        let max_wait = entry.deadline.since(entry.offered_at) / 2;
         let waited = now.since(entry.offered_at);
         assert!(
-            waited <= patience,
-            "{attempt} waited {waited:?} of {patience:?}"
+            waited <= max_wait,
+            "{attempt} waited {waited:?} of {max_wait:?}"
         );
-        entry.fate = fate;
+        entry.state = state;
     }
 
-    pub fn set(&mut self, attempt: Attempt, fate: Fate) {
+    pub fn set_state(&mut self, attempt: Attempt, state: TicketState) {
         self.entries
             .get_mut(&attempt)
             .expect("an offered ticket")
-            .fate = fate;
+            .state = state;
     }
 
-    pub fn with(&self, fate: Fate) -> Vec<Attempt> {
-        let entries = self.entries.iter().filter(|(_, entry)| entry.fate == fate);
+    pub fn in_state(&self, state: TicketState) -> Vec<Attempt> {
+        let entries = self
+            .entries
+            .iter()
+            .filter(|(_, entry)| entry.state == state);
         entries.map(|(attempt, _)| *attempt).collect()
     }
 }
--- a/crates/bench/src/policy/owned/owner.rs
+++ b/crates/bench/src/policy/owned/owner.rs
@@ -164,7 +164,7 @@
                 in_flight: 0,
                 ..closed.handover
             };
-            actions.extend(owned.admission.handed_over(handover, now));
+            actions.extend(owned.admission.apply_handover(handover, now));
         }
         actions
     }
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/line.rs
@@ -120,7 +120,7 @@
     /// Asks for a place.
     pub fn offer(&mut self, ask: Ask, fleet: &Fleet, now: Instant) -> Offered {
         self.shares.expire(now);
-        self.shares.seen(&ask.workspace, 1, &self.settings, now);
+        self.shares.offered(&ask.workspace, 1, &self.settings, now);
         let denial = match self.offer_now(&ask, fleet, now) {
             Ok(place) => return Offered::Placed(place),
             Err(denial @ (Denial::Empty | Denial::Away(_))) => {
@@ -152,11 +152,11 @@
     fn place(&mut self, ask: &Ask, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
         let own_slots = self.pool.slots() / u32::try_from(fleet.members.len().max(1)).unwrap_or(1);
         let mut demand = ask.demand.clone();
-        demand.is_modest = self
-            .shares
-            .is_over(&ask.workspace, own_slots, &self.settings, now);
+        demand.is_modest =
+            self.shares
+                .is_over_share(&ask.workspace, own_slots, &self.settings, now);
         let place = self.pool.admit(&demand, fleet, now)?;
-        self.shares.began(&ask.workspace, 1, &self.settings, now);
+        self.shares.admitted(&ask.workspace, 1, &self.settings, now);
         self.meter.served(ask.cost, now);
         Ok(place)
     }
@@ -175,7 +175,7 @@
         if self.queue.len() < MOST_WAITING {
             return true;
         }
-        let Some(last) = self.queue.displace(&ask.workspace) else {
+        let Some(last) = self.queue.pop_from_longest(&ask.workspace) else {
             return false;
         };
         let refused = self.refuse(last.ticket.attempt, Denial::Full, now);
@@ -185,7 +185,7 @@
 
     /// How long the request would wait, by how fast others lately got places.
     fn wait(&self, ask: &Ask, now: Instant) -> Duration {
-        let ahead = self.queue.ahead(&ask.workspace, priority(ask.rank));
+        let ahead = self.queue.cost_ahead(&ask.workspace, priority(ask.rank));
         self.meter.time_for(ahead, now)
     }
 
@@ -265,7 +265,7 @@
         outcome: Outcome,
         now: Instant,
     ) -> Option<pool::Standing> {
-        self.shares.ended(workspace, 1, &self.settings, now);
+        self.shares.finished(workspace, 1, &self.settings, now);
         self.pool.ended(server, outcome, now)
     }
 
--- a/crates/placement/tests/bound.rs
+++ b/crates/placement/tests/bound.rs
@@ -42,7 +42,7 @@
         };
         for _ in 0..engines {
             let mut warm = admission::Server::new(admission.clone(), pool.now);
-            warm.handed_over(
+            warm.apply_handover(
                 admission::Handover {
                     limit: 64,
                     in_flight: 0,
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -336,7 +336,7 @@
         resource::Kind::Engine => engine,
         // Calls to plain services are short, and so is their start.
         resource::Kind::Service => admission::Settings {
-            growth_time: SERVICE_GROWTH_TIME,
+            full_growth_run_time: SERVICE_GROWTH_TIME,
             ..engine
         },
     }
--- a/crates/router/src/owner/engine/offer.rs
+++ b/crates/router/src/owner/engine/offer.rs
@@ -108,7 +108,7 @@
         self.metrics.waited(clock.now().since(waiting.offered_at));
         self.running.insert(attempt, waiting.context);
         if waiting.context.shape == Shape::Whole {
-            self.admission.answers_whole(attempt);
+            self.admission.mark_non_streaming(attempt);
         }
         let slot = Slot {
             server: self.target.server.clone(),
--- a/crates/router/src/owner/engine/service.rs
+++ b/crates/router/src/owner/engine/service.rs
@@ -86,7 +86,7 @@
                 limit: learned.limit,
                 in_flight: 0,
             };
-            actions.extend(self.admission.handed_over(handover, now));
+            actions.extend(self.admission.apply_handover(handover, now));
         }
         actions
     }
@@ -128,7 +128,7 @@
             limit: handover.limit,
             in_flight: handover.in_flight,
         };
-        self.admission.handed_over(handover, now)
+        self.admission.apply_handover(handover, now)
     }
 
     /// Notes that the server does not accept connections.
