--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -1,4 +1,4 @@
-//! The time of one admission over queued tickets and workspaces.
+//! Time of one admission by number of queued tickets and of workspaces.
 
 use std::{collections::VecDeque, hint, time::Duration};
 
@@ -27,7 +27,8 @@
 }
 
 impl LoadedServer {
-    /// A server at its limit with `queued` tickets of `workspaces`.
+    /// Creates a server at its limit, with `queued` tickets of `workspaces`
+    /// workspaces.
     fn new(queued: usize, workspaces: usize) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings {
@@ -76,7 +77,7 @@
         }
     }
 
-    /// One request ends, another is admitted and a new one queued.
+    /// Finishes a request, so that another is admitted, and queues a new one.
     fn finish_and_offer(&mut self) {
         let now = self.now;
         let outcome = Outcome::Completed {
--- a/crates/admission/examples/admission_memory.rs
+++ b/crates/admission/examples/admission_memory.rs
@@ -1,4 +1,4 @@
-//! Prints the memory of queued tickets, workspaces and learned output lengths.
+//! Prints the memory used per queued ticket, workspace and expected output length.
 
 use std::{fs, hint, time::Duration};
 
@@ -9,7 +9,7 @@
     time::Instant,
 };
 
-/// Resident memory of the process in bytes.
+/// Resident set size of the process in bytes.
 fn resident() -> u64 {
     let status = fs::read_to_string("/proc/self/status").expect("a proc file system");
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
--- a/crates/admission/examples/weigh.rs
+++ b/crates/admission/examples/weigh.rs
@@ -1,4 +1,5 @@
-//! Weighs ways to move the limit and to share a server, one line for each.
+//! Compares settings of the limit and of the sharing between workspaces in
+//! simulations, and prints one line for each.
 
 #[path = "../tests/failures/engine.rs"]
 mod engine;
@@ -15,7 +16,8 @@
 
 const SEEDS: u64 = 10;
 
-/// Short requests, in which a cold engine hides within the target, and long ones.
+/// Short requests, whose first tokens on a cold engine are still within the target,
+/// and long ones.
 const LOADS: [(&str, f64, (u64, u64)); 2] =
     [("short", 12.0, (50, 500)), ("long", 2.0, (200, 3000))];
 
@@ -124,7 +126,7 @@
         ..chosen.clone()
     };
     compare_limits("halve_on_each_late", &halving);
-    // A target that the fake's first tokens miss now and then at any load.
+    // A target that the simulated first tokens occasionally miss at any load.
     let tight = Settings {
         first_token_target: Duration::from_millis(60),
         first_token_target_per_cost: Duration::from_micros(200),
--- a/crates/admission/src/estimate.rs
+++ b/crates/admission/src/estimate.rs
@@ -1,21 +1,22 @@
-//! Estimates of run and queue times.
+//! Estimates of the run time and queue time of requests.
 
 use std::time::Duration;
 
 use units::cost::Cost;
 
-/// The weight of the newest sample.
+/// Weight of the newest sample in the moving averages.
 const SAMPLE_WEIGHT: f64 = 0.125;
-/// How fast the longest run time is forgotten, by sample.
+/// Factor by which the longest run time decays with each sample.
 const LONGEST_DECAY: f64 = 0.99;
-/// No run is expected to take longer than this multiple of the longest of late.
+/// Upper bound of an estimate, as a multiple of the decayed longest run time.
 const LONGEST_MARGIN: f64 = 2.0;
 
-/// The run time of requests by their cost, learned from those that completed.
+/// Estimates run times from request costs, based on completed requests.
 ///
-/// The time is not strictly proportional to the cost, since a prompt token
-/// takes less than an output token. So the longest run of late caps it; a long
-/// prompt is not refused for a run time that nobody has seen.
+/// Run time is not strictly proportional to cost, because a prompt token takes
+/// less time than an output token. The longest recent run time therefore caps
+/// the estimate, so that a request with a long prompt is not refused for a run
+/// time that has never been observed.
 #[derive(Clone, Debug)]
 pub(crate) struct RunTimeEstimator {
     mean_cost: f64,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Learns from a completed request.
+    /// Records the run time of a completed request.
     pub fn record(&mut self, cost: Cost, run_time: Duration) {
         let cost = cost.0.max(1) as f64;
         let seconds = run_time.as_secs_f64();
@@ -46,12 +47,12 @@
         self.longest_seconds = Some(seconds.max(longest * LONGEST_DECAY));
     }
 
-    /// Whether a request has completed, so that estimates rest on something.
+    /// Whether at least one completed request has been recorded.
     pub fn has_samples(&self) -> bool {
         self.longest_seconds.is_some()
     }
 
-    /// How long a request of `cost` runs.
+    /// Expected run time of a request of `cost`.
     pub fn run_time(&self, cost: Cost) -> Duration {
         let seconds = self.proportional_seconds(cost);
         let max_seconds = self
@@ -60,7 +61,7 @@
         capped_duration(seconds.min(max_seconds))
     }
 
-    /// How long `slots` requests at a time take to work off `cost`.
+    /// Time in which `slots` concurrent requests process `cost`.
     pub fn drain_time(&self, cost: Cost, slots: u32) -> Duration {
         capped_duration(self.proportional_seconds(cost) / f64::from(slots.max(1)))
     }
--- a/crates/admission/src/lib.rs
+++ b/crates/admission/src/lib.rs
@@ -1,9 +1,10 @@
-//! What one backend server takes now.
+//! Admission control of one backend server.
 //!
-//! [`Server`] is the state that the owner of one backend server keeps: a
-//! concurrency limit that starts at one, a fair queue over workspaces, and the
-//! load that the server reports. It has no I/O and no clock; the owner hands
-//! in each event with the present instant and carries out the [`Action`]s.
+//! [`Server`] is the state that the router owning a backend server keeps for
+//! it: an adaptive concurrency limit that starts at one, a fair queue over
+//! workspaces, and the load that the server reports. It does no I/O and reads no
+//! clock: the owner passes each event with the current instant and carries out
+//! the returned [`Action`]s.
 //!
 //! ```
 //! use admission::{Decision, Outcome, Server, Settings, Ticket};
@@ -18,7 +19,7 @@
 //!     standing: admission::Standing::Clear,
 //!     deadline: Instant::from_millis(60_000),
 //! };
-//! // A server starts cold: it takes one request, and the next one waits.
+//! // The limit of a cold server is one: the first request is admitted, the second queued.
 //! assert_eq!(server.offer(ticket(1), Instant::ZERO).decision, Decision::Admitted);
 //! assert_eq!(server.offer(ticket(2), Instant::ZERO).decision, Decision::Queued);
 //! let outcome = Outcome::Completed {
--- a/crates/admission/src/limit.rs
+++ b/crates/admission/src/limit.rs
@@ -1,4 +1,7 @@
-//! Concurrency limit of one backend server.
+//! Adaptive concurrency limit of one backend server.
+//!
+//! The ratio of a first token is its time to first token (TTFT) divided by its
+//! target. A ratio above one is late.
 
 use std::time::Duration;
 
@@ -6,41 +9,43 @@
 
 use crate::{Report, Settings};
 
-/// The limit of a server that is cold.
+/// Limit of a cold server.
 const COLD_LIMIT: f64 = 1.0;
-/// The weight of the newest first token in the typical one.
+/// Weight of the newest sample in the baseline.
 const BASELINE_GAIN: f64 = 0.02;
-/// The same while the server may be cold, and for a sudden one.
+/// Weight of the newest sample while the limit is near that of a cold server, and
+/// of a spike.
 const SLOW_BASELINE_GAIN: f64 = 0.005;
-/// How many mean deviations a first token is above the typical one to be sudden.
+/// Mean deviations above the baseline from which a first token is a spike.
 const SPIKE_DEVIATIONS: f64 = 3.0;
-/// Below this part of its target no first token is a sign of load.
+/// The limit may always grow on first tokens below this ratio.
 const GROWTH_RATIO_FLOOR: f64 = 0.1;
-/// Below this part of its target no first token is sudden.
+/// A first token below this ratio is never a spike.
 const SPIKE_RATIO_FLOOR: f64 = 0.3;
 
-/// How the limit moves.
+/// Growth phase of the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It grows fast from one until a sign of load, while first tokens come easily.
+    /// Slow start: the limit grows by the growth step from one until the first
+    /// sign of load, as long as first tokens are fast.
     Cold,
-    /// It grows slowly and falls on a sign of load.
+    /// The limit grows slowly and decreases on signs of load.
     Warm,
 }
 
-/// When the first token of a request arrived.
+/// Timing of the first token of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct FirstToken {
     /// When the request was admitted.
     pub admitted_at: Instant,
-    /// When its first token was due.
+    /// When its first token was due, by its target.
     pub due: Instant,
-    /// When it arrived, or the present instant while it has not.
+    /// When the first token arrived, or the current instant while it has not.
     pub arrived_at: Instant,
 }
 
 impl FirstToken {
-    /// The time it took over the time it was allowed.
+    /// Time to first token divided by its target.
     fn ratio(&self) -> f64 {
         let allowed = self
             .due
@@ -50,32 +55,34 @@
     }
 }
 
-/// How many requests a backend server may run at once.
+/// How many requests a backend server may run concurrently.
 ///
-/// The limit starts at one after a start or a detected restart and grows with
-/// work that completed in time. It falls at once on late first tokens, errors
-/// and restarts, without a warning and without a timer. In between it settles
-/// where a set share of first tokens is late.
+/// The limit is one after a start or a detected restart and grows with requests
+/// that complete in time. It decreases immediately on late first tokens, failed
+/// requests and restarts, without waiting for a control interval. In steady state
+/// it converges to the value at which `late_share` of the first tokens are late.
 #[derive(Clone, Debug)]
 pub struct Limit {
     value: f64,
     phase: Phase,
-    /// Logarithm of first token time over its target on the warm server, smoothed.
+    /// Moving average of the logarithm of the first-token ratio of the warm server.
     baseline: f64,
-    /// Its mean deviation.
+    /// Mean deviation from `baseline`.
     deviation: f64,
-    /// When the server was last found to be cold.
+    /// When the server was last detected as cold.
     cold_since: Instant,
-    /// Late first tokens in a row.
+    /// Consecutive late first tokens.
     consecutive_late: u32,
-    /// First tokens in a row that are late by the inflation factor.
+    /// Consecutive first tokens that exceed their target by the inflation factor.
     consecutive_inflated: u32,
-    /// First tokens in a row that took much longer than the typical one.
+    /// Consecutive first tokens far above the baseline.
     consecutive_spikes: u32,
-    /// Requests admitted before this instant say nothing about the present limit.
+    /// Time of the last decrease. Requests admitted earlier ran under a higher
+    /// limit and are not evidence about the current one.
     decreased_at: Instant,
     has_decreased: bool,
-    /// When the server was last known to be the one that the limit was learned on.
+    /// When a completed request or a report last confirmed that the limit still
+    /// applies to the server.
     confirmed_at: Instant,
     boot: Option<u64>,
     seq: u64,
@@ -83,7 +90,7 @@
 }
 
 impl Limit {
-    /// The limit of a server of which nothing is known.
+    /// The limit of a server without history.
     pub fn new(settings: &Settings, now: Instant) -> Self {
         Self {
             value: COLD_LIMIT,
@@ -103,7 +110,7 @@
         }
     }
 
-    /// Requests that may run at once, at least one.
+    /// Requests that may run concurrently; at least one.
     pub fn get(&self, settings: &Settings) -> u32 {
         let max = match self.capacity {
             0 => settings.max_concurrency,
@@ -112,27 +119,29 @@
         (self.value as u32).clamp(1, max.max(1))
     }
 
-    /// Whether the last first token was late or sudden.
+    /// Whether the last first token was late or a spike.
     pub fn has_recent_delay(&self) -> bool {
         self.consecutive_late > 0 || self.consecutive_spikes > 0
     }
 
-    /// How the limit moves at present.
+    /// The current growth phase.
     pub fn phase(&self) -> Phase {
         self.phase
     }
 
-    /// Takes over the limit that an earlier owner learned.
+    /// Continues with the limit of an earlier owner.
     pub fn inherit(&mut self, limit: u32, now: Instant) {
         self.value = f64::from(limit.max(1));
         self.confirmed_at = now;
     }
 
-    /// Judges a first token, or its absence so far.
+    /// Updates the limit from a first token, or from its absence so far.
     ///
-    /// One late token costs as much as it takes `1 / late_share` tokens in time
-    /// to regain, so that the limit settles where that share is late. Several
-    /// in a row are no chance any more.
+    /// A late first token decreases the limit by as much as the on-time first
+    /// tokens expected per late one (`(1 - late_share) / late_share`) increase
+    /// it, so that the limit converges to the value at which `late_share` of
+    /// them are late. Several late ones in a row are unlikely to be chance and
+    /// halve it.
     pub fn first_token(&mut self, token: FirstToken, settings: &Settings, now: Instant) {
         let predates_decrease = token.admitted_at < self.decreased_at;
         if predates_decrease && self.value <= COLD_LIMIT {
@@ -169,17 +178,19 @@
         self.leave_cold_phase(now);
     }
 
-    /// How long a first token that is allowed `target` may take before it is
-    /// doubtful that the server is still warm.
+    /// Time after which a missing first token with this `target` is slow, so that
+    /// the server may no longer be warm.
     pub fn slow_after(&self, target: Duration, settings: &Settings) -> Duration {
         target.mul_f64(self.spike_ratio(settings).min(1.0))
     }
 
-    /// A request completed whose first token was judged before. The limit grows
-    /// if it was `in_use` and the first token came easily.
+    /// Updates the limit from a completed request whose first token has been
+    /// judged before. The limit grows if it was `in_use` and the first token was
+    /// fast.
     ///
-    /// While the server may be cold, a request counts by the time it ran. Short
-    /// ones would otherwise raise the limit faster than a server warms up.
+    /// In the cold phase the growth is proportional to the run time of the request,
+    /// up to a maximum. Otherwise short requests would raise the limit faster than
+    /// the server warms up.
     pub fn completed(
         &mut self,
         token: FirstToken,
@@ -207,28 +218,30 @@
         self.value = self.value.min(f64::from(settings.max_concurrency.max(1)));
     }
 
-    /// The server failed a request.
+    /// Halves the limit after a failed request.
     ///
-    /// A crash fails all requests in flight, so that the limit is at one after
-    /// a few of them; a single failure costs half.
+    /// A crash fails all requests in flight, so the limit reaches one after a
+    /// few of them.
     pub fn failed(&mut self, now: Instant) {
         self.halve(now);
     }
 
-    /// A new owner finds the server carrying `foreign` requests of others.
+    /// Raises the limit of a new owner to one above the `foreign` requests that
+    /// the server already runs.
     ///
-    /// Those run already; the limit starts above them as it starts above none
-    /// on an idle server. Once it has fallen it is raised by own work alone.
+    /// This corresponds to the limit of one on an idle server. After the first
+    /// decrease, only completed own requests raise the limit.
     pub fn raise_above_foreign(&mut self, foreign: u32) {
         if self.phase == Phase::Cold && !self.has_decreased {
             self.value = self.value.max(f64::from(foreign) + COLD_LIMIT);
         }
     }
 
-    /// Takes in a load report. Returns whether it shows a restart.
+    /// Updates the limit from a load report. Returns whether the report shows a
+    /// restart.
     ///
-    /// A server that restarts between two reports does not say so: another boot
-    /// shows it, or counters that went back.
+    /// A server does not announce a restart between two reports. It is detected
+    /// by a new boot id or by a sequence number that went back.
     pub fn report(&mut self, report: &Report, now: Instant) -> bool {
         let restarted = self.boot.is_some_and(|boot| boot != report.boot)
             || (self.boot == Some(report.boot) && report.seq < self.seq);
@@ -241,17 +254,17 @@
         }
         self.confirmed_at = now;
         if report.waiting > 0 {
-            // The server queues inside: it is given more than it runs.
+            // Requests queue inside the server, so the limit exceeds what it runs.
             self.value = self.value.min(f64::from(report.running.max(1)));
             self.phase = Phase::Warm;
         }
         false
     }
 
-    /// Halves the limit for each period in which nothing confirmed it.
+    /// Halves the limit for each `unconfirmed_half_life` without confirmation.
     ///
-    /// A server may restart while it is idle and does not report. Nobody would
-    /// notice before the next surge, which would hit it at the old limit.
+    /// A server may restart unnoticed while it is idle and sends no reports. The
+    /// next surge would then reach the cold server with the old limit.
     pub fn decay(&mut self, settings: &Settings, now: Instant) {
         if settings.unconfirmed_half_life.is_zero() {
             return;
@@ -264,28 +277,31 @@
         }
     }
 
-    /// The ratio up to which a first token came easily.
+    /// Highest first-token ratio at which the limit may grow.
     ///
-    /// A cold server is slow, though perhaps within the target, and bears
-    /// little. So the limit waits for first tokens as quick as on the warm
-    /// server. What is slow for long is slow by nature and lets the limit grow.
+    /// A cold server is slow, though possibly within the target, and has little
+    /// capacity, so the limit grows only on first tokens close to the baseline of
+    /// the warm server. The threshold doubles with time since the cold start: a
+    /// server that stays slow is not cold, and its limit may grow.
     fn max_growth_ratio(&self, settings: &Settings, now: Instant) -> f64 {
         let cold_seconds = now.since(self.cold_since).as_secs_f64();
         let doublings = cold_seconds / settings.tolerance_doubling_time.as_secs_f64();
         (self.baseline.exp() * settings.growth_tolerance).max(GROWTH_RATIO_FLOOR) * doublings.exp2()
     }
 
-    /// The ratio above which a first token is sudden.
+    /// First-token ratio above which a first token is a spike.
     fn spike_ratio(&self, settings: &Settings) -> f64 {
         let spread = (self.deviation * SPIKE_DEVIATIONS).max(settings.spike_factor.ln());
         (self.baseline + spread).exp().max(SPIKE_RATIO_FLOOR)
     }
 
-    /// Learns what is typical, and returns whether first tokens have jumped.
+    /// Updates the baseline and returns whether enough consecutive first tokens
+    /// were spikes.
     ///
-    /// A target that leaves room for long queues hides a server that turned
-    /// cold: its tokens take many times longer and still come in time. What
-    /// shows it is the jump. A server that stays slow becomes the typical one.
+    /// If the target allows for long queues, the first tokens of a server that
+    /// turned cold take many times longer and are still within the target. Only
+    /// the sudden increase over the baseline shows it. If the server stays slow,
+    /// the baseline follows.
     fn update_baseline(&mut self, ratio: f64, settings: &Settings) -> bool {
         let is_spike = ratio > self.spike_ratio(settings);
         let is_near_cold = self.value < 2.0 * COLD_LIMIT;
@@ -311,15 +327,16 @@
         self.record_decrease(now);
     }
 
-    /// Halves the limit for each sudden first token after a run of them. Unlike
-    /// a late one, it does not wait for requests admitted since the last fall.
+    /// Halves the limit for each spike once enough of them were consecutive.
+    /// Unlike a late first token, a spike counts even if its request was admitted
+    /// before the last decrease.
     fn halve_on_spikes(&mut self, now: Instant) {
         self.value = (self.value / 2.0).max(COLD_LIMIT);
         self.cold_since = now;
         self.has_decreased = true;
     }
 
-    /// Ends the fast growth, unless the server is still cold.
+    /// Ends slow start, unless the limit is still that of a cold server.
     fn leave_cold_phase(&mut self, now: Instant) {
         if self.value > COLD_LIMIT {
             self.phase = Phase::Warm;
--- a/crates/admission/src/load.rs
+++ b/crates/admission/src/load.rs
@@ -1,4 +1,4 @@
-//! The load of one backend server: own requests and what it reports.
+//! Load of one backend server: requests of this router and of other routers.
 
 use std::collections::VecDeque;
 
@@ -6,22 +6,23 @@
 
 use crate::{Report, Settings};
 
-/// An own load that held until an instant.
+/// Number of own requests in flight that was valid until an instant.
 #[derive(Clone, Copy, Debug)]
 struct PastLoad {
     until: Instant,
     own: u32,
 }
 
-/// Own loads of late that may be the extreme of a window up to now.
+/// Sliding-window extreme (maximum or minimum) of the own load, as a monotonic
+/// queue.
 ///
-/// Each is nearer to the present load than the one before, so there are at
-/// most as many as the highest load.
+/// Each entry is closer to the current load than the one before it, so the
+/// number of entries is at most the highest load.
 #[derive(Clone, Debug, Default)]
 struct ExtremeWindow(VecDeque<PastLoad>);
 
 impl ExtremeWindow {
-    /// Adds a load that has just ended and drops those that it `supersedes`.
+    /// Adds the load that has just changed and removes the entries that it `supersedes`.
     fn push(&mut self, past: PastLoad, supersedes: impl Fn(u32) -> bool) {
         while self.0.back().is_some_and(|last| supersedes(last.own)) {
             self.0.pop_back();
@@ -29,7 +30,7 @@
         self.0.push_back(past);
     }
 
-    /// The extreme since `oldest`, if it is not the present load.
+    /// The extreme since `oldest`, or `None` if only the current load falls in the window.
     fn extreme(&mut self, oldest: Instant) -> Option<u32> {
         while self.0.front().is_some_and(|past| past.until < oldest) {
             self.0.pop_front();
@@ -38,26 +39,28 @@
     }
 }
 
-/// Requests on a backend server, own ones and those of other routers.
+/// Requests on a backend server: own ones, sent by this router, and foreign
+/// ones, sent by other routers.
 ///
-/// A report says how many requests the server had a moment ago, own ones
-/// included. Adding the own ones would count them twice; taking the larger of
-/// both would count those that have finished since. So the requests of others
-/// are the reported ones less the most own ones within the report's lag.
+/// A load report gives the number of requests at some instant within the report
+/// lag, own ones included. Adding the own requests to it would count them twice;
+/// taking the maximum of both would count requests that have finished since. The
+/// number of foreign requests is therefore the reported number minus the highest
+/// number of own requests within the report lag.
 ///
-/// That is too few when the own load has just grown. After a change of owner
-/// the difference matters: the requests of the earlier owner still run, and the
-/// new one fills up beside them. Those can only become fewer, so they count
-/// until a report shows that fewer are left whatever its lag.
+/// This underestimates when the own load has just grown, which matters after a
+/// change of owner: requests of the earlier owner still run while the new owner
+/// fills the server. Inherited requests can only decrease, so they are counted
+/// until a report shows that fewer are left, whatever the lag of that report.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Load {
     own: u32,
     peaks: ExtremeWindow,
     troughs: ExtremeWindow,
     foreign: u32,
-    /// The most requests that an earlier owner may have left.
+    /// Upper bound on the requests of an earlier owner that still run.
     inherited: u32,
-    /// When reports show what happened after the hand-over.
+    /// From this instant on, reports cover only the time after the handover.
     inherited_until: Instant,
     foreign_until: Instant,
 }
@@ -67,7 +70,7 @@
         self.own
     }
 
-    /// Requests of others, as far as the last report still counts.
+    /// Foreign requests, or zero once the last report has expired.
     pub fn foreign(&self, now: Instant) -> u32 {
         if now < self.foreign_until {
             self.foreign
@@ -81,12 +84,12 @@
         self.own.saturating_add(self.foreign(now))
     }
 
-    /// When the last report ceases to count, if it counts anything.
+    /// When the last report expires, if it showed foreign requests.
     pub fn expires_at(&self) -> Option<Instant> {
         (self.foreign > 0).then_some(self.foreign_until)
     }
 
-    /// Lets the last report cease to count.
+    /// Discards the foreign requests once the last report has expired.
     pub fn expire(&mut self, now: Instant) {
         if now >= self.foreign_until {
             self.foreign = 0;
@@ -112,7 +115,8 @@
         self.own = self.own.saturating_sub(1);
     }
 
-    /// Takes in a report. While an earlier owner may still admit, `is_takeover`.
+    /// Updates the foreign load from a report. During a takeover (`is_takeover`),
+    /// an earlier owner may still admit requests.
     pub fn report(
         &mut self,
         report: &Report,
@@ -135,7 +139,8 @@
         self.foreign_until = now + settings.report_expiry;
     }
 
-    /// Requests of an earlier owner that still run.
+    /// Sets the number of requests of the earlier owner that still run, as given
+    /// in its handover.
     pub fn inherit(&mut self, in_flight: u32, settings: &Settings, now: Instant) {
         self.inherited = in_flight;
         self.inherited_until = now + settings.report_lag;
--- a/crates/admission/src/message.rs
+++ b/crates/admission/src/message.rs
@@ -1,4 +1,4 @@
-//! What the owner tells a server's admission, and what it is told.
+//! Inputs and results of the admission control of a server.
 
 use smallvec::SmallVec;
 use units::{cost::Cost, request, time::Instant, workspace};
@@ -7,144 +7,147 @@
 /// Whether a request is suspected of crashing backend servers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Standing {
-    /// It has no strike.
+    /// It has no strike against it.
     #[default]
     Clear,
-    /// It has a strike. A server runs at most one such request at a time, so
-    /// that the one that crashes servers does not give an innocent one its
-    /// second strike.
+    /// It has a strike: a server failed while running it. A server runs at most
+    /// one such request at a time, so that a request that crashes servers does not
+    /// give a harmless one its second strike.
     Suspect,
 }
 
-/// One attempt that asks to be run.
+/// An attempt that is offered for admission.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ticket {
     /// The attempt, unique among the tickets of a server.
     pub attempt: request::Attempt,
-    /// The workspace that it is charged to.
+    /// The workspace that the cost is charged to.
     pub workspace: workspace::Id,
-    /// Prompt tokens to compute plus output tokens expected; see [`crate::OutputLengths`].
+    /// Prompt tokens to compute plus expected output tokens; see [`crate::OutputLengths`].
     pub cost: Cost,
-    /// Its urgency among the tickets of its workspace.
+    /// Priority among the tickets of its workspace.
     pub priority: request::Priority,
     /// Whether it is suspected of crashing servers.
     pub standing: Standing,
-    /// When the caller gives up.
+    /// Deadline of the caller.
     pub deadline: Instant,
 }
 
-/// What became of an offered ticket.
+/// Result for an offered ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// Send it now.
+    /// Send the request now.
     Admitted,
-    /// It waits; an [`Action`] for its attempt follows.
+    /// The ticket is queued; an [`Action`] for its attempt follows.
     Queued,
-    /// It has not run and never will under this attempt.
+    /// The request has not run and will not run under this attempt.
     Refused(Refusal),
 }
 
-/// The answer to an offer.
+/// Result of an offer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Offered {
-    /// What became of the offered ticket.
+    /// Decision on the offered ticket.
     pub decision: Decision,
-    /// What became of tickets queued earlier.
+    /// Actions for tickets queued earlier.
     pub others: Actions,
 }
 
-/// What the owner has to do for a ticket that was queued.
+/// What the owner has to do for a queued ticket.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the request of this attempt now.
     Admit(request::Attempt),
-    /// Answer with the refusal now. The request has not run.
+    /// Respond with the refusal now. The request has not run.
     Refuse(request::Attempt, Refusal),
 }
 
-/// Actions in the order in which they are to be carried out.
+/// Actions, in the order in which the owner carries them out.
 pub type Actions = SmallVec<[Action; 4]>;
 
 /// How an admitted attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Completed {
-        /// When the first token, or the head of the answer, arrived.
+        /// When the first token, or the head of the response, arrived.
         first_token_at: Instant,
         /// When the last byte arrived.
         ended_at: Instant,
     },
-    /// The server failed: no connection, a broken answer or a server error.
+    /// The server failed: no connection, a truncated response or a server error.
     Failed,
-    /// The caller left. It tells nothing about the server.
+    /// The caller cancelled the request. This is no evidence about the server.
     Cancelled,
 }
 
-/// A load report of the server, which lags.
+/// A load report of the server. Its values are up to `report_lag` old.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Report {
-    /// Differs after each start of the server.
+    /// Boot id, which changes with each start of the server.
     pub boot: u64,
-    /// Grows with each report of one boot.
+    /// Sequence number, which grows with each report of one boot.
     pub seq: u64,
-    /// Requests that it runs, of all routers.
+    /// Requests that the server runs, from all routers.
     pub running: u32,
-    /// Requests that wait inside it.
+    /// Requests queued inside the server.
     pub waiting: u32,
-    /// The most requests that it runs at once. Zero: it does not say.
+    /// Maximum concurrent requests of the server; zero if not reported.
     pub capacity: u32,
 }
 
-/// The most that the server may carry by the mean load of its pool.
+/// Upper bound on the load of the server, derived from the mean load of its pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Bound {
-    /// Requests; at least one is always allowed. Unset: no bound.
+    /// Maximum requests in flight; at least one is always allowed. `None`: no bound.
     pub requests: Option<u32>,
-    /// Cost; one request is always allowed, whatever it costs. Unset: no bound.
+    /// Maximum cost in flight; one request is always allowed, whatever its cost.
+    /// `None`: no bound.
     pub cost: Option<Cost>,
 }
 
-/// What the earlier owner passes on when it has stopped admitting.
+/// State that an earlier owner passes to the next one after it has stopped
+/// admitting.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Handover {
-    /// The limit that it had learned.
+    /// Concurrency limit of the earlier owner.
     pub limit: u32,
-    /// Its requests that still run on the server.
+    /// Requests of the earlier owner that still run on the server.
     pub in_flight: u32,
 }
 
-/// What a server's admission does at present.
+/// State of the admission control of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
-    /// Its limit grows from one after a start or a detected restart.
+    /// Slow start: the limit grows from one after a start or a detected restart.
     Cold,
-    /// Its limit follows the latency.
+    /// The limit follows the latency of first tokens.
     Warm,
-    /// A first token is overdue. Nothing is admitted until it arrives or shows
-    /// that the server turned cold.
+    /// First tokens are slow, so the server may have turned cold. At most one
+    /// request at a time is admitted as a probe, until a first token arrives in time
+    /// or the delay confirms that the server is cold.
     Doubt,
-    /// An earlier owner may still admit; only a small share is used.
+    /// An earlier owner may still admit requests; this one uses a small share.
     Takeover,
-    /// It is drained or out and admits nothing.
+    /// The server is drained or removed; nothing is admitted.
     Stopped,
 }
 
-/// Figures for the status page and the metrics.
+/// Values for the status page and the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// What admission does at present.
+    /// State of the admission control.
     pub state: State,
-    /// Attempts admitted and not finished.
+    /// Admitted attempts that have not finished.
     pub in_flight: u32,
-    /// Their cost.
+    /// Cost of the attempts in flight.
     pub in_flight_cost: Cost,
-    /// Requests of others that the server reports.
+    /// Requests of other routers, according to the server's load reports.
     pub foreign: u32,
-    /// The most requests allowed at present, by limit and bound.
+    /// Maximum requests currently allowed, by limit and bound.
     pub limit: u32,
-    /// Tickets that wait.
+    /// Queued tickets.
     pub queued: u32,
-    /// Their cost.
+    /// Cost of the queued tickets.
     pub queued_cost: Cost,
 }
--- a/crates/admission/src/output_lengths.rs
+++ b/crates/admission/src/output_lengths.rs
@@ -1,12 +1,12 @@
-//! Output lengths learned from completed requests.
+//! Expected output lengths, based on completed requests.
 
 use std::collections::BTreeMap;
 
 use units::{cost::Cost, workspace};
 
-/// The most pairs of workspace and route that are remembered.
+/// Maximum number of (workspace, route) pairs stored.
 const MAX_ENTRIES: usize = 4096;
-/// The weight of the newest sample, as a divisor.
+/// The newest sample has a weight of one over this in the moving average.
 const SAMPLE_WEIGHT_DIVISOR: u64 = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -15,7 +15,7 @@
     last_used: u64,
 }
 
-/// Expected output tokens by workspace and route.
+/// Expected number of output tokens by workspace and route.
 #[derive(Clone, Debug)]
 pub struct OutputLengths {
     entries: BTreeMap<(workspace::Id, String), Entry>,
@@ -24,7 +24,7 @@
 }
 
 impl OutputLengths {
-    /// Lengths of which nothing is known but the fallback.
+    /// Creates an empty map that returns `fallback` until requests complete.
     pub fn new(fallback: Cost) -> Self {
         Self {
             entries: BTreeMap::new(),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The output expected of a request, at most what its caller allows.
+    /// Expected output of a request, capped at the caller's output limit.
     pub fn expected(
         &self,
         workspace: &workspace::Id,
@@ -46,7 +46,7 @@
         max_output.map_or(expected, |max_output| expected.min(max_output))
     }
 
-    /// Learns from a completed request.
+    /// Records the output length of a completed request.
     pub fn record(&mut self, workspace: &workspace::Id, route: &str, output: Cost) {
         self.record_count += 1;
         let key = (workspace.clone(), String::from(route));
@@ -64,7 +64,8 @@
         self.entries.insert(key, Entry { tokens, last_used });
     }
 
-    /// Drops the older half at once, so that the cost is spread over many inserts.
+    /// Evicts the least recently updated half, so that the cost of an eviction is
+    /// amortized over many inserts.
     fn evict_older_half(&mut self) {
         let mut last_uses: Vec<u64> = self.entries.values().map(|entry| entry.last_used).collect();
         let middle = last_uses.len() / 2;
@@ -72,12 +73,12 @@
         self.entries.retain(|_, entry| entry.last_used >= median);
     }
 
-    /// Pairs of workspace and route that are remembered.
+    /// Number of (workspace, route) pairs stored.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether nothing has been learned.
+    /// Whether no request has been recorded.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
--- a/crates/admission/src/queue.rs
+++ b/crates/admission/src/queue.rs
@@ -1,4 +1,4 @@
-//! Fair queue over workspaces.
+//! Weighted fair queue over workspaces.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -9,32 +9,32 @@
 
 use crate::Ticket;
 
-/// Virtual time per token of cost at weight one, so that division by a weight
-/// keeps its precision.
+/// Virtual time per token of cost at weight one. The scale preserves precision in
+/// divisions by a weight.
 const VIRTUAL_TIME_SCALE: u64 = 1 << 10;
-/// The most cost that one ticket is charged, so that virtual time cannot overflow.
+/// Maximum cost charged for one ticket, so that virtual time cannot overflow.
 const MAX_CHARGED_COST: u64 = 1 << 32;
 const PRIORITY_COUNT: usize = 3;
 
-/// The order of tickets within a workspace: first the instant that orders them,
-/// then the order of arrival.
+/// Sort key of the tickets of a workspace: the time of arrival plus the delay of
+/// lower priorities, then the arrival number.
 type Rank = (Instant, u64);
 
-/// A ticket that waits.
+/// A queued ticket.
 #[derive(Clone, Debug)]
 pub struct Waiting {
-    /// The ticket.
+    /// The queued ticket.
     pub ticket: Ticket,
-    /// The last instant at which starting it still makes sense.
+    /// Latest instant at which the request may still be started.
     pub latest_start: Instant,
 }
 
-/// The tickets of one workspace.
+/// Queued tickets and virtual start time of one workspace.
 #[derive(Clone, Debug)]
 struct Flow {
     workspace: workspace::Id,
     weight: u64,
-    /// The virtual start of its next ticket.
+    /// Virtual start time of the next ticket.
     virtual_start: u64,
     waiting: BTreeMap<Rank, Waiting>,
     costs: [Cost; PRIORITY_COUNT],
@@ -55,22 +55,24 @@
 
 /// Start-time fair queue over workspaces, by cost and weight.
 ///
-/// The workspace with the least virtual start is served next; serving it moves
-/// its virtual start on by cost over weight. A workspace that was idle starts
-/// at the present virtual time, so it neither saves up a claim nor waits behind
-/// a backlog of others. Every operation takes time logarithmic in the number
-/// of tickets and workspaces.
+/// The workspace with the lowest virtual start time is served next; serving a
+/// ticket advances its virtual start by the cost divided by the weight. A
+/// workspace that was idle starts at the current virtual time, so it neither
+/// accumulates credit while idle nor waits behind the backlog of others. Adding,
+/// serving or removing a ticket takes time logarithmic in the number of tickets
+/// and workspaces.
 #[derive(Clone, Debug, Default)]
 pub struct Queue {
     flows: Vec<Flow>,
     free_flows: Vec<usize>,
     flow_by_workspace: BTreeMap<workspace::Id, usize>,
     weights: BTreeMap<workspace::Id, u32>,
-    /// Workspaces with tickets by virtual start.
+    /// Workspaces with queued tickets, by virtual start.
     backlogged: BTreeSet<(u64, usize)>,
-    /// Workspaces without tickets whose charge lies in the virtual future.
+    /// Workspaces without queued tickets whose virtual start is after the current
+    /// virtual time.
     idle: BTreeSet<(u64, usize)>,
-    /// Workspaces with tickets by their number.
+    /// Workspaces with queued tickets, by number of tickets.
     by_length: BTreeSet<(usize, usize)>,
     positions: BTreeMap<request::Attempt, Position>,
     expiry: BTreeSet<(Instant, request::Attempt)>,
@@ -81,7 +83,7 @@
 }
 
 impl Queue {
-    /// Sets the weights of workspaces; the others have weight one.
+    /// Sets the weights of workspaces. Workspaces without an entry have weight one.
     pub fn set_weights(&mut self, weights: BTreeMap<workspace::Id, u32>) {
         self.weights = weights;
         for flow in 0..self.flows.len() {
@@ -93,33 +95,33 @@
         }
     }
 
-    /// Tickets that wait.
+    /// Number of queued tickets.
     pub fn len(&self) -> usize {
         self.positions.len()
     }
 
-    /// Whether no ticket waits.
+    /// Whether no ticket is queued.
     pub fn is_empty(&self) -> bool {
         self.positions.is_empty()
     }
 
-    /// The cost of the tickets that wait.
+    /// Total cost of the queued tickets.
     pub fn cost(&self) -> Cost {
         self.cost
     }
 
-    /// Whether the ticket of `attempt` waits.
+    /// Whether the ticket of `attempt` is queued.
     pub fn contains(&self, attempt: request::Attempt) -> bool {
         self.positions.contains_key(&attempt)
     }
 
-    /// Tickets of `workspace` that wait.
+    /// Number of queued tickets of `workspace`.
     pub fn len_of(&self, workspace: &workspace::Id) -> usize {
         let flow = self.flow_by_workspace.get(workspace);
         flow.map_or(0, |&flow| self.flows[flow].waiting.len())
     }
 
-    /// The cost of the tickets of `workspace` that wait.
+    /// Cost of the queued tickets of `workspace`.
     pub fn cost_of(&self, workspace: &workspace::Id) -> Cost {
         let flow = self.flow_by_workspace.get(workspace);
         flow.map_or(Cost(0), |&flow| {
@@ -127,7 +129,7 @@
         })
     }
 
-    /// The cost that is served before a ticket of `workspace` offered now.
+    /// Estimated cost served before a ticket of `workspace` that is queued now.
     pub fn cost_ahead(&self, workspace: &workspace::Id, priority: request::Priority) -> Cost {
         let Some(&flow) = self.flow_by_workspace.get(workspace) else {
             return self.cost_served_within(0, self.weight_of(workspace));
@@ -143,11 +145,12 @@
         )
     }
 
-    /// The cost that all workspaces get while virtual time goes on by `virtual_wait`.
+    /// Estimated cost served to all workspaces while virtual time advances by
+    /// `virtual_wait`, with a workspace of `joining_weight` added.
     fn cost_served_within(&self, virtual_wait: u64, joining_weight: u64) -> Cost {
         let weight = u128::from(self.backlogged_weight + joining_weight);
         let served = u128::from(virtual_wait) * weight / u128::from(VIRTUAL_TIME_SCALE);
-        // Each workspace that is ahead by a fraction may get one ticket first.
+        // Each workspace with a slightly lower virtual start may be served one ticket first.
         let head_allowance = self.mean_cost() * self.backlogged.len() as u64;
         let served = u64::try_from(served).unwrap_or(u64::MAX);
         self.cost.min(Cost(served.saturating_add(head_allowance)))
@@ -157,7 +160,7 @@
         self.cost.0 / (self.positions.len().max(1) as u64)
     }
 
-    /// Charges a workspace for a ticket that did not wait in this queue.
+    /// Charges a workspace for a ticket admitted without passing this queue.
     pub fn charge(&mut self, workspace: &workspace::Id, cost: Cost) {
         let flow = self.flow(workspace);
         self.unlink(flow);
@@ -170,7 +173,8 @@
         self.remove_settled();
     }
 
-    /// Adds a ticket. A lower priority orders it `step` later for each step.
+    /// Adds a ticket. Each step below the highest priority moves it back by `step`
+    /// in the order of its workspace.
     pub fn push(&mut self, waiting: Waiting, step: Duration, now: Instant) {
         let flow = self.flow(&waiting.ticket.workspace);
         let ticket = &waiting.ticket;
@@ -193,13 +197,13 @@
         self.link(flow);
     }
 
-    /// The next ticket of each workspace, in the order in which they are served.
+    /// The next ticket of each workspace, in the order of service.
     pub fn heads(&self) -> impl Iterator<Item = &Waiting> {
         let flows = self.backlogged.iter().map(|&(_, flow)| &self.flows[flow]);
         flows.filter_map(|flow| flow.waiting.values().next())
     }
 
-    /// Takes a ticket to serve it, and charges its workspace.
+    /// Removes a ticket to serve it and charges its workspace.
     pub fn serve(&mut self, attempt: request::Attempt) -> Option<Waiting> {
         let flow = self.positions.get(&attempt)?.flow;
         let virtual_start = self.flows[flow].virtual_start;
@@ -213,14 +217,14 @@
         Some(waiting)
     }
 
-    /// Takes a ticket out without serving it.
+    /// Removes a ticket without serving it.
     pub fn remove(&mut self, attempt: request::Attempt) -> Option<Waiting> {
         let waiting = self.detach(attempt)?;
         self.remove_settled();
         Some(waiting)
     }
 
-    /// Takes the next ticket whose latest start has passed.
+    /// Removes the next ticket whose latest start has passed.
     pub fn pop_expired(&mut self, now: Instant) -> Option<Waiting> {
         let &(latest_start, attempt) = self.expiry.first()?;
         if latest_start > now {
@@ -234,8 +238,8 @@
         self.expiry.first().map(|&(instant, _)| instant)
     }
 
-    /// Takes the last ticket of the workspace that has the most, if that is
-    /// more than `workspace` would have with one more.
+    /// Removes the last ticket of the workspace with the most queued tickets, if
+    /// that workspace has more than `workspace` would have with one more.
     pub fn pop_from_longest(&mut self, workspace: &workspace::Id) -> Option<Waiting> {
         let &(length, flow) = self.by_length.last()?;
         if length <= self.len_of(workspace) + 1 {
@@ -245,8 +249,8 @@
         self.remove(last.ticket.attempt)
     }
 
-    /// Takes the tickets out for which `predicate` holds, given the cost that is
-    /// served before each.
+    /// Removes the tickets for which `predicate` holds. Its second argument is the
+    /// estimated cost served before the ticket.
     pub fn extract_if(&mut self, predicate: impl Fn(&Waiting, Cost) -> bool) -> Vec<Waiting> {
         let mut matching = Vec::new();
         for &(virtual_start, flow) in &self.backlogged {
@@ -264,7 +268,8 @@
         removed.filter_map(|attempt| self.remove(attempt)).collect()
     }
 
-    /// Forgets all charges, when the server is idle and nobody has to wait.
+    /// Clears the charges of all workspaces if no ticket is queued. Called when the
+    /// server is idle, so that past usage does not delay anyone.
     pub fn forget_charges(&mut self) {
         if self.is_empty() {
             self.virtual_time = self.idle.last().map_or(self.virtual_time, |last| last.0);
@@ -315,7 +320,7 @@
         Some(waiting)
     }
 
-    /// Takes a workspace out of the orders before it changes.
+    /// Removes a workspace from the sorted sets before its sort keys change.
     fn unlink(&mut self, flow: usize) {
         let Flow {
             virtual_start,
@@ -332,7 +337,7 @@
         }
     }
 
-    /// Puts a workspace into the orders after it changed.
+    /// Inserts a workspace into the sorted sets after its sort keys changed.
     fn link(&mut self, flow: usize) {
         let Flow {
             virtual_start,
@@ -349,7 +354,8 @@
         }
     }
 
-    /// Drops idle workspaces that would start at the present virtual time anyway.
+    /// Removes idle workspaces whose virtual start is not after the current virtual
+    /// time: a new entry would start at the same time.
     fn remove_settled(&mut self) {
         while let Some(&(virtual_start, flow)) = self.idle.first() {
             if virtual_start > self.virtual_time {
--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -1,4 +1,4 @@
-//! Admission of one backend server: limit, load and queue together.
+//! Admission control of one backend server: combines limit, load and queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,18 +21,19 @@
 use capacity::{Capacity, NextQueued};
 use running::{FirstTokenState, Running};
 
-/// Who else may admit requests to the server.
+/// Ownership of the server, as seen by this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Ownership {
-    /// Nobody else does.
+    /// No other router admits requests.
     Settled,
-    /// The earlier owner may not know yet, until the instant.
+    /// Until the instant, an earlier owner may not have learned of the change and
+    /// may still admit requests.
     Takeover(Instant),
-    /// Nobody is to admit any more.
+    /// This router admits no more requests.
     Stopped,
 }
 
-/// What one backend server takes now, decided by its owner.
+/// Admission control of one backend server, run by its owner.
 #[derive(Clone, Debug)]
 pub struct Server {
     settings: Settings,
@@ -46,22 +47,24 @@
     suspects: SuspectQueue,
     running: BTreeMap<request::Attempt, Running>,
     running_cost: Cost,
-    /// Running attempts without a first token, by the instant that shows a cold server.
+    /// Running attempts without a first token, by the instant at which its absence
+    /// shows that the server is cold.
     inflated_timers: BTreeSet<(Instant, request::Attempt)>,
-    /// Those whose first token is not overdue, by the instant at which it will be.
+    /// Running attempts whose first token is not slow yet, by the instant at which
+    /// it becomes slow.
     slow_timers: BTreeSet<(Instant, request::Attempt)>,
-    /// Those whose first token is overdue.
+    /// Running attempts whose first token is slow.
     slow_attempts: BTreeSet<request::Attempt>,
-    /// When the latest attempt was admitted whose first token came in time.
+    /// Admission time of the latest attempt whose first token was on time.
     last_on_time_admission: Instant,
-    /// Whether the owner reports first tokens, so that silence means something.
+    /// Whether the owner reports first tokens, so that a missing one is evidence.
     observes_first_tokens: bool,
-    /// The limit at the last look at the queue.
+    /// The limit at the last check for tickets that can no longer start in time.
     last_seen_limit: u32,
 }
 
 impl Server {
-    /// A server without an earlier owner.
+    /// Creates the state of a server without an earlier owner.
     pub fn new(settings: Settings, now: Instant) -> Self {
         Self {
             run_times: RunTimeEstimator::new(settings.initial_run_time_per_cost),
@@ -84,13 +87,14 @@
         }
     }
 
-    /// A server that an earlier owner may go on admitting to until `until`.
+    /// Creates the state of a server to which an earlier owner may admit requests
+    /// until `until`.
     ///
-    /// Routers disagree for seconds about who owns a server. Two owners that
-    /// each fill it would overload it twice over. So the new one uses only the
-    /// part that a settled owner leaves free, until the earlier one hands over
-    /// or `until` has passed. By `until` the earlier one must have stopped, and
-    /// a load report of the time after must have arrived.
+    /// Routers may disagree for seconds about the owner of a server. Two owners
+    /// that each fill it would put twice its limit on it. The new owner therefore
+    /// uses only the share that a settled owner leaves free, until the earlier
+    /// owner hands over or `until` has passed. By `until` the earlier owner must
+    /// have stopped, and a load report from after that must have arrived.
     pub fn taking_over(settings: Settings, until: Instant, now: Instant) -> Self {
         Self {
             ownership: Ownership::Takeover(until),
@@ -98,7 +102,7 @@
         }
     }
 
-    /// The earlier owner has stopped and tells what it knew.
+    /// Applies the handover of an earlier owner that has stopped admitting.
     pub fn apply_handover(&mut self, handover: Handover, now: Instant) -> Actions {
         if matches!(self.ownership, Ownership::Takeover(_)) {
             self.ownership = Ownership::Settled;
@@ -108,7 +112,7 @@
         self.dispatch(now)
     }
 
-    /// What the next owner is to know, after [`Self::stop`].
+    /// The handover for the next owner, to be taken after [`Self::stop`].
     pub fn handover(&self) -> Handover {
         Handover {
             limit: self.limit.get(&self.settings),
@@ -116,7 +120,7 @@
         }
     }
 
-    /// Takes a ticket, makes it wait or refuses it, each at once.
+    /// Decides immediately whether a ticket is admitted, queued or refused.
     pub fn offer(&mut self, ticket: Ticket, now: Instant) -> Offered {
         let mut others = self.tick(now);
         let weight = self.queue.weight_of(&ticket.workspace);
@@ -129,7 +133,7 @@
         Offered { decision, others }
     }
 
-    /// An admitted attempt ended. Unknown attempts are ignored.
+    /// Records the end of an admitted attempt. Unknown attempts are ignored.
     pub fn finish(&mut self, attempt: request::Attempt, outcome: Outcome, now: Instant) -> Actions {
         let is_in_use = self.is_in_use(now);
         if let Outcome::Completed { first_token_at, .. } = outcome {
@@ -167,7 +171,7 @@
         self.tick(now)
     }
 
-    /// The caller of a queued or running attempt left.
+    /// Cancels a queued or running attempt on behalf of its caller.
     pub fn cancel(&mut self, attempt: request::Attempt, now: Instant) -> Actions {
         if self.running.contains_key(&attempt) {
             return self.finish(attempt, Outcome::Cancelled, now);
@@ -177,7 +181,7 @@
         self.tick(now)
     }
 
-    /// Takes in a load report.
+    /// Applies a load report of the server.
     pub fn report(&mut self, report: Report, now: Instant) -> Actions {
         let restarted = self.limit.report(&report, now);
         let is_takeover = matches!(self.ownership, Ownership::Takeover(_));
@@ -188,18 +192,18 @@
         self.tick(now)
     }
 
-    /// Sets the most that the server may carry by the mean load of its pool.
+    /// Sets the bound on the server's load, derived from the mean load of its pool.
     pub fn set_bound(&mut self, bound: Bound, now: Instant) -> Actions {
         self.bound = bound;
         self.tick(now)
     }
 
-    /// Sets the weights of workspaces; the others have weight one.
+    /// Sets the weights of workspaces. Workspaces without an entry have weight one.
     pub fn set_weights(&mut self, weights: BTreeMap<workspace::Id, u32>) {
         self.queue.set_weights(weights);
     }
 
-    /// Admits nothing any more and refuses all that waits; what runs goes on.
+    /// Stops admission and refuses all queued tickets. Running requests continue.
     pub fn stop(&mut self) -> Actions {
         self.ownership = Ownership::Stopped;
         let mut actions = Actions::new();
@@ -218,7 +222,7 @@
         actions
     }
 
-    /// Admits again after [`Self::stop`], from a limit of one.
+    /// Resumes admission after [`Self::stop`], with a limit of one.
     pub fn start(&mut self, now: Instant) -> Actions {
         if self.ownership == Ownership::Stopped {
             self.ownership = Ownership::Settled;
@@ -227,8 +231,9 @@
         self.tick(now)
     }
 
-    /// Lets time pass: refuses what can no longer make its deadline, detects a
-    /// cold server by its silence and admits what has room.
+    /// Advances to the instant `now`: checks for missing first tokens, expires old
+    /// state, refuses tickets that can no longer meet their deadline and admits
+    /// queued tickets for which there is capacity.
     pub fn tick(&mut self, now: Instant) -> Actions {
         if let Ownership::Takeover(until) = self.ownership
             && now >= until
@@ -245,7 +250,7 @@
         actions
     }
 
-    /// When [`Self::tick`] has something to do, at the latest.
+    /// The next instant at which [`Self::tick`] must be called.
     pub fn next_tick(&self) -> Option<Instant> {
         let first_token_timers = [self.inflated_timers.first(), self.slow_timers.first()];
         let first_token_timers = first_token_timers
@@ -265,7 +270,7 @@
         instants.flatten().min()
     }
 
-    /// Figures for the status page and the metrics.
+    /// Values for the status page and the metrics.
     pub fn snapshot(&self, now: Instant) -> Snapshot {
         let state = match (self.ownership, self.limit.phase()) {
             (Ownership::Stopped, _) => State::Stopped,
@@ -286,7 +291,7 @@
         }
     }
 
-    /// Admits what has room, in fair order.
+    /// Admits queued tickets in fair order while there is capacity.
     fn dispatch(&mut self, now: Instant) -> Actions {
         let mut actions = Actions::new();
         while let Some(ticket) = self.next_suspect(now).or_else(|| self.next_regular(now)) {
@@ -296,7 +301,7 @@
         actions
     }
 
-    /// Takes the next suspect ticket, if it may run now.
+    /// Removes and returns the next suspect ticket, if it may run now.
     fn next_suspect(&mut self, now: Instant) -> Option<Ticket> {
         let next = self.suspects.next_runnable(!self.queue.is_empty())?;
         if self.capacity(&next.ticket, now) != Capacity::Available {
@@ -307,7 +312,7 @@
         Some(next)
     }
 
-    /// Takes the next ticket of the queue, if it may run now.
+    /// Removes and returns the next ticket of the regular queue, if it may run now.
     fn next_regular(&mut self, now: Instant) -> Option<Ticket> {
         let NextQueued::Ready(attempt) = self.next_queued(now) else {
             return None;
@@ -330,10 +335,11 @@
         actions
     }
 
-    /// Refuses the tickets that a fall of the limit has left no chance.
+    /// Refuses the tickets that can no longer start in time after a decrease of the
+    /// limit.
     ///
-    /// They would otherwise wait until their latest start for an answer that is
-    /// certain now, and their callers would lose the time to try elsewhere.
+    /// Otherwise they would be refused only at their latest start, and their
+    /// callers would lose the time for a retry on another server.
     fn refuse_unreachable(&mut self, now: Instant) -> Actions {
         let limit = self.allowed(now);
         let decreased = limit < self.last_seen_limit;
--- a/crates/admission/src/server/capacity.rs
+++ b/crates/admission/src/server/capacity.rs
@@ -1,40 +1,43 @@
-//! What has room on a server at present, and when.
+//! Current capacity of a server for tickets, and estimated start times.
 
 use units::{cost::Cost, request, time::Instant};
 
 use super::{Ownership, Server};
 use crate::Ticket;
 
-/// The most workspaces over their share that others pass by.
+/// Maximum number of workspaces over their share that are skipped in the queue
+/// when looking for a ticket that may run.
 const MAX_SKIPPED_WORKSPACES: usize = 16;
 
-/// Overdue first tokens that may be the fault of a connection and not of the server.
+/// Number of slow first tokens that may be due to a stalled connection rather than
+/// to the server.
 const MAX_SLOW_ATTEMPTS: usize = 1;
 
-/// Whether there is room for a ticket.
+/// Whether a server has capacity for a ticket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Capacity {
-    /// There is.
+    /// The ticket may run now.
     Available,
-    /// There is none for anyone like it.
+    /// There is no free slot, or the cost exceeds the bound.
     Full,
-    /// The last slots are kept for workspaces below their share.
+    /// The remaining slots are reserved for workspaces below their share.
     OverShare,
 }
 
-/// What the queue has to offer.
+/// The ticket that the regular queue serves next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NextQueued {
-    /// Nothing, or only tickets of workspaces over their share.
+    /// No ticket, or only tickets of workspaces over their share.
     None,
-    /// A ticket that there is no room for. It is not passed by cheaper ones.
+    /// There is no capacity for the first ticket. Cheaper tickets do not overtake it.
     Blocked,
-    /// A ticket that may run now.
+    /// The ticket of this attempt may run now.
     Ready(request::Attempt),
 }
 
 impl Server {
-    /// The last instant at which starting the ticket makes sense.
+    /// Latest instant at which the request may be started: bounded by its deadline
+    /// minus the expected run time, and by the maximum time in the queue.
     pub(super) fn latest_start(&self, ticket: &Ticket, now: Instant) -> Instant {
         let left = ticket.deadline.since(now);
         let max_wait = left.mul_f64(self.settings.max_wait_share);
@@ -45,7 +48,7 @@
         by_run_time.min(now + max_wait)
     }
 
-    /// When a ticket starts that has to wait for the cost ahead of it.
+    /// Estimated start of a ticket that waits for the cost `ahead` of it.
     pub(super) fn estimated_start(&self, ahead: Cost, now: Instant) -> Instant {
         let remaining = Cost(self.running_cost.0 / 2);
         now + self
@@ -53,7 +56,7 @@
             .drain_time(ahead + self.suspects.cost() + remaining, self.slots(now))
     }
 
-    /// When a ticket offered now starts, by what its workspace gets.
+    /// Estimated start of a ticket offered now, given the share of its workspace.
     pub(super) fn estimated_fair_start(&self, ticket: &Ticket, now: Instant) -> Instant {
         let ahead = self.queue.cost_ahead(&ticket.workspace, ticket.priority);
         let estimated_start = self.estimated_start(ahead, now);
@@ -61,7 +64,8 @@
         if !self.is_over_share(ticket, allowed, now) {
             return estimated_start;
         }
-        // It gets about as many slots as it has now, whatever is free besides.
+        // A workspace over its share keeps about its current number of slots, even
+        // if others are free.
         let own = self.queue.cost_of(&ticket.workspace);
         let slots = self.shares.in_flight(&ticket.workspace);
         estimated_start.max(now + self.run_times.drain_time(own, slots))
@@ -72,7 +76,7 @@
         allowed.saturating_sub(self.load.foreign(now)).max(1)
     }
 
-    /// The most requests that the server may carry at present.
+    /// Maximum requests that the server may carry now.
     pub(super) fn allowed(&self, now: Instant) -> u32 {
         let limit = self.limit.get(&self.settings);
         let bound = self.max_requests();
@@ -106,7 +110,7 @@
         self.load.total(now).saturating_mul(2) > self.allowed(now)
     }
 
-    /// Whether there is room for a ticket.
+    /// Whether the server has capacity for the ticket now.
     pub(super) fn capacity(&self, ticket: &Ticket, now: Instant) -> Capacity {
         let total = self.load.total(now);
         let allowed = self.allowed(now);
@@ -125,7 +129,7 @@
         Capacity::Available
     }
 
-    /// The ticket of the queue that is served next.
+    /// The ticket that the regular queue serves next.
     pub(super) fn next_queued(&self, now: Instant) -> NextQueued {
         for waiting in self.queue.heads().take(MAX_SKIPPED_WORKSPACES) {
             match self.capacity(&waiting.ticket, now) {
@@ -142,24 +146,27 @@
         shares.is_over_share(&ticket.workspace, allowed, &self.settings, now)
     }
 
-    /// The most requests beside which a workspace over its share gets a slot.
+    /// Number of requests on the server from which a workspace over its share gets
+    /// no further slot.
     ///
-    /// The slots that it leaves free are taken off the limit and not off the
-    /// bound: the bound follows the mean load, and leaving free a part of it
-    /// would lower the mean, and with it the bound, again and again.
+    /// The reserved slots are subtracted from the limit and not from the bound.
+    /// The bound follows the mean load of the pool: leaving a part of it free would
+    /// lower the mean load, and with it the bound, in a feedback loop.
     fn over_share_limit(&self) -> u32 {
         let limit = self.limit.get(&self.settings);
         limit - limit.checked_div(self.settings.headroom).unwrap_or(0)
     }
 
-    /// Whether it is doubtful that the server is still warm: a first token is
-    /// overdue, or the last one was, and no later attempt has overtaken it.
-    /// Then one request goes out to see, and no more until its first token comes.
+    /// Whether the server may have turned cold: a first token is slow, or the last
+    /// one was late or a spike, and no later attempt has had its first token on
+    /// time. In this state one request is admitted as a probe, and no others
+    /// until its first token arrives.
     ///
-    /// A server that turned cold without a warning shows it first by that. Until
-    /// the delay is long enough to be sure, the limit of the warm server would
-    /// let in many more than a cold one bears. If only a connection went silent,
-    /// the next request is answered in time and ends the doubt.
+    /// A slow first token is the first sign of a server that turned cold without
+    /// notice. Until the delay is long enough to confirm it, the limit of the warm
+    /// server would admit many more requests than the cold server can handle. If
+    /// only a connection has stalled, the probe is answered in time and ends this
+    /// state.
     pub(super) fn is_in_doubt(&self) -> bool {
         let is_newest = |attempt: &request::Attempt| {
             let running = self.running.get(attempt);
@@ -179,7 +186,8 @@
             && (slow_count > MAX_SLOW_ATTEMPTS || (slow_check_pending && has_recent_delay))
     }
 
-    /// The cost on the server; requests of others are taken to cost as much as own ones.
+    /// Cost in flight on the server. Foreign requests are assumed to cost as much as
+    /// the mean own request.
     fn total_cost(&self, fallback: Cost, now: Instant) -> Cost {
         let own = u64::from(self.load.own());
         let mean = self.running_cost.0.checked_div(own).unwrap_or(fallback.0);
--- a/crates/admission/src/server/offer.rs
+++ b/crates/admission/src/server/offer.rs
@@ -1,4 +1,4 @@
-//! What becomes of an offered ticket.
+//! Decision on an offered ticket: admit, queue or refuse.
 
 use units::{request, time::Instant, workspace};
 use verdict::{Code, Refusal};
@@ -23,13 +23,13 @@
         {
             return Err(Refusal::not_run(
                 Code::Internal,
-                "An attempt of this name is present.",
+                "An attempt with the same ID is already queued or running.",
             ));
         }
         Ok(())
     }
 
-    /// Admits or queues a ticket that passed the check.
+    /// Admits or queues a validated ticket, or refuses it.
     pub(super) fn admit_or_queue(
         &mut self,
         ticket: Ticket,
@@ -40,15 +40,17 @@
             latest_start: self.latest_start(&ticket, now),
             ticket,
         };
-        // An idle server takes even what seems hopeless: an estimate that is
-        // too high would otherwise refuse everything and never be corrected.
+        // An idle server also admits requests that are estimated to miss their
+        // deadline. Otherwise an estimate that is too high would refuse all
+        // requests and never be corrected by a completed one.
         if waiting.latest_start <= now && !self.running.is_empty() {
-            let message = "The request would not be finished by its deadline.";
+            let message = "The request is not expected to complete before its deadline.";
             return Decision::Refused(Refusal::not_run(Code::Deadline, message));
         }
         let suspect = waiting.ticket.standing == Standing::Suspect;
-        // What waits has no room, or it would have been admitted before. A
-        // ticket may pass those that their own share holds back, but no others.
+        // Tickets are queued only while there is no capacity for them. A new ticket
+        // may overtake those held back because their workspace is over its share,
+        // but no others.
         let is_next = self.next_queued(now) == NextQueued::None
             && self.suspects.may_bypass(waiting.ticket.standing);
         if is_next && self.capacity(&waiting.ticket, now) == Capacity::Available {
@@ -69,7 +71,7 @@
         }
     }
 
-    /// Queues a ticket, if it is likely to start in time and there is space.
+    /// Queues a ticket if it is expected to start in time and the queue has space.
     fn enqueue(
         &mut self,
         waiting: Waiting,
@@ -98,9 +100,11 @@
         Ok(())
     }
 
-    /// Makes space in the queue at the expense of the workspace that has most of it.
+    /// Makes space in a full queue by refusing a ticket of the workspace with the
+    /// most queued tickets.
     ///
-    /// A surge would otherwise fill the queue and shut out the others.
+    /// Otherwise a surge of one workspace would fill the queue and lock out the
+    /// others.
     fn make_space(
         &mut self,
         workspace: &workspace::Id,
@@ -123,14 +127,15 @@
         Ok(())
     }
 
-    /// The refusal of a ticket that waited and will not start in time.
+    /// Refusal of a queued ticket that will not start in time.
     pub(super) fn missed_start_refusal(&self, waiting: &Waiting, now: Instant) -> Refusal {
         let drained_at = self.estimated_start(self.queue.cost(), now);
         self.busy_refusal(waiting.ticket.attempt, drained_at, now, now)
     }
 
-    /// A refusal that says to come back when a ticket like this one would be
-    /// taken, spread over a quarter more time so that callers do not return in one wave.
+    /// Refusal with the time at which a similar ticket is expected to be accepted,
+    /// plus a jitter of up to a quarter of the wait, so that callers do not all
+    /// retry at the same time.
     fn busy_refusal(
         &self,
         attempt: request::Attempt,
@@ -148,6 +153,6 @@
 pub(super) fn moved_refusal() -> Refusal {
     Refusal::not_run(
         Code::Moved,
-        "The backend server takes no new requests here.",
+        "This router no longer admits requests to the backend server.",
     )
 }
--- a/crates/admission/src/server/running.rs
+++ b/crates/admission/src/server/running.rs
@@ -1,4 +1,4 @@
-//! Attempts that run, and what their first tokens show.
+//! Running attempts, and the evaluation of their first tokens.
 
 use std::time::Duration;
 
@@ -7,14 +7,14 @@
 use super::Server;
 use crate::{Actions, Ticket, limit::FirstToken};
 
-/// What is known of an attempt's first token.
+/// State of an attempt's first token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum FirstTokenState {
-    /// It has not arrived and is not late enough to tell.
+    /// It has not arrived and is not late enough for a judgement.
     Pending,
-    /// It, or the lack of it, has been judged.
+    /// The first token, or its absence, has been judged.
     Judged,
-    /// It comes with the last one, since the answer is in one piece.
+    /// The response is not streamed, so the first token arrives with the last.
     NonStreaming,
 }
 
@@ -26,9 +26,9 @@
     pub admitted_at: Instant,
     /// When its first token is due.
     pub due: Instant,
-    /// When its silence makes the server doubtful.
+    /// When a missing first token becomes slow, so that the server may be cold.
     pub slow_at: Instant,
-    /// When its silence shows a cold server.
+    /// When a missing first token shows that the server is cold.
     pub inflated_at: Instant,
     pub first_token_state: FirstTokenState,
 }
@@ -44,21 +44,22 @@
 }
 
 impl Server {
-    /// The first token of an admitted attempt, or the head of its answer, arrived.
+    /// Records that the first token of an admitted attempt, or the head of its
+    /// response, arrived.
     ///
-    /// Owners that call this learn of a cold server from the silence of requests
-    /// in flight, long before any of them ends.
+    /// If the owner calls this, a cold server is detected from missing first tokens
+    /// of requests in flight, long before any of them ends.
     pub fn first_token(&mut self, attempt: request::Attempt, now: Instant) -> Actions {
         self.observes_first_tokens = true;
         self.judge_first_token(attempt, now, now);
         self.tick(now)
     }
 
-    /// The answer to an admitted attempt comes in one piece.
+    /// Marks the response to an admitted attempt as not streamed.
     ///
-    /// Its first byte arrives with the last token, so that a healthy server
-    /// would be taken for a cold one. Such an attempt is judged by the time
-    /// that it runs, against what others of its cost took.
+    /// The first byte of such a response arrives with the last token, so its delay
+    /// would make a healthy server look cold. Such an attempt is judged by its run
+    /// time instead, compared with the expected run time for its cost.
     pub fn mark_non_streaming(&mut self, attempt: request::Attempt) {
         let Some(running) = self.running.get_mut(&attempt) else {
             return;
@@ -93,7 +94,8 @@
         self.load.add(now);
     }
 
-    /// Looks for requests whose first token is so late that the server is cold.
+    /// Marks attempts whose first token is slow, and judges those whose first token
+    /// is so late that the server must be cold.
     pub(super) fn check_first_tokens(&mut self, now: Instant) {
         while self.observes_first_tokens
             && let Some(&(slow_at, attempt)) = self.slow_timers.first()
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Judges an answer that came in one piece by the time that it took.
+    /// Judges a completed attempt without streaming by its run time.
     pub(super) fn finish_non_streaming(
         &mut self,
         running: &Running,
@@ -124,15 +126,15 @@
             self.limit.failed(now);
             return;
         }
-        // In time: it counts like a request whose first token came easily.
+        // In time: counts as a request with a fast first token.
         let token = running.first_token(running.admitted_at);
         self.limit.completed(token, is_in_use, &self.settings, now);
     }
 
-    /// Judges the first token of an attempt once.
+    /// Judges the first token of an attempt, at most once.
     ///
-    /// One that a later attempt has overtaken in time says nothing about the
-    /// server: its connection may have gone silent.
+    /// The attempt is ignored if a later one has had its first token on time: then
+    /// the delay may come from a stalled connection rather than from the server.
     pub(super) fn judge_first_token(
         &mut self,
         attempt: request::Attempt,
--- a/crates/admission/src/settings.rs
+++ b/crates/admission/src/settings.rs
@@ -1,71 +1,76 @@
-//! Settings of admission.
+//! Settings of admission control.
 
 use std::time::Duration;
 
-/// Settings of one server's admission.
+/// Settings of the admission control of one server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The most requests that a warm server runs at once.
+    /// Maximum concurrent requests of a warm server.
     pub max_concurrency: u32,
-    /// The first token is due this long after admission, for a request without cost.
+    /// Target for the time from admission to the first token, for a request of
+    /// cost zero.
     pub first_token_target: Duration,
-    /// Added to `first_token` for each token of cost.
+    /// Added to `first_token_target` per token of cost.
     pub first_token_target_per_cost: Duration,
-    /// The share of first tokens that may be late at the limit.
+    /// Share of late first tokens to which the limit converges.
     pub late_share: f64,
-    /// Late first tokens in a row that halve the limit.
+    /// Number of consecutive late first tokens that halves the limit.
     pub consecutive_late_threshold: u32,
-    /// A first token later than this multiple of its target shows a cold server.
+    /// A first token that takes at least this multiple of its target indicates a
+    /// cold server.
     pub inflation_factor: u32,
-    /// First tokens in a row, that late, that set the limit to one.
+    /// Number of consecutive first tokens beyond `inflation_factor` that resets the
+    /// limit to one.
     pub consecutive_inflated_threshold: u32,
-    /// A first token that takes this multiple of the typical one is sudden.
+    /// A first token above this multiple of the baseline is a spike.
     pub spike_factor: f64,
-    /// First tokens in a row, that sudden, that halve the limit.
+    /// Number of consecutive spikes that halves the limit.
     pub consecutive_spike_threshold: u32,
-    /// The first token of a warm server as a share of its target, assumed until
-    /// it is learned.
+    /// Initial baseline: the time to first token of a warm server as a share of its
+    /// target, assumed until it has been observed.
     pub initial_baseline: f64,
-    /// The limit grows while the first token takes at most this multiple of
-    /// the typical one.
+    /// The limit grows while the time to first token is at most this multiple of
+    /// the baseline.
     pub growth_tolerance: f64,
-    /// In this time after a cold start, `ease` grows by a factor of two.
+    /// Time after a cold start in which the effective `growth_tolerance` doubles.
     pub tolerance_doubling_time: Duration,
-    /// Added to the limit for each request completed in time before the first
-    /// sign of load.
+    /// Added to the limit for each request that completes in time during slow
+    /// start.
     pub growth_step: f64,
-    /// A request that ran shorter than this counts less for `growth`.
+    /// Requests with a shorter run time add proportionally less than `growth_step`.
     pub full_growth_run_time: Duration,
-    /// After this time without a completed request or a report, the limit
-    /// halves, since the server may have turned cold unseen.
+    /// The limit halves after each such period without a completed request or a
+    /// load report, since the server may have restarted unnoticed. Zero disables
+    /// this.
     pub unconfirmed_half_life: Duration,
-    /// How old the content of a load report may be when it arrives.
+    /// Maximum age of the values in a load report when it arrives.
     pub report_lag: Duration,
-    /// After this time without a report, the last one counts no longer.
+    /// Time after which a load report without a successor expires.
     pub report_expiry: Duration,
-    /// A new owner may use one part in this many of the bound while an earlier
-    /// owner may still admit; a settled owner leaves that part free.
+    /// Divisor of the bound: the fraction `1 / takeover_share` of the bound is
+    /// available to a new owner while an earlier owner may still admit. A settled
+    /// owner leaves this fraction free.
     pub takeover_share: u32,
-    /// One part in this many of the limit is kept for workspaces that run less
-    /// than their fair share.
+    /// Divisor of the limit: the fraction `1 / headroom` of the limit is reserved
+    /// for workspaces below their fair share. Zero reserves nothing.
     pub headroom: u32,
-    /// The time over which the requests that a workspace runs are averaged.
+    /// Time constant of the moving average of a workspace's requests in flight.
     pub usage_window: Duration,
-    /// How long a workspace counts as active after its last request.
+    /// Time after its last request until a workspace is inactive.
     pub activity_timeout: Duration,
-    /// The most tickets that wait, of all workspaces.
+    /// Maximum number of queued tickets of all workspaces, without suspects.
     pub max_queued: usize,
-    /// The most tickets of one workspace that wait.
+    /// Maximum number of queued tickets per workspace.
     pub max_queued_per_workspace: usize,
-    /// The most suspect tickets that wait.
+    /// Maximum number of queued suspect tickets.
     pub max_queued_suspects: usize,
-    /// The share of the time to its deadline that a ticket may wait, so that a
-    /// refusal comes early enough to try elsewhere.
+    /// Share of the time to its deadline that a ticket may spend in the queue, so
+    /// that a refusal leaves time to retry on another server.
     pub max_wait_share: f64,
-    /// How much later a ticket is served for each step of lower priority,
-    /// among the tickets of its workspace.
+    /// Delay per step of lower priority in the queue order, among the tickets of
+    /// one workspace.
     pub priority_step: Duration,
-    /// The run time assumed for each token of cost until one has completed.
+    /// Run time per token of cost that is assumed until the first request completes.
     pub initial_run_time_per_cost: Duration,
 }
 
--- a/crates/admission/src/share.rs
+++ b/crates/admission/src/share.rs
@@ -1,4 +1,4 @@
-//! Who uses how much of a server at present.
+//! Current usage of a server by workspace.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 
 use crate::Settings;
 
-/// The multiple of its share that a workspace may run on average before it
-/// leaves slots free.
+/// A workspace whose average usage reaches this multiple of its fair share must
+/// leave slots free for others.
 const OVER_SHARE_FACTOR: f64 = 1.5;
 
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     in_flight: u32,
-    /// Requests in flight, averaged up to `averaged_at`.
+    /// Exponential moving average of the requests in flight at `averaged_at`.
     average: f64,
     averaged_at: Instant,
     weight: u64,
@@ -29,24 +29,24 @@
     }
 }
 
-/// The requests that each workspace runs, and which workspaces are active.
+/// Requests in flight of each workspace, and the set of active workspaces.
 ///
-/// A fair queue alone gives a quiet workspace the next slot that comes free.
-/// While another one surges, all slots are always taken, so that the quiet one
-/// waits for one each time, where before it waited hardly ever. So a workspace
-/// over its fair share leaves some slots free for the others. What counts is the
-/// average over some time, since the requests of a steady workspace come in
-/// clusters too.
+/// A fair queue alone gives a workspace with little load the next free slot.
+/// During a surge of another workspace all slots are taken all the time, so each
+/// of its requests waits for a slot where they rarely waited before. A workspace
+/// over its fair share therefore leaves some slots free for others. The usage is
+/// averaged over time, because the requests of a steady workspace arrive in
+/// bursts as well.
 #[derive(Clone, Debug, Default)]
 pub struct Shares {
     usages: BTreeMap<workspace::Id, Usage>,
-    /// Workspaces without a running request by the end of their activity.
+    /// Workspaces without requests in flight, by the instant at which they become inactive.
     idle_by_expiry: BTreeSet<(Instant, workspace::Id)>,
     total_weight: u64,
 }
 
 impl Shares {
-    /// A request of `workspace` was offered.
+    /// Records that a request of `workspace` was offered.
     pub fn offered(
         &mut self,
         workspace: &workspace::Id,
@@ -57,7 +57,7 @@
         self.update(workspace, weight, settings, now, |_| {});
     }
 
-    /// A request of `workspace` was admitted.
+    /// Records that a request of `workspace` was admitted.
     pub fn admitted(
         &mut self,
         workspace: &workspace::Id,
@@ -70,7 +70,7 @@
         });
     }
 
-    /// A request of `workspace` ended.
+    /// Records that a request of `workspace` ended.
     pub fn finished(
         &mut self,
         workspace: &workspace::Id,
@@ -83,8 +83,8 @@
         });
     }
 
-    /// Whether `workspace` runs `OVER_SHARE_FACTOR` times its share of `limit` or more on
-    /// average, while others are active.
+    /// Whether the average usage of `workspace` is at least `OVER_SHARE_FACTOR`
+    /// times its fair share of `limit` while other workspaces are active.
     pub fn is_over_share(
         &self,
         workspace: &workspace::Id,
@@ -100,13 +100,13 @@
             && usage.average(settings, now) >= share * OVER_SHARE_FACTOR
     }
 
-    /// Requests of `workspace` that run.
+    /// Requests of `workspace` in flight.
     pub fn in_flight(&self, workspace: &workspace::Id) -> u32 {
         let usage = self.usages.get(workspace);
         usage.map_or(0, |usage| usage.in_flight)
     }
 
-    /// Forgets workspaces whose activity has ended.
+    /// Removes workspaces that have become inactive.
     pub fn expire(&mut self, now: Instant) {
         while self
             .idle_by_expiry
--- a/crates/admission/src/suspect_queue.rs
+++ b/crates/admission/src/suspect_queue.rs
@@ -1,4 +1,4 @@
-//! The lane of requests suspected of crashing backend servers.
+//! Queue of requests suspected of crashing backend servers.
 
 use std::collections::VecDeque;
 
@@ -6,18 +6,18 @@
 
 use crate::{Standing, queue::Waiting};
 
-/// Suspect tickets in order of arrival; at most one of them runs.
+/// FIFO queue of suspect tickets, of which at most one runs at a time.
 ///
-/// A request that crashes its server takes the others in the batch with it,
-/// and each of them gets a strike. Were two such requests retried side by side,
-/// the guilty one would give the innocent one its second strike, and the
-/// innocent one would be refused for good. Run one at a time, an innocent
-/// request finishes, and only the guilty one dies again.
+/// When a request crashes its server, all requests in the batch fail and each
+/// gets a strike. If suspects were retried concurrently, the request that
+/// causes the crash would give harmless ones a second strike, and they would be
+/// refused permanently. Run one at a time, a harmless request completes and
+/// only the one that causes the crash fails again.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct SuspectQueue {
     waiting: VecDeque<Waiting>,
     running: Option<request::Attempt>,
-    /// Whether the last admission came from the lane while others waited.
+    /// Whether the last admitted ticket was a suspect, so that a regular ticket goes next.
     yields_next: bool,
 }
 
@@ -40,8 +40,9 @@
         self.waiting.push_back(waiting);
     }
 
-    /// The ticket that may run now. The lane lets one of the queue pass after
-    /// each of its own, so that a server with a limit of one serves both.
+    /// The ticket that may run now. After each suspect ticket, one ticket of
+    /// the regular queue goes first, so that a server with a limit of one
+    /// serves both queues.
     pub fn next_runnable(&self, regular_waiting: bool) -> Option<&Waiting> {
         if self.running.is_some() || (self.yields_next && regular_waiting) {
             return None;
@@ -49,7 +50,8 @@
         self.waiting.front()
     }
 
-    /// Whether a ticket that does not wait overtakes none that may run.
+    /// Whether a new ticket can be admitted without overtaking a suspect ticket
+    /// that may run.
     pub fn may_bypass(&self, standing: Standing) -> bool {
         match standing {
             Standing::Suspect => self.running.is_none() && self.waiting.is_empty(),
@@ -57,7 +59,7 @@
         }
     }
 
-    /// Takes the ticket that may run now.
+    /// Removes the first ticket and marks it as running.
     pub fn start_next(&mut self) -> Option<Waiting> {
         let waiting = self.waiting.pop_front()?;
         self.running = Some(waiting.ticket.attempt);
@@ -65,18 +67,18 @@
         Some(waiting)
     }
 
-    /// A suspect ticket was admitted without waiting.
+    /// Marks a suspect ticket as running that was admitted without queueing.
     pub fn start(&mut self, attempt: request::Attempt) {
         self.running = Some(attempt);
         self.yields_next = true;
     }
 
-    /// Takes the first ticket out without running it.
+    /// Removes the first ticket without running it.
     pub fn pop_unstarted(&mut self) -> Option<Waiting> {
         self.waiting.pop_front()
     }
 
-    /// Another ticket was admitted.
+    /// Records that a ticket of the regular queue was admitted.
     pub fn regular_admitted(&mut self) {
         self.yields_next = false;
     }
--- a/crates/admission/tests/failures/cold.rs
+++ b/crates/admission/tests/failures/cold.rs
@@ -1,4 +1,4 @@
-//! Engines that turn cold without a warning.
+//! Engines that turn cold without notice.
 
 use admission::{Server, Settings};
 use units::time::Instant;
@@ -6,18 +6,19 @@
 
 use crate::{engine::Profile, sim::Sim};
 
-/// What befalls the engine.
+/// Fault injected into the engine.
 enum Fault {
     TurnsCold,
     Restarts,
 }
 
-// An engine restarts, or loses its caches and compiled kernels, and says
-// nothing. It now bears two requests where it bore thirty, and falls over if it
-// gets the thirty. Users see first tokens that take many times longer, or
-// broken streams. A few requests are on their way before the owner can know;
-// from then on none may be too many, until the engine is warm again. The first
-// start is no different. The limit must come back without help.
+// Guards against overloading a cold engine. An engine restarts, or loses its
+// caches and compiled kernels, without notice. Its capacity drops from about
+// thirty concurrent requests to two, and thirty would make it fail: users see
+// first tokens that take many times longer, or broken streams. A few excess
+// requests are sent before the owner can detect the fault; after that, none may
+// exceed the capacity until the engine is warm again. The same holds for the
+// first start. The limit must recover without intervention.
 #[parameterized(
     short_turns_cold = { 12.0, (50, 500), Fault::TurnsCold, 16 },
     short_restarts = { 12.0, (50, 500), Fault::Restarts, 0 },
@@ -39,11 +40,14 @@
         }
         sim.schedule_reports(300);
         sim.run(100);
-        assert!(sim.server.snapshot(sim.now).limit >= 16, "did not warm up");
+        assert!(
+            sim.server.snapshot(sim.now).limit >= 16,
+            "the limit did not reach 16 during warm-up"
+        );
         assert_eq!(
             sim.stats.overload,
             (0, 0),
-            "seed {seed}: overloaded at the start"
+            "seed {seed}: engine overloaded during the first start"
         );
         match fault {
             Fault::TurnsCold => sim.turn_cold(100),
@@ -54,12 +58,15 @@
         println!("overload before={early_overload} after={late_overload}");
         assert_eq!(
             late_overload, 0,
-            "seed {seed}: overloaded though known to be cold"
+            "seed {seed}: engine overloaded after it was detected as cold"
         );
         assert!(
             early_overload <= max_early_overload,
-            "seed {seed}: {early_overload} before it was known to be cold"
+            "seed {seed}: {early_overload} excess requests before it was detected as cold"
+        );
+        assert!(
+            sim.server.snapshot(sim.now).limit >= 16,
+            "the limit did not recover"
         );
-        assert!(sim.server.snapshot(sim.now).limit >= 16, "did not recover");
     }
 }
--- a/crates/admission/tests/failures/day.rs
+++ b/crates/admission/tests/failures/day.rs
@@ -1,4 +1,4 @@
-//! A day of one engine, as a golden file.
+//! A simulated day of one engine, compared with a golden file.
 
 use std::{env, fs, path::Path};
 
@@ -16,7 +16,7 @@
     let snapshot = sim.server.snapshot(sim.now);
     let refused: u64 = sim.stats.refused.values().sum();
     format!(
-        "second={} state={:?} limit={} bears={} in_flight={} queued={} completed={} refused={refused}\n",
+        "second={} state={:?} limit={} capacity={} in_flight={} queued={} completed={} refused={refused}\n",
         sim.now.as_micros() / 1_000_000,
         snapshot.state,
         snapshot.limit,
@@ -27,7 +27,7 @@
     )
 }
 
-/// Starts cold, warms up, sees a surge, restarts without a warning, is drained.
+/// Simulates a cold start, a surge, a restart without notice and a drain.
 fn simulate_day() -> String {
     let mut sim = Sim::new(
         Server::new(Settings::default(), Instant::ZERO),
@@ -51,16 +51,16 @@
     text
 }
 
-// An engine is started, surged upon, restarted and drained within one day.
-// Whatever changes in how its limit moves and its queue empties is seen here,
-// before users see it as refusals.
+// Guards against unintended changes of the limit and the queue over time. An
+// engine goes through a start, a surge, a restart and a drain; any change in how
+// its limit moves or its queue drains shows as a difference.
 #[test]
 fn a_simulated_day_matches_the_golden_file() {
     let actual_day = simulate_day();
     if env::var(REWRITE).is_ok_and(|value| value == "write") {
         fs::write(GOLDEN, &actual_day).expect("the golden file can be written");
     }
-    let golden = fs::read_to_string(Path::new(GOLDEN)).expect("the golden file is there");
+    let golden = fs::read_to_string(Path::new(GOLDEN)).expect("the golden file can be read");
     for (actual, expected) in actual_day.lines().zip(golden.lines()) {
         assert_eq!(actual, expected);
     }
--- a/crates/admission/tests/failures/engine.rs
+++ b/crates/admission/tests/failures/engine.rs
@@ -1,4 +1,4 @@
-//! A small fake of a model engine: it bears little and is slow while it is cold.
+//! A simulated model engine that is slow and has little capacity while it is cold.
 
 use std::time::Duration;
 
@@ -7,19 +7,20 @@
 use rand_chacha::ChaCha8Rng;
 use units::{cost::Cost, time::Instant};
 
-/// What an engine is like.
+/// Performance profile of a simulated engine.
 #[derive(Clone, Debug)]
 pub struct Profile {
-    /// What it bears right after a start, in requests, and when it is warm.
+    /// Concurrent requests without overload, right after a start and when warm.
     pub capacity: (u32, u32),
-    /// How many times slower it is right after a start.
+    /// Factor by which the engine is slower right after a start.
     pub slowdown: f64,
     pub warm_up: Duration,
     pub prefill: Duration,
     pub decode: Duration,
-    /// One part in this many of a request's cost is output.
+    /// Divisor of the cost: the fraction `1 / output_share` of a request's cost is
+    /// output.
     pub output_share: u64,
-    /// The spread of prefill times, as the sigma of a log-normal factor.
+    /// Sigma of the log-normal factor on prefill times.
     pub noise: f64,
 }
 
@@ -64,7 +65,7 @@
         (self.profile.noise * (sum - 6.0)).exp()
     }
 
-    /// From zero right after a start to one.
+    /// Progress of the warm-up, from zero right after a start to one.
     pub fn warm_fraction(&self, now: Instant) -> f64 {
         let age = now.since(self.started_at).as_secs_f64();
         (age / self.profile.warm_up.as_secs_f64()).min(1.0)
@@ -75,7 +76,7 @@
         cold + (f64::from(warm - cold) * self.warm_fraction(now).powi(2)) as u32
     }
 
-    /// Begins a request. Returns when its first and its last token are out.
+    /// Starts a request. Returns the instants of its first and its last token.
     pub fn start(&mut self, cost: Cost, now: Instant) -> (Instant, Instant) {
         self.running += 1;
         let slowdown = 1.0 + (self.profile.slowdown - 1.0) * (1.0 - self.warm_fraction(now));
@@ -92,7 +93,7 @@
         (first, first + decode.mul_f64(slowdown.sqrt() * contention))
     }
 
-    /// Turns cold; what it runs goes on.
+    /// Resets the warm-up. Running requests continue.
     pub fn turn_cold(&mut self, now: Instant) {
         self.started_at = now;
     }
--- a/crates/admission/tests/failures/fairness.rs
+++ b/crates/admission/tests/failures/fairness.rs
@@ -1,4 +1,4 @@
-//! Workspaces that surge while others go on as before.
+//! Fairness between workspaces, and between the priorities of one workspace.
 
 use std::time::Duration;
 
@@ -16,8 +16,9 @@
 
 const SEEDS: u64 = 6;
 
-/// The queue times in milliseconds of the workspaces that do not surge, and how
-/// many of their requests were refused.
+/// Simulates a workspace whose load is multiplied by `surge`. Returns the queue
+/// times of the other workspaces in milliseconds and the number of their refused
+/// requests.
 fn quiet_workspaces(surge: f64, seed: u64) -> (Vec<u64>, u64) {
     let settings = Settings {
         max_concurrency: 16,
@@ -55,9 +56,10 @@
     )
 }
 
-// One workspace sends ten times its usual traffic to an engine that is busy to
-// four fifths. The others ask for no more than before, and see no reason why
-// their requests should wait longer or be refused.
+// Guards against a surge of one workspace that delays others. One workspace
+// sends ten times its usual traffic to an engine at 80 % utilization. The load of
+// the others is unchanged, so their requests must neither wait much longer nor be
+// refused.
 #[test]
 fn a_surge_does_not_delay_other_workspaces() {
     let (mut before, mut during, mut refused) = (Vec::new(), Vec::new(), 0);
@@ -73,14 +75,17 @@
         "fairness={ratio:.3} before_ms={before} refused={refused} of {}",
         during.len()
     );
-    assert!(before > 100, "no queue to compare with");
+    assert!(
+        before > 100,
+        "p95 queue time without a surge is too short to compare: {before} ms"
+    );
     assert!(
         ratio <= 1.5,
-        "p95 queue time of the others grew by {ratio:.3}"
+        "p95 queue time of the other workspaces grew by a factor of {ratio:.3}"
     );
     assert!(
         refused * 200 <= during.len() as u64,
-        "{refused} of the others refused"
+        "{refused} requests of the other workspaces refused"
     );
 }
 
@@ -102,8 +107,9 @@
     }
 }
 
-// A workspace sends urgent requests without a pause, and one that may wait. If
-// the urgent ones always went first, the other would never be answered.
+// Guards against starvation within a workspace. It sends interactive requests
+// continuously and one batch request, which would never run if the interactive
+// ones always went first.
 #[test]
 fn low_priority_is_not_starved() {
     let mut now = Instant::from_millis(1);
@@ -126,13 +132,13 @@
             running = *next;
         }
     }
-    panic!("starved");
+    panic!("the batch request was starved");
 }
 
-// Three workspaces with weights 1, 2 and 4 keep a server busy. An operator who
-// gave one of them twice the weight expects it to get twice the work. A fourth
-// one that was idle all the time comes with a burst: it has saved up nothing,
-// and the others must not wait until its burst is done.
+// Guards against shares that do not follow the weights. Three workspaces with
+// weights 1, 2 and 4 keep a server busy and must be served in that proportion.
+// Then a fourth workspace, idle until now, sends a burst. It must not have
+// accumulated credit while idle: the others must not wait for its burst to end.
 #[test]
 fn contended_work_is_shared_by_weight() {
     const NAMES: [&str; 4] = ["a", "b", "c", "late"];
@@ -146,7 +152,7 @@
     let weights = NAMES.into_iter().zip(WEIGHTS);
     let weights = weights.map(|(name, weight)| (name.parse().expect("a valid name"), weight));
     server.set_weights(weights.collect());
-    // The attempt tells the workspace.
+    // The attempt number modulo four is the index of the workspace.
     let offer = |server: &mut Server, round: u64, name: usize| {
         let attempt = round * 4 + name as u64;
         server.offer(ticket(attempt, NAMES[name], Priority::Normal, now), now);
@@ -158,7 +164,7 @@
             served[running.0 as usize % 4] += 1;
             let actions = server.finish(running, completed(now), now);
             let Some(Action::Admit(next)) = actions.first() else {
-                panic!("idle")
+                panic!("no ticket admitted though some are queued")
             };
             running = *next;
         }
@@ -176,7 +182,7 @@
     let served = serve(&mut server, 80);
     assert!(
         served[3].abs_diff(10) <= 2,
-        "the late one got {} of 80",
+        "the workspace with the burst was served {} of 80 times",
         served[3]
     );
 }
--- a/crates/admission/tests/failures/invariants.rs
+++ b/crates/admission/tests/failures/invariants.rs
@@ -1,4 +1,4 @@
-//! What holds whatever happens in whatever order.
+//! Invariants that hold for any sequence of events.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Lets time pass as an owner does, with a tick whenever one is due.
+    /// Advances the time as an owner does, with a tick whenever one is due.
     fn advance(&mut self, until: Instant) {
         while let Some(due) = self.server.next_tick().filter(|due| *due <= until) {
             self.now = self.now.max(due);
@@ -257,20 +257,23 @@
         if has_admitted {
             assert!(
                 total <= snapshot.limit,
-                "{total} above the limit of {}",
+                "{total} requests exceed the limit of {}",
                 snapshot.limit
             );
             let bound = self.bound.requests.unwrap_or(u32::MAX).max(1);
-            assert!(total <= bound, "{total} above the bound of {bound}");
+            assert!(
+                total <= bound,
+                "{total} requests exceed the bound of {bound}"
+            );
             let cost = self.bound.cost.unwrap_or(Cost(u64::MAX));
             assert!(
                 total == 1 || snapshot.in_flight_cost <= cost,
-                "above the cost bound"
+                "the cost in flight exceeds the cost bound"
             );
         }
         let is_suspect = |attempt: &Attempt| self.tickets.entries[attempt].suspect;
         let suspects = running.iter().filter(|attempt| is_suspect(attempt)).count();
-        assert!(suspects <= 1, "{suspects} suspects run side by side");
+        assert!(suspects <= 1, "{suspects} suspects run concurrently");
 
         let queued = self.tickets.in_state(TicketState::Queued);
         assert_eq!(snapshot.queued as usize, queued.len());
@@ -284,18 +287,19 @@
         let may_run = waiting > 0 || (suspects == 0 && !queued.is_empty());
         assert!(
             !(idle && may_run),
-            "{} wait though there is room",
+            "{} tickets are queued though there is capacity",
             queued.len()
         );
         if snapshot.state == State::Stopped {
             assert!(
                 queued.is_empty() && !has_admitted,
-                "work on a stopped server"
+                "tickets queued or admitted on a stopped server"
             );
         }
     }
 
-    /// Ends all that runs; what waits is admitted or refused by then.
+    /// Finishes all running attempts. Queued tickets must be admitted or refused by
+    /// then.
     fn drain(&mut self) {
         while !self.tickets.in_state(TicketState::Admitted).is_empty() {
             self.finish(0, 2);
@@ -305,7 +309,10 @@
             self.finish(0, 2);
         }
         let lost = self.tickets.in_state(TicketState::Queued);
-        assert!(lost.is_empty(), "lost: {lost:?}");
+        assert!(
+            lost.is_empty(),
+            "tickets never admitted or refused: {lost:?}"
+        );
     }
 }
 
@@ -317,10 +324,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Requests, ends, cancellations, late reports, restarts, bounds, drains and
-    // a takeover come in any order. A slip shows to users as an overloaded
-    // engine, as a request that is answered twice or never, or as one that was
-    // refused as not run and runs all the same.
+    // Guards against engines that are overloaded, requests that are answered twice
+    // or never, and requests that run after a refusal that says they have not run.
+    // Offers, completions, cancellations, late reports, restarts, bounds, drains
+    // and a takeover occur in random order.
     #[test]
     fn every_ticket_ends_exactly_once_within_limit_and_bound(
         takes_over in any::<bool>(),
--- a/crates/admission/tests/failures/main.rs
+++ b/crates/admission/tests/failures/main.rs
@@ -1,4 +1,5 @@
-//! Failures of one backend server, its reports and its owners, in virtual time.
+//! Simulations of one backend server, its load reports and its owners under
+//! failures, in virtual time.
 
 mod cold;
 mod day;
--- a/crates/admission/tests/failures/non_streaming.rs
+++ b/crates/admission/tests/failures/non_streaming.rs
@@ -1,4 +1,4 @@
-//! Answers that come in one piece.
+//! Responses that are not streamed.
 
 use std::time::Duration;
 
@@ -18,9 +18,10 @@
     }
 }
 
-// Callers ask for answers that are not streamed, so nothing arrives before the
-// last token. A healthy engine looked as slow as a cold one: it was held at one
-// request at a time, and users waited beside idle engines.
+// Guards against a healthy engine that is treated as cold because its responses
+// are not streamed. Nothing arrives before the last token, so the first byte is as
+// late as on a cold engine. The limit stayed at one, and users waited while
+// engines were idle.
 #[test]
 fn an_engine_with_non_streaming_responses_warms_up() {
     let mut now = Instant::ZERO;
@@ -47,5 +48,5 @@
         }
     }
     let limit = server.snapshot(now).limit;
-    assert!(limit >= 16, "the limit is still at {limit} after a minute");
+    assert!(limit >= 16, "the limit is only {limit} after a minute");
 }
--- a/crates/admission/tests/failures/owners.rs
+++ b/crates/admission/tests/failures/owners.rs
@@ -1,4 +1,4 @@
-//! Two routers that both take themselves for the owner of a server.
+//! Two routers that both act as owner of a server during a takeover.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -15,7 +15,8 @@
 const REPORT_LAG: Duration = Duration::from_millis(900);
 const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 const TAKEOVER_ENDS_AT: Instant = Instant::from_millis(8000);
-/// The earlier owner has stopped a poll and a lag before the takeover ends.
+/// The earlier owner stops at least a report interval and a report lag before the
+/// takeover ends.
 const EARLIER_OWNER_STOPS_AT: Instant = Instant::from_millis(6500);
 
 struct OwnerPair {
@@ -23,7 +24,7 @@
     running: [Vec<Attempt>; 2],
     bound: u32,
     now: Instant,
-    /// Loads of the server that have not been reported yet.
+    /// Load of the server at each report interval, from which reports are made.
     load_history: VecDeque<(Instant, u32)>,
     offers: u64,
 }
@@ -79,7 +80,7 @@
         let total = self.total();
         assert!(
             total <= self.bound,
-            "{total} of both owners above the bound of {}",
+            "{total} requests of both owners exceed the bound of {}",
             self.bound
         );
     }
@@ -156,11 +157,11 @@
         ..ProptestConfig::default()
     })]
 
-    // After a router joins or dies, two routers take themselves for the owner of
-    // an engine for some seconds, and each sees the other's work only in reports
-    // that lag. If each filled the engine, it would carry twice its bound and
-    // users would wait for it. The earlier owner stops when it learns of the
-    // change, and may or may not reach the new one to hand over.
+    // Guards against an engine that carries twice its bound during a change of
+    // owner. After a router joins or fails, two routers act as owner of an engine
+    // for some seconds, and each sees the requests of the other only in delayed
+    // load reports. The earlier owner stops when it learns of the change; its
+    // handover may or may not reach the new owner.
     #[test]
     fn two_owners_stay_within_the_bound(
         bound in 1..24_u32,
@@ -187,7 +188,7 @@
                 _ => pair.offer(owner),
             }
         }
-        // The new owner gets to use the server once the other's work has ended.
+        // The new owner admits requests once those of the earlier owner have ended.
         pair.advance(9000);
         pair.owners[0].stop();
         while !pair.running[0].is_empty() {
@@ -195,6 +196,6 @@
         }
         pair.advance(3000);
         pair.offer(1);
-        prop_assert!(!pair.running[1].is_empty(), "the new owner never admits");
+        prop_assert!(!pair.running[1].is_empty(), "the new owner admits no request");
     }
 }
--- a/crates/admission/tests/failures/reports.rs
+++ b/crates/admission/tests/failures/reports.rs
@@ -1,4 +1,4 @@
-//! Load reports that lag, and deadlines that cannot be met.
+//! Delayed load reports, restarts, missed deadlines and stalled connections.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -31,9 +31,10 @@
         ..ProptestConfig::default()
     })]
 
-    // A report tells what an engine had up to a second ago. If own requests that
-    // it still counts, or that have ended since, were taken for those of others,
-    // the engine would seem full and stand idle while users are refused.
+    // Guards against own requests that are counted as foreign. A report shows the
+    // load of an engine up to a second ago. If own requests in it, including those
+    // that have ended since, were counted as requests of other routers, the engine
+    // would appear full and stay idle while users are refused.
     #[test]
     fn own_requests_are_not_counted_as_foreign(
         others in 0..5_u32,
@@ -68,7 +69,7 @@
             let seq = now.as_micros();
             server.report(Report { boot: 1, seq, running, waiting: 0, capacity: 0 }, now);
             let foreign = server.snapshot(now).foreign;
-            prop_assert!(foreign <= others, "{} of {} others", foreign, others);
+            prop_assert!(foreign <= others, "{} foreign requests counted, {} sent", foreign, others);
         }
         let idle = now + Duration::from_secs(5);
         let running = running.len() as u32 + others;
@@ -77,8 +78,9 @@
     }
 }
 
-// A server is busy and a request comes that cannot be done by its deadline.
-// Held back, its caller would learn of it when it is too late to go elsewhere.
+// Guards against queueing a request that cannot meet its deadline on a busy
+// server. Its caller would learn of the refusal too late to retry on another
+// server.
 #[parameterized(
     too_little_time_to_run = { 500, Some(Code::Deadline) },
     too_little_time_to_queue = { 9_000, Some(Code::Busy) },
@@ -98,7 +100,8 @@
         ended_at: now,
     };
     server.finish(Attempt(1), outcome, now);
-    // Each runs two seconds, one at a time: the fourth starts after about five.
+    // Each runs two seconds, one at a time, so the fourth queued one starts after
+    // about five seconds.
     for attempt in 2..5 {
         server.offer(ticket(attempt, 60_000, now), now);
     }
@@ -108,24 +111,24 @@
         return;
     };
     let Decision::Refused(refusal) = offered.decision else {
-        panic!("held back")
+        panic!("the request was not refused")
     };
     assert_eq!((refusal.verdict, refusal.code), (Verdict::NotRun, code));
     if code == Code::Busy {
         let retry_delay = refusal
             .retry_at
-            .expect("an instant to come back at")
+            .expect("a busy refusal has a retry time")
             .since(now);
         assert!(
             retry_delay > Duration::ZERO && retry_delay < Duration::from_secs(5),
-            "back in {retry_delay:?}"
+            "retry delay of {retry_delay:?}"
         );
     }
 }
 
-// An engine restarts between two reports, while nothing runs on it. It does not
-// say so, and no connection breaks; the next surge would hit it at the limit of
-// the warm engine.
+// Guards against a restart between two reports that goes undetected. No request
+// is running, so no connection breaks, and the next surge would reach the cold
+// engine with the limit of the warm one.
 #[parameterized(
     new_boot = { 2, 7, 1 },
     sequence_went_back = { 1, 3, 1 },
@@ -153,8 +156,8 @@
     assert_eq!(server.snapshot(now).limit, expected);
 }
 
-// An engine that does not report stands idle for minutes and may have restarted
-// meanwhile. Then its old limit is worth nothing.
+// Guards against a stale limit. An engine that sends no reports is idle for a
+// minute and may have restarted, so the old limit must not be used.
 #[test]
 fn an_unconfirmed_limit_decays_to_one() {
     let now = Instant::from_millis(1000);
@@ -171,9 +174,10 @@
     assert_eq!(server.snapshot(later).limit, 1);
 }
 
-// One connection goes silent right after a request went out on it; the engine
-// and all other connections are well. Taken for a sign of a cold engine, it
-// would hold up all other users until that one request is given up on.
+// Guards against one stalled connection that blocks admission. The connection
+// stalls right after a request was sent on it; the engine and all other
+// connections work. If this counted as a sign of a cold engine, all other requests
+// would wait until the stalled one times out.
 #[test]
 fn one_stalled_connection_does_not_block_other_requests() {
     let mut now = Instant::from_millis(1000);
@@ -191,7 +195,7 @@
     server.offer(ticket(2, 60_000, now), now);
     now = now + Duration::from_millis(600);
     server.tick(now);
-    // Nothing came of the second one. The next shows that the engine is well.
+    // The second request has no first token. The third one is admitted as a probe.
     assert_eq!(
         server.offer(ticket(3, 60_000, now), now).decision,
         Decision::Admitted
--- a/crates/admission/tests/failures/sim.rs
+++ b/crates/admission/tests/failures/sim.rs
@@ -1,4 +1,4 @@
-//! One engine, its owner and a stream of requests in virtual time.
+//! Simulation of one engine, its owner and a stream of requests in virtual time.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,29 +19,29 @@
     Arrive(Ticket),
     FirstToken(Attempt),
     Done(Attempt, Outcome),
-    /// The engine writes a report, which arrives later.
+    /// The engine creates a report, which arrives after `REPORT_LAG`.
     Report,
     Reported(Report),
     Tick,
     TurnCold,
-    /// It loses all that it runs; the connections break.
+    /// The engine restarts: running requests are lost and their connections break.
     Restart,
 }
 
-/// How long a report is on its way.
+/// Delay from the creation of a report to its arrival.
 const REPORT_LAG: Duration = Duration::from_millis(800);
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What was seen.
+/// Statistics of a simulation.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
-    /// Queue times in milliseconds of the admitted, by workspace.
+    /// Queue times of admitted requests in milliseconds, by workspace.
     pub waits: BTreeMap<workspace::Id, Vec<u64>>,
     pub refused: BTreeMap<workspace::Id, u64>,
     pub completed: u64,
-    /// Requests given to a cold engine beyond what it bears, before the limit
-    /// was seen at one and after.
+    /// Requests sent to a cold engine beyond its capacity, before and after the
+    /// limit reached one.
     pub overload: (u64, u64),
     pub detected_at: Option<Instant>,
 }
@@ -81,7 +81,7 @@
         self.events.insert((at, self.next_sequence), event);
     }
 
-    /// Poisson arrivals of `workspace` at `rate` a second.
+    /// Schedules Poisson arrivals of `workspace` at `rate` requests per second.
     pub fn schedule_arrivals(
         &mut self,
         workspace: &str,
@@ -126,7 +126,7 @@
         self.push(Instant::from_millis(second * 1000), Event::Restart);
     }
 
-    /// Drains the server: what waits is refused, what runs goes on.
+    /// Drains the server: queued requests are refused, running ones continue.
     pub fn drain(&mut self) {
         for action in self.server.stop() {
             if let Action::Refuse(attempt, _) = action {
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Runs all events before `second`.
+    /// Processes all events before `second`.
     pub fn run(&mut self, second: u64) {
         self.run_to(Instant::from_millis(second * 1000));
     }
@@ -210,7 +210,7 @@
         }
     }
 
-    /// The engine restarts: each connection breaks.
+    /// Restarts the engine, which breaks all connections.
     fn crash(&mut self) {
         self.engine.restart(self.now);
         self.boots += 1;
@@ -270,7 +270,7 @@
     }
 }
 
-/// The value that the given share of the values does not exceed.
+/// The quantile of `values` at `share`.
 pub fn quantile(values: &[u64], share: f64) -> u64 {
     let mut sorted = values.to_vec();
     sorted.sort_unstable();
--- a/crates/admission/tests/failures/ticket_log.rs
+++ b/crates/admission/tests/failures/ticket_log.rs
@@ -1,4 +1,4 @@
-//! What became of each ticket.
+//! Log of the state of each ticket.
 
 use std::collections::BTreeMap;
 
@@ -23,7 +23,8 @@
     pub deadline: Instant,
 }
 
-/// Checks that each ticket ends exactly once, in time and truthfully.
+/// Checks that each ticket is admitted or refused exactly once, in time, and that
+/// refused tickets have not run.
 #[derive(Default)]
 pub struct TicketLog {
     pub entries: BTreeMap<Attempt, Entry>,
@@ -53,7 +54,7 @@
         self.transition(attempt, TicketState::Admitted, now);
         assert!(
             now < self.entries[&attempt].deadline,
-            "{attempt} admitted after its deadline"
+            "attempt {attempt} admitted after its deadline"
         );
     }
 
@@ -68,13 +69,13 @@
         assert_eq!(
             entry.state,
             TicketState::Queued,
-            "{attempt} became {state:?} afterwards"
+            "attempt {attempt} became {state:?} when it was no longer queued"
         );
         let max_wait = entry.deadline.since(entry.offered_at) / 2;
         let waited = now.since(entry.offered_at);
         assert!(
             waited <= max_wait,
-            "{attempt} waited {waited:?} of {max_wait:?}"
+            "attempt {attempt} waited {waited:?}, more than {max_wait:?}"
         );
         entry.state = state;
     }
