--- a/crates/admission/benches/admission.rs
+++ b/crates/admission/benches/admission.rs
@@ -47,7 +47,7 @@
             now,
         );
         let workspaces = workspace_ids(workspaces);
-        let mut load = Self {
+        let mut loaded = Self {
             server,
             workspaces,
             now,
@@ -55,9 +55,9 @@
             running: VecDeque::new(),
         };
         for _ in 0..MAX_RUNNING as usize + queued {
-            load.offer();
+            loaded.offer();
         }
-        load
+        loaded
     }
 
     fn offer(&mut self) {
@@ -97,18 +97,18 @@
 fn admission(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("admission");
     for queued in [0, 100, 1000, 10_000] {
-        let mut load = LoadedServer::new(queued, 100);
+        let mut loaded = LoadedServer::new(queued, 100);
         group.bench_function(BenchmarkId::new("queued", queued), |bencher| {
-            bencher.iter(|| load.finish_and_offer());
+            bencher.iter(|| loaded.finish_and_offer());
         });
     }
     for workspaces in [1, 10, 100, 970] {
-        let mut load = LoadedServer::new(1000, workspaces);
+        let mut loaded = LoadedServer::new(1000, workspaces);
         group.bench_function(BenchmarkId::new("workspaces", workspaces), |bencher| {
-            bencher.iter(|| load.finish_and_offer());
+            bencher.iter(|| loaded.finish_and_offer());
         });
     }
-    let mut load = LoadedServer::new(1000, 100);
+    let mut loaded = LoadedServer::new(1000, 100);
     let mut seq = 0;
     group.bench_function("report", |bencher| {
         bencher.iter(|| {
@@ -121,7 +121,7 @@
                 waiting: 0,
                 capacity: 64,
             };
-            load.server.report(report, load.now)
+            loaded.server.report(report, loaded.now)
         });
     });
     group.finish();
--- a/crates/admission/src/server.rs
+++ b/crates/admission/src/server.rs
@@ -245,7 +245,7 @@
         self.shares.expire(now);
         self.limit.decay(&self.settings, now);
         let mut actions = self.refuse_expired(now);
-        actions.extend(self.refuse_unreachable(now));
+        actions.extend(self.refuse_after_decrease(now));
         actions.extend(self.dispatch(now));
         actions
     }
@@ -340,7 +340,7 @@
     ///
     /// Otherwise they would be refused only at their latest start, and their
     /// callers would lose the time for a retry on another server.
-    fn refuse_unreachable(&mut self, now: Instant) -> Actions {
+    fn refuse_after_decrease(&mut self, now: Instant) -> Actions {
         let limit = self.allowed(now);
         let decreased = limit < self.last_seen_limit;
         self.last_seen_limit = limit;
@@ -350,13 +350,13 @@
         let earliest_start = self.estimated_start(Cost(0), now);
         let slots = self.slots(now);
         let run_times = &self.run_times;
-        let unreachable = self.queue.extract_if(|waiting, ahead| {
+        let missed_starts = self.queue.extract_if(|waiting, ahead| {
             earliest_start + run_times.drain_time(ahead, slots) > waiting.latest_start
         });
         let refuse = |waiting: Waiting| {
             let refusal = self.missed_start_refusal(&waiting, now);
             Action::Refuse(waiting.ticket.attempt, refusal)
         };
-        unreachable.into_iter().map(refuse).collect()
+        missed_starts.into_iter().map(refuse).collect()
     }
 }
