--- a/crates/admission/src/message.rs
+++ b/crates/admission/src/message.rs
@@ -129,7 +129,7 @@
     Doubt,
     /// An earlier owner may still admit requests; this one uses a small share.
     Takeover,
-    /// The server is drained or removed; nothing is admitted.
+    /// The server is drained or out of service; nothing is admitted.
     Stopped,
 }
 
--- a/crates/admission/src/output_lengths.rs
+++ b/crates/admission/src/output_lengths.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of (workspace, route) pairs stored.
 const MAX_ENTRIES: usize = 4096;
-/// The newest sample has a weight of one over this in the moving average.
+/// Divisor of the moving average: the newest sample has the weight one over this.
 const SAMPLE_WEIGHT_DIVISOR: u64 = 8;
 
 #[derive(Clone, Copy, Debug)]
@@ -20,6 +20,7 @@
 pub struct OutputLengths {
     entries: BTreeMap<(workspace::Id, String), Entry>,
     fallback: Cost,
+    /// Number of samples recorded, as a logical clock for `Entry::last_used`.
     record_count: u64,
 }
 
--- a/crates/admission/src/server/capacity.rs
+++ b/crates/admission/src/server/capacity.rs
@@ -18,7 +18,7 @@
 pub(super) enum Capacity {
     /// The ticket may run now.
     Available,
-    /// There is no free slot, or the cost exceeds the bound.
+    /// No slot is free, the cost would exceed the bound, or the server may be cold.
     Full,
     /// The remaining slots are reserved for workspaces below their share.
     OverShare,
--- a/crates/admission/src/suspect_queue.rs
+++ b/crates/admission/src/suspect_queue.rs
@@ -17,7 +17,8 @@
 pub(crate) struct SuspectQueue {
     waiting: VecDeque<Waiting>,
     running: Option<request::Attempt>,
-    /// Whether the last admitted ticket was a suspect, so that a regular ticket goes next.
+    /// Whether the last admitted ticket was a suspect, so that a queued regular
+    /// ticket goes next.
     yields_next: bool,
 }
 
