--- a/crates/admission/tests/failures/main.rs
+++ b/crates/admission/tests/failures/main.rs
@@ -1,12 +1,13 @@
-//! Failures of one backend server, its reports and its owners, in virtual time.
+//! Simulations of one backend server, its load reports and its owners under
+//! failures, in virtual time.
 
 mod cold;
 mod day;
 mod engine;
 mod fairness;
 mod invariants;
-mod ledger;
+mod non_streaming;
 mod owners;
 mod reports;
 mod sim;
-mod whole;
+mod ticket_log;
--- a/crates/admission/tests/failures/whole.rs
+++ b/crates/admission/tests/failures/non_streaming.rs
@@ -1,4 +1,4 @@
-//! Answers that come in one piece.
+//! Responses that are not streamed.
 
 use std::time::Duration;
 
@@ -18,11 +18,12 @@
     }
 }
 
-// Callers ask for answers that are not streamed, so nothing arrives before the
-// last token. A healthy engine looked as slow as a cold one: it was held at one
-// request at a time, and users waited beside idle engines.
+// Guards against a healthy engine that is treated as cold because its responses
+// are not streamed. Nothing arrives before the last token, so the first byte is as
+// late as on a cold engine. The limit stayed at one, and users waited while
+// engines were idle.
 #[test]
-fn an_engine_whose_answers_come_in_one_piece_warms_up() {
+fn an_engine_with_non_streaming_responses_warms_up() {
     let mut now = Instant::ZERO;
     let mut server = Server::new(Settings::default(), now);
     let mut running: Vec<(request::Attempt, Instant)> = Vec::new();
@@ -42,10 +43,10 @@
             number += 1;
             let offered = server.offer(ticket(number, now), now);
             assert_eq!(offered.decision, Decision::Admitted);
-            server.answers_whole(request::Attempt(number));
+            server.mark_non_streaming(request::Attempt(number));
             running.push((request::Attempt(number), now + RUN));
         }
     }
     let limit = server.snapshot(now).limit;
-    assert!(limit >= 16, "the limit is still at {limit} after a minute");
+    assert!(limit >= 16, "the limit is only {limit} after a minute");
 }
--- a/crates/admission/tests/failures/owners.rs
+++ b/crates/admission/tests/failures/owners.rs
@@ -1,4 +1,4 @@
-//! Two routers that both take themselves for the owner of a server.
+//! Two routers that both act as owner of a server during a takeover.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -12,37 +12,38 @@
     time::Instant,
 };
 
-const LAG: Duration = Duration::from_millis(900);
-const POLL: Duration = Duration::from_millis(500);
-const UNTIL: Instant = Instant::from_millis(8000);
-/// The earlier owner has stopped a poll and a lag before the takeover ends.
-const STOPS: Instant = Instant::from_millis(6500);
+const REPORT_LAG: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
+const TAKEOVER_ENDS_AT: Instant = Instant::from_millis(8000);
+/// The earlier owner stops at least a report interval and a report lag before the
+/// takeover ends.
+const EARLIER_OWNER_STOPS_AT: Instant = Instant::from_millis(6500);
 
-struct Pair {
+struct OwnerPair {
     owners: [Server; 2],
     running: [Vec<Attempt>; 2],
     bound: u32,
     now: Instant,
-    /// Loads of the server that have not been reported yet.
-    past: VecDeque<(Instant, u32)>,
+    /// Load of the server at each report interval, from which reports are made.
+    load_history: VecDeque<(Instant, u32)>,
     offers: u64,
 }
 
-impl Pair {
+impl OwnerPair {
     fn new(bound: u32, busy: u32) -> Self {
         let now = Instant::from_millis(1000);
         let settings = Settings {
             takeover_share: 4,
-            report_lag: LAG + POLL,
+            report_lag: REPORT_LAG + REPORT_INTERVAL,
             ..Settings::default()
         };
         let mut old = Server::new(settings.clone(), now);
-        let mut new = Server::taking_over(settings, UNTIL, now);
+        let mut new = Server::taking_over(settings, TAKEOVER_ENDS_AT, now);
         let requests = Bound {
             requests: Some(bound),
             cost: None,
         };
-        old.handed_over(
+        old.apply_handover(
             admission::Handover {
                 limit: 64,
                 in_flight: 0,
@@ -52,13 +53,13 @@
         old.set_bound(requests, now);
         new.set_bound(requests, now);
         let running = [Vec::new(), Vec::new()];
-        let past = VecDeque::new();
+        let load_history = VecDeque::new();
         let mut pair = Self {
             owners: [old, new],
             running,
             bound,
             now,
-            past,
+            load_history,
             offers: 0,
         };
         for _ in 0..busy {
@@ -79,12 +80,12 @@
         let total = self.total();
         assert!(
             total <= self.bound,
-            "{total} of both owners above the bound of {}",
+            "{total} requests of both owners exceed the bound of {}",
             self.bound
         );
     }
 
-    fn act(&mut self, owner: usize, actions: Actions) {
+    fn apply(&mut self, owner: usize, actions: Actions) {
         for action in actions {
             if let Action::Admit(attempt) = action {
                 self.admitted(owner, attempt);
@@ -106,7 +107,7 @@
         if offered.decision == Decision::Admitted {
             self.admitted(owner, Attempt(self.offers));
         }
-        self.act(owner, offered.others);
+        self.apply(owner, offered.others);
     }
 
     fn finish(&mut self, owner: usize) {
@@ -119,20 +120,20 @@
             ended_at: self.now,
         };
         let actions = self.owners[owner].finish(attempt, outcome, self.now);
-        self.act(owner, actions);
+        self.apply(owner, actions);
     }
 
     fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
-            self.now = (self.now + POLL).min(until);
-            self.past.push_back((self.now, self.total()));
-            let seen = self
-                .past
+            self.now = (self.now + REPORT_INTERVAL).min(until);
+            self.load_history.push_back((self.now, self.total()));
+            let last = self
+                .load_history
                 .iter()
-                .rfind(|(at, _)| *at + LAG <= self.now)
+                .rfind(|(at, _)| *at + REPORT_LAG <= self.now)
                 .copied();
-            let Some((at, running)) = seen else { continue };
+            let Some((at, running)) = last else { continue };
             let report = Report {
                 boot: 1,
                 seq: at.as_micros(),
@@ -142,7 +143,7 @@
             };
             for owner in 0..2 {
                 let actions = self.owners[owner].report(report, self.now);
-                self.act(owner, actions);
+                self.apply(owner, actions);
             }
         }
     }
@@ -156,11 +157,11 @@
         ..ProptestConfig::default()
     })]
 
-    // After a router joins or dies, two routers take themselves for the owner of
-    // an engine for some seconds, and each sees the other's work only in reports
-    // that lag. If each filled the engine, it would carry twice its bound and
-    // users would wait for it. The earlier owner stops when it learns of the
-    // change, and may or may not reach the new one to hand over.
+    // Guards against an engine that carries twice its bound during a change of
+    // owner. After a router joins or fails, two routers act as owner of an engine
+    // for some seconds, and each sees the requests of the other only in delayed
+    // load reports. The earlier owner stops when it learns of the change; its
+    // handover may or may not reach the new owner.
     #[test]
     fn two_owners_stay_within_the_bound(
         bound in 1..24_u32,
@@ -168,17 +169,17 @@
         hands_over in any::<bool>(),
         events in prop::collection::vec((0..2_u8, 0..3_u8, 0..400_u64), 1..150),
     ) {
-        let mut pair = Pair::new(bound, busy);
+        let mut pair = OwnerPair::new(bound, busy);
         let mut stopped = false;
         for (event, owner, delay) in events {
             pair.advance(delay);
-            if pair.now >= STOPS && !stopped {
+            if pair.now >= EARLIER_OWNER_STOPS_AT && !stopped {
                 stopped = true;
                 pair.owners[0].stop();
                 if hands_over {
                     let handover = pair.owners[0].handover();
-                    let actions = pair.owners[1].handed_over(handover, pair.now);
-                    pair.act(1, actions);
+                    let actions = pair.owners[1].apply_handover(handover, pair.now);
+                    pair.apply(1, actions);
                 }
             }
             let owner = usize::from(owner.min(1));
@@ -187,7 +188,7 @@
                 _ => pair.offer(owner),
             }
         }
-        // The new owner gets to use the server once the other's work has ended.
+        // The new owner admits requests once those of the earlier owner have ended.
         pair.advance(9000);
         pair.owners[0].stop();
         while !pair.running[0].is_empty() {
@@ -195,6 +196,6 @@
         }
         pair.advance(3000);
         pair.offer(1);
-        prop_assert!(!pair.running[1].is_empty(), "the new owner never admits");
+        prop_assert!(!pair.running[1].is_empty(), "the new owner admits no request");
     }
 }
