--- a/crates/admission/src/server/offer.rs
+++ b/crates/admission/src/server/offer.rs
@@ -23,7 +23,7 @@
         {
             return Err(Refusal::not_run(
                 Code::Internal,
-                "An attempt with the same ID is already queued or running.",
+                "An attempt of this name is present.",
             ));
         }
         Ok(())
@@ -44,7 +44,7 @@
         // deadline. Otherwise an estimate that is too high would refuse all
         // requests and never be corrected by a completed one.
         if waiting.latest_start <= now && !self.running.is_empty() {
-            let message = "The request is not expected to complete before its deadline.";
+            let message = "The request would not be finished by its deadline.";
             return Decision::Refused(Refusal::not_run(Code::Deadline, message));
         }
         let suspect = waiting.ticket.standing == Standing::Suspect;
@@ -153,6 +153,6 @@
 pub(super) fn moved_refusal() -> Refusal {
     Refusal::not_run(
         Code::Moved,
-        "This router no longer admits requests to the backend server.",
+        "The backend server takes no new requests here.",
     )
 }
