--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -1,10 +1,10 @@
-//! Entry routers that decide with [`gateway::line::Line`] and tell each other their loads.
+//! Entry routers that decide with [`gateway::queue::ServiceQueue`] and tell each other their loads.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use gateway::{
-    line::{Ask, Line, Offered},
     pool::{Demand, Fleet, Outcome, Part, Place, Pool},
+    queue::{Admission, QueueRequest, ServiceQueue},
     roster, route,
     settings::Bounds,
 };
@@ -30,7 +30,7 @@
     load_multiple: 2.0,
     cold_multiple: 1.5,
     cold_extra: 5.0,
-    repeats: gateway::budget::Allowance {
+    repeats: gateway::retry_budget::Allowance {
         ratio: 0.2,
         burst: 50.0,
         window_s: 10,
@@ -55,14 +55,14 @@
 struct Sent {
     router: usize,
     engine: usize,
-    unread: Cost,
+    uncached: Cost,
     sent_at: Instant,
 }
 
 /// Routers that decide with a pool of their own.
 #[derive(Debug)]
 pub struct Entry {
-    lines: Vec<Line>,
+    queues: Vec<ServiceQueue>,
     fleets: Vec<Fleet>,
     /// Requests in flight by router and engine.
     running: Vec<Vec<u32>>,
@@ -76,14 +76,14 @@
     pub fn new(core: &Core<Event>) -> Self {
         let routers = core.deployment.routers;
         let engines = core.deployment.engines;
-        let lines = (0..routers).map(|router| {
+        let queues = (0..routers).map(|router| {
             let mut pool = Pool::new(zone(core.router_zone(router)), BOUNDS);
             pool.set_service(route::Service {
                 cold_per_s: COLD_PER_S,
                 cache_tokens: 1,
             });
             set_servers(&mut pool, core, core.known(router));
-            Line::new(pool)
+            ServiceQueue::new(pool)
         });
         let host = |router| -> host::Id {
             let name = format!("router-{router:02}");
@@ -99,7 +99,7 @@
             name.parse().expect("a valid name")
         };
         Self {
-            lines: lines.collect(),
+            queues: queues.collect(),
             fleets: (0..routers).map(fleet).collect(),
             workspaces: (0..core.deployment.workspaces.len())
                 .map(workspace)
@@ -125,7 +125,7 @@
             self.give_up(core, request);
             return;
         }
-        let ask = Ask {
+        let request_to_queue = QueueRequest {
             attempt: request::Attempt(request as u64),
             workspace: self.workspaces[usize::from(arrival.workspace)].clone(),
             cost: Cost(u64::from(arrival.prompt) + u64::from(arrival.output) * OUTPUT_TOKEN),
@@ -133,10 +133,10 @@
             latest_start: now + WAIT,
             demand: demand.clone(),
         };
-        match self.lines[router].offer(ask, &self.fleets[router], now) {
-            Offered::Placed(place) => self.placed(core, request, place, now),
-            Offered::Waits => self.wake(core, router, now),
-            Offered::Refused(_) => self.give_up(core, request),
+        match self.queues[router].submit(request_to_queue, &self.fleets[router], now) {
+            Admission::Placed(place) => self.placed(core, request, place, now),
+            Admission::Queued => self.wake(core, router, now),
+            Admission::Refused(_) => self.give_up(core, request),
         }
     }
 
@@ -146,12 +146,12 @@
         if let Some(demand) = self.demands.get_mut(&request) {
             demand.tried.push(place.server);
         }
-        self.send(core, request, router, engine, place.unread, now);
+        self.send(core, request, router, engine, place.uncached, now);
     }
 
     /// Gives places that came free to those that wait at a router.
     fn serve(&mut self, core: &mut Core<Event>, router: usize, now: Instant) {
-        for (attempt, result) in self.lines[router].serve(&self.fleets[router], now) {
+        for (attempt, result) in self.queues[router].dequeue(&self.fleets[router], now) {
             let request = attempt.0 as usize;
             match result {
                 Ok(place) => self.placed(core, request, place, now),
@@ -162,7 +162,7 @@
     }
 
     fn wake(&self, core: &mut Core<Event>, router: usize, now: Instant) {
-        if let Some(at) = self.lines[router].next_wake() {
+        if let Some(at) = self.queues[router].next_wake() {
             core.push(at.max(now), Event::Wake(router));
         }
     }
@@ -173,7 +173,7 @@
         request: usize,
         router: usize,
         engine: usize,
-        unread: Cost,
+        uncached: Cost,
         now: Instant,
     ) {
         self.running[router][engine] += 1;
@@ -183,7 +183,7 @@
         let sent = Sent {
             router,
             engine,
-            unread,
+            uncached,
             sent_at: now,
         };
         self.sent.insert(attempt, sent);
@@ -209,7 +209,7 @@
         let workspace = usize::from(core.arrivals[request].workspace);
         let workspace = &self.workspaces[workspace];
         // Only the change of a server's standing is told, which nobody needs here.
-        let _ = self.lines[sent.router].ended(name, workspace, outcome, now);
+        let _ = self.queues[sent.router].ended(name, workspace, outcome, now);
         self.serve(core, sent.router, now);
     }
 }
@@ -266,9 +266,9 @@
             Verdict::NotRun => Outcome::Unreachable,
             Verdict::MayHaveRun => Outcome::Failed,
         };
-        let pool = self.lines[sent.router].pool_mut();
+        let pool = self.queues[sent.router].pool_mut();
         if let Some(server) = pool.server_mut(&core.names[sent.engine]) {
-            server.read(sent.unread);
+            server.end_prefill(sent.uncached);
         }
         let request = Core::<Event>::request(failure.attempt);
         self.leave(core, request, &sent, outcome, now);
@@ -285,16 +285,16 @@
         };
         let name: &backend::Server = &core.names[engine];
         let request = Core::<Event>::request(run.job.attempt);
-        let Some(server) = self.lines[sent.router].pool_mut().server_mut(name) else {
+        let Some(server) = self.queues[sent.router].pool_mut().server_mut(name) else {
             return;
         };
-        server.read(sent.unread);
+        server.end_prefill(sent.uncached);
         if let Some(demand) = self.demands.get(&request) {
-            server.remember(&demand.parts, now);
+            server.record_cached(&demand.parts, now);
         }
         let waited = run.first_token_at.since(sent.sent_at);
-        let expected = Duration::from_millis(40 + sent.unread.0 / 30);
-        server.sample(waited, expected, now);
+        let expected = Duration::from_millis(40 + sent.uncached.0 / 30);
+        server.record_first_byte(waited, expected, now);
     }
 
     fn finished(&mut self, core: &mut Core<Event>, _: usize, run: Run, now: Instant) {
@@ -308,7 +308,7 @@
 
     fn learned(&mut self, core: &mut Core<Event>, router: usize, now: Instant) {
         let topology = core.known(router).clone();
-        set_servers(self.lines[router].pool_mut(), core, &topology);
+        set_servers(self.queues[router].pool_mut(), core, &topology);
         self.serve(core, router, now);
     }
 
@@ -332,8 +332,8 @@
     fn hear(&mut self, core: &mut Core<Event>, told: &[Vec<u32>], now: Instant) {
         let sum = |engine: usize| -> u32 { told.iter().map(|running| running[engine]).sum() };
         let sums: Vec<u32> = (0..core.names.len()).map(sum).collect();
-        for (line, own) in self.lines.iter_mut().zip(told) {
-            line.pool_mut().set_elsewhere(|name| {
+        for (queue, own) in self.queues.iter_mut().zip(told) {
+            queue.pool_mut().set_peer_load(|name| {
                 let engine = core.engine(name);
                 sums[engine] - own[engine]
             });
--- a/crates/gateway/benches/place.rs
+++ b/crates/gateway/benches/place.rs
@@ -85,8 +85,8 @@
                 let demand = demand(number);
                 let place = pool.admit(&demand, &fleet, NOW).expect("a place");
                 if let Some(server) = pool.server_mut(&place.server) {
-                    server.read(place.unread);
-                    server.remember(&demand.parts, NOW);
+                    server.end_prefill(place.uncached);
+                    server.record_cached(&demand.parts, NOW);
                 }
                 pool.ended(&place.server, Outcome::Completed, NOW);
                 hint::black_box(place.load)
--- a/crates/gateway/examples/control_bytes.rs
+++ b/crates/gateway/examples/control_bytes.rs
@@ -14,9 +14,9 @@
 use gateway::{
     ages::Ages,
     clock::Clock,
-    dispatch, evidence, load,
+    dispatch, load,
     metrics::Metrics,
-    peers, pool, reads, roster,
+    outlier, peers, pool, prefixes, roster,
     source::{self, Batch, Member, Secret, Source, Topic},
 };
 use rand::{RngExt as _, SeedableRng as _, rngs::SmallRng};
@@ -128,8 +128,8 @@
     rate: f64,
     next_at: Instant,
     running: VecDeque<(usize, Instant)>,
-    tallies: Vec<evidence::Tally>,
-    reads: reads::Reads,
+    tallies: Vec<outlier::OutcomeTracker>,
+    prefixes: prefixes::PrefixUpdates,
 }
 
 impl Requests {
@@ -140,12 +140,12 @@
             rate: size.rate,
             next_at: clock.now(),
             running: VecDeque::new(),
-            tallies: vec![evidence::Tally::default(); size.servers],
-            reads: reads::Reads::default(),
+            tallies: vec![outlier::OutcomeTracker::default(); size.servers],
+            prefixes: prefixes::PrefixUpdates::default(),
         }
     }
 
-    fn news(&mut self) -> dispatch::News {
+    fn news(&mut self) -> dispatch::PeerUpdate {
         let now = self.clock.now();
         while self.next_at <= now {
             let server = self.random.random_range(0..self.tallies.len());
@@ -157,21 +157,21 @@
             self.next_at = self.next_at + Duration::from_secs_f64(gap);
         }
         while let Some((server, end)) = self.running.pop_front_if(|(_, end)| *end <= now) {
-            self.tallies[server].note(self.random.random_bool(0.02), end);
+            self.tallies[server].record(self.random.random_bool(0.02), end);
         }
         let loads = self.tallies.iter().enumerate().map(|(server, tally)| {
             let running = self.running.iter().filter(|(at, _)| *at == server);
             dispatch::Load {
                 server: name(server).parse().expect("a name"),
                 running: u32::try_from(running.count()).expect("few"),
-                ends: tally.ends(now),
+                outcomes: tally.counts(now),
             }
         });
-        let loads = loads.filter(|load| load.running > 0 || !load.ends.is_empty());
-        dispatch::News {
+        let loads = loads.filter(|load| load.running > 0 || !load.outcomes.is_empty());
+        dispatch::PeerUpdate {
             loads: loads.collect(),
             strikes: Vec::new(),
-            reads: self.reads.news(now),
+            prefixes: self.prefixes.updates(now),
         }
     }
 
@@ -182,12 +182,12 @@
             tokens: PROMPT,
         };
         let name = name(server).parse().expect("a name");
-        self.reads.note(load::Load::hash(&name), &part, now);
+        self.prefixes.record(load::Load::hash(&name), &part, now);
     }
 
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<dispatch::Message>) {
         while let Some(message) = messages.recv().await {
-            if let dispatch::Message::News(reply) = message {
+            if let dispatch::Message::PeerUpdate(reply) = message {
                 drop(reply.send(self.news()));
             }
         }
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -61,7 +61,7 @@
     deadline: Instant,
 ) -> End {
     let place = permit.place();
-    let limit = clock.remaining(deadline.min(place.connect_by));
+    let limit = clock.remaining(deadline.min(place.connect_deadline));
     let opened = Connection::within(place.address, Arc::<Traffic>::default(), limit).await;
     let mut connection = match opened {
         Ok(connection) => connection,
--- a/crates/gateway/src/deaths.rs
+++ b/crates/gateway/src/crashes.rs
@@ -9,25 +9,25 @@
 ///
 /// A server that crashed refuses connections at once, and its entry changes
 /// within a few heartbeats of about a second.
-const SIGN_WITHIN: Duration = Duration::from_secs(6);
+const CONFIRM_WITHIN: Duration = Duration::from_secs(6);
 /// How long a strike is told to other routers: some rounds of datagrams.
-const TOLD_FOR: Duration = Duration::from_secs(3);
+const GOSSIP_FOR: Duration = Duration::from_secs(3);
 /// The most strikes that one datagram tells.
-const MOST_TOLD: usize = 8;
+const MAX_STRIKES_PER_DATAGRAM: usize = 8;
 /// Deaths after which a request is refused everywhere.
 ///
 /// Each death takes along all that ran beside the guilty request. Two may
 /// happen to an innocent one in a bad minute.
-const STRIKES: usize = 3;
+const STRIKE_LIMIT: usize = 3;
 
 /// A request whose server broke off, and which may have caused it.
 #[derive(Clone, Debug)]
-struct Break {
+struct BrokenRequest {
     fingerprint: Fingerprint,
     server: backend::Server,
     born: u64,
     began_at: Instant,
-    forgotten_at: Instant,
+    expires_at: Instant,
 }
 
 /// Which requests are suspected of crashing servers.
@@ -35,27 +35,27 @@
 /// A break alone says little: connections are reset for many reasons. It counts
 /// once the server refuses connections or starts anew.
 #[derive(Debug)]
-pub struct Deaths {
+pub struct CrashTracker {
     suspects: Suspects,
-    breaks: Vec<Break>,
-    told: Vec<(Strike, Instant)>,
+    broken: Vec<BrokenRequest>,
+    recent_strikes: Vec<(Strike, Instant)>,
 }
 
-impl Default for Deaths {
+impl Default for CrashTracker {
     fn default() -> Self {
         let settings = recovery::Settings {
-            strikes: STRIKES,
+            strikes: STRIKE_LIMIT,
             ..recovery::Settings::default()
         };
         Self {
             suspects: Suspects::new(settings),
-            breaks: Vec::new(),
-            told: Vec::new(),
+            broken: Vec::new(),
+            recent_strikes: Vec::new(),
         }
     }
 }
 
-impl Deaths {
+impl CrashTracker {
     /// Whether a request is refused since servers died of it.
     pub fn is_refused(&self, fingerprint: Fingerprint, now: Instant) -> bool {
         matches!(
@@ -65,7 +65,7 @@
     }
 
     /// A server broke off in the middle of a request that began at `began_at`.
-    pub fn broke(
+    pub fn record_broken(
         &mut self,
         fingerprint: Fingerprint,
         server: &backend::Server,
@@ -73,35 +73,35 @@
         began_at: Instant,
         now: Instant,
     ) {
-        self.breaks.retain(|known| now < known.forgotten_at);
-        self.breaks.push(Break {
+        self.broken.retain(|request| now < request.expires_at);
+        self.broken.push(BrokenRequest {
             fingerprint,
             server: server.clone(),
             born,
             began_at,
-            forgotten_at: now + SIGN_WITHIN,
+            expires_at: now + CONFIRM_WITHIN,
         });
     }
 
     /// A request ran to its end, so it does not crash servers.
-    pub fn completed(&mut self, fingerprint: Fingerprint) {
+    pub fn record_completed(&mut self, fingerprint: Fingerprint) {
         self.suspects.completed(fingerprint);
     }
 
     /// The start `born` of a server is over. Returns how many requests it counts against.
-    pub fn died(&mut self, server: &backend::Server, born: u64, now: Instant) -> usize {
-        let is_of = |known: &Break| known.server == *server && known.born == born;
-        let (of, rest): (Vec<_>, Vec<_>) = self.breaks.drain(..).partition(is_of);
-        self.breaks = rest;
+    pub fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) -> usize {
+        let matches = |request: &BrokenRequest| request.server == *server && request.born == born;
+        let (matching, rest): (Vec<_>, Vec<_>) = self.broken.drain(..).partition(matches);
+        self.broken = rest;
         let crash = Crash::new(server, born);
         let mut count = 0;
-        for known in of.iter().filter(|known| now < known.forgotten_at) {
+        for request in matching.iter().filter(|request| now < request.expires_at) {
             let strike = Strike {
-                fingerprint: known.fingerprint,
+                fingerprint: request.fingerprint,
                 crash,
             };
-            if let Some(strike) = self.suspects.struck(strike, known.began_at, now) {
-                self.told.push((strike, now + TOLD_FOR));
+            if let Some(strike) = self.suspects.struck(strike, request.began_at, now) {
+                self.recent_strikes.push((strike, now + GOSSIP_FOR));
                 count += 1;
             }
         }
@@ -109,18 +109,22 @@
     }
 
     /// Takes in what another router tells.
-    pub fn learn(&mut self, strikes: &[Strike], now: Instant) {
+    pub fn merge(&mut self, strikes: &[Strike], now: Instant) {
         for &strike in strikes {
             if self.suspects.learn(strike, now) {
-                self.told.push((strike, now + TOLD_FOR));
+                self.recent_strikes.push((strike, now + GOSSIP_FOR));
             }
         }
     }
 
     /// The strikes to tell other routers.
-    pub fn tell(&mut self, now: Instant) -> Vec<Strike> {
-        self.told.retain(|&(_, until)| now < until);
-        let latest = self.told.iter().rev().take(MOST_TOLD);
+    pub fn strikes_to_send(&mut self, now: Instant) -> Vec<Strike> {
+        self.recent_strikes.retain(|&(_, until)| now < until);
+        let latest = self
+            .recent_strikes
+            .iter()
+            .rev()
+            .take(MAX_STRIKES_PER_DATAGRAM);
         latest.map(|&(strike, _)| strike).collect()
     }
 }
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,7 +1,7 @@
 //! The task that knows all backend servers and decides which one gets a request.
 
 mod message;
-mod others;
+mod peers;
 mod permit;
 
 use std::{
@@ -13,19 +13,19 @@
 use tokio::{sync::mpsc, time};
 use units::{backend, host, pool, request, time::Instant};
 
-pub use message::{Load, Message, News, Order, Refusal, Reply, Ticket};
+pub use message::{AcquireRequest, Load, Message, PeerUpdate, Refusal, Reply, Ticket};
 pub use permit::Permit;
 
 use crate::{
-    budget::Budget,
     clock::Clock,
-    deaths::Deaths,
-    line::{Ask, Line, Offered},
+    crashes::CrashTracker,
     load,
     metrics::Metrics,
     pause,
     pool::{Fleet, Outcome, Part, Place, Pool},
-    reads::{self, Reads},
+    prefixes::{self, PrefixUpdates},
+    queue::{Admission, QueueRequest, ServiceQueue},
+    retry_budget::RetryBudget,
     roster::Roster,
     route::Table,
     settings::{Bounds, Settings},
@@ -33,13 +33,13 @@
 };
 
 /// How long a sum over all others counts in place of what single routers told.
-const OTHERS_COUNT: Duration = Duration::from_millis(800);
+const AGGREGATE_TTL: Duration = Duration::from_millis(800);
 
 /// How long after a pause of the process all servers count as cold.
 ///
 /// What has changed meanwhile is told by the store's answers that wait in the
 /// sockets, or by the other routers, within three of their rounds of 200 ms.
-const RENEWAL: Duration = Duration::from_millis(600);
+const COLD_AFTER_PAUSE: Duration = Duration::from_millis(600);
 
 /// The task's state.
 #[derive(Debug)]
@@ -47,20 +47,20 @@
     clock: Clock,
     metrics: Arc<Metrics>,
     settings: Settings,
-    handle: mpsc::UnboundedSender<Message>,
+    sender: mpsc::UnboundedSender<Message>,
     table: Arc<Table>,
-    lines: BTreeMap<pool::Id, Line>,
-    budgets: HashMap<pool::Id, Budget>,
+    queues: BTreeMap<pool::Id, ServiceQueue>,
+    retry_budgets: HashMap<pool::Id, RetryBudget>,
     fleet: Fleet,
-    pending: HashMap<request::Attempt, (Order, Reply)>,
+    pending: HashMap<request::Attempt, (AcquireRequest, Reply)>,
     attempts: u64,
-    peers: BTreeMap<host::Id, Vec<load::Load>>,
+    peer_loads: BTreeMap<host::Id, Vec<load::Load>>,
     /// What all others have in flight, while it is current.
-    others: Vec<load::Load>,
-    others_until: Instant,
-    deaths: Deaths,
+    aggregate: Vec<load::Load>,
+    aggregate_until: Instant,
+    crashes: CrashTracker,
     /// What servers have read for requests of this router.
-    reads: Reads,
+    prefixes: PrefixUpdates,
     pauses: pause::Watch,
 }
 
@@ -75,7 +75,7 @@
         mpsc::UnboundedSender<Message>,
         mpsc::UnboundedReceiver<Message>,
     ) {
-        let (handle, messages) = mpsc::unbounded_channel();
+        let (sender, messages) = mpsc::unbounded_channel();
         let dispatch = Self {
             clock,
             metrics,
@@ -84,239 +84,245 @@
                 members: Vec::new(),
             },
             settings,
-            handle: handle.clone(),
+            sender: sender.clone(),
             table: Arc::default(),
-            lines: BTreeMap::new(),
-            budgets: HashMap::new(),
+            queues: BTreeMap::new(),
+            retry_budgets: HashMap::new(),
             pending: HashMap::new(),
             attempts: 0,
-            peers: BTreeMap::new(),
-            others: Vec::new(),
-            others_until: Instant::ZERO,
-            deaths: Deaths::default(),
-            reads: Reads::default(),
+            peer_loads: BTreeMap::new(),
+            aggregate: Vec::new(),
+            aggregate_until: Instant::ZERO,
+            crashes: CrashTracker::default(),
+            prefixes: PrefixUpdates::default(),
             pauses: pause::Watch::default(),
         };
-        (dispatch, handle, messages)
+        (dispatch, sender, messages)
     }
 
     /// Runs until nobody can tell it anything any more.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        let mut looks = time::interval(pause::LOOK);
-        looks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
+        let mut pause_checks = time::interval(pause::LOOK);
+        pause_checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             let wake = self.next_wake();
             let at = self.clock.at(wake.unwrap_or(Instant::NEVER));
             tokio::select! {
                 message = messages.recv() => match message {
-                    Some(message) => self.take(message),
+                    Some(message) => self.handle_message(message),
                     None => return,
                 },
-                () = time::sleep_until(at), if wake.is_some() => self.serve_all(),
-                _ = looks.tick() => self.look(self.clock.now()),
+                () = time::sleep_until(at), if wake.is_some() => self.dequeue_all(),
+                _ = pause_checks.tick() => self.detect_pause(self.clock.now()),
             }
         }
     }
 
     /// After a pause nothing is known of the servers but what is old.
-    fn look(&mut self, now: Instant) {
+    fn detect_pause(&mut self, now: Instant) {
         let Some(pause) = self.pauses.look(now) else {
             return;
         };
-        let until = now + RENEWAL;
+        let until = now + COLD_AFTER_PAUSE;
         logging::event!(warn, "paused", pause_ms = pause.as_millis());
-        for line in self.lines.values_mut() {
-            line.pool_mut().doubt(until);
+        for queue in self.queues.values_mut() {
+            queue.pool_mut().assume_cold_until(until);
         }
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.lines.values().filter_map(Line::next_wake).min()
+        self.queues
+            .values()
+            .filter_map(ServiceQueue::next_wake)
+            .min()
     }
 
     /// Takes in one message.
-    pub fn take(&mut self, message: Message) {
+    pub fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
-        self.look(now);
+        self.detect_pause(now);
         match message {
-            Message::Acquire(order, reply) => self.acquire(order, reply, now),
+            Message::Acquire(request, reply) => self.acquire(request, reply, now),
             Message::FirstByte(ticket) => self.first_byte(&ticket, now),
             Message::Ended(ticket, outcome) => self.ended(&ticket, outcome, now),
             Message::Roster(roster) => self.set_roster(&roster),
             Message::Table(table) => self.set_table(table),
             Message::Members(members) => self.fleet.members = members,
-            Message::Peer(host, loads) => self.hear_peer(host, loads, now),
-            Message::Others(loads) => {
-                self.others = loads;
-                self.others_until = now + OTHERS_COUNT;
+            Message::Peer(host, loads) => self.set_peer_loads(host, loads, now),
+            Message::Aggregate(loads) => {
+                self.aggregate = loads;
+                self.aggregate_until = now + AGGREGATE_TTL;
                 self.sum_peers();
             }
             Message::PeerLost(host) => {
-                self.peers.remove(&host);
+                self.peer_loads.remove(&host);
                 self.sum_peers();
             }
             Message::Bounds(bounds) => self.set_bounds(bounds),
-            Message::Strikes(strikes) => self.deaths.learn(&strikes, now),
-            Message::Reads(reads) => self.hear_reads(&reads, now),
-            Message::News(reply) => {
-                let news = News {
+            Message::Strikes(strikes) => self.crashes.merge(&strikes, now),
+            Message::CachedPrefixes(prefixes) => self.add_peer_prefixes(&prefixes, now),
+            Message::PeerUpdate(reply) => {
+                let update = PeerUpdate {
                     loads: self.loads(),
-                    strikes: self.deaths.tell(now),
-                    reads: self.reads.news(now),
+                    strikes: self.crashes.strikes_to_send(now),
+                    prefixes: self.prefixes.updates(now),
                 };
-                drop(reply.send(news));
+                drop(reply.send(update));
             }
             // Whoever asked may have left.
             Message::Status(reply) => drop(reply.send(self.report(now))),
         }
     }
 
-    fn acquire(&mut self, order: Order, reply: Reply, now: Instant) {
-        if self.deaths.is_refused(order.fingerprint, now) {
-            answer(reply, Err(Refusal::Suspect));
+    fn acquire(&mut self, request: AcquireRequest, reply: Reply, now: Instant) {
+        if self.crashes.is_refused(request.fingerprint, now) {
+            send_reply(reply, Err(Refusal::Suspect));
             return;
         }
-        if order.is_repeat && !self.take_repeat(&order.pool, now) {
-            answer(reply, Err(Refusal::Budget));
+        if request.is_retry && !self.withdraw_retry(&request.pool, now) {
+            send_reply(reply, Err(Refusal::RetryBudget));
             return;
         }
-        let Some(line) = self.lines.get_mut(&order.pool) else {
-            answer(reply, Err(Refusal::Unknown));
+        let Some(queue) = self.queues.get_mut(&request.pool) else {
+            send_reply(reply, Err(Refusal::Unknown));
             return;
         };
         self.attempts += 1;
-        let ask = Ask {
+        let queue_request = QueueRequest {
             attempt: request::Attempt(self.attempts),
-            workspace: order.workspace.clone(),
-            cost: order.cost,
-            rank: order.rank,
-            latest_start: order.latest_start,
-            demand: order.demand.clone(),
+            workspace: request.workspace.clone(),
+            cost: request.cost,
+            rank: request.rank,
+            latest_start: request.latest_start,
+            demand: request.demand.clone(),
         };
-        let attempt = ask.attempt;
-        match line.offer(ask, &self.fleet, now) {
-            Offered::Placed(place) => {
-                let permit = self.permit(order, place, now);
-                answer(reply, Ok(permit));
+        let attempt = queue_request.attempt;
+        match queue.submit(queue_request, &self.fleet, now) {
+            Admission::Placed(place) => {
+                let permit = self.permit(request, place, now);
+                send_reply(reply, Ok(permit));
             }
-            Offered::Refused(refusal) => answer(reply, Err(Refusal::Denied(refusal))),
-            Offered::Waits => {
-                self.pending.insert(attempt, (order, reply));
+            Admission::Refused(refusal) => send_reply(reply, Err(Refusal::Denied(refusal))),
+            Admission::Queued => {
+                self.pending.insert(attempt, (request, reply));
             }
         }
     }
 
     /// Takes a repeat from this router's share.
-    fn take_repeat(&mut self, pool: &pool::Id, now: Instant) -> bool {
+    fn withdraw_retry(&mut self, pool: &pool::Id, now: Instant) -> bool {
         let members = self.fleet.members.len();
         // A router that has not registered does not know its share.
-        members > 0 && self.budget(pool, now).take(members, now)
+        members > 0 && self.retry_budget(pool, now).withdraw(members, now)
     }
 
-    fn budget(&mut self, pool: &pool::Id, now: Instant) -> &mut Budget {
+    fn retry_budget(&mut self, pool: &pool::Id, now: Instant) -> &mut RetryBudget {
         let members = self.fleet.members.len();
         let allowance = self.settings.bounds.repeats;
-        let budget = || Budget::new(allowance, members, now);
-        self.budgets.entry(pool.clone()).or_insert_with(budget)
+        let retry_budget = || RetryBudget::new(allowance, members, now);
+        self.retry_budgets
+            .entry(pool.clone())
+            .or_insert_with(retry_budget)
     }
 
-    fn permit(&mut self, order: Order, place: Place, now: Instant) -> Permit {
-        if !order.is_repeat {
+    fn permit(&mut self, request: AcquireRequest, place: Place, now: Instant) -> Permit {
+        if !request.is_retry {
             let members = self.fleet.members.len();
-            self.budget(&order.pool, now).first_arrival(members);
+            self.retry_budget(&request.pool, now).deposit(members);
         }
         let ticket = Ticket {
-            pool: order.pool,
+            pool: request.pool,
             server: place.server.clone(),
             born: place.born,
-            unread: place.unread,
-            parts: order.demand.parts,
-            workspace: order.workspace,
-            fingerprint: order.fingerprint,
+            uncached: place.uncached,
+            parts: request.demand.parts,
+            workspace: request.workspace,
+            fingerprint: request.fingerprint,
             sent_at: now,
             connected_at: None,
-            connect_by: place.connect_by,
-            is_read: false,
+            connect_deadline: place.connect_deadline,
+            has_first_byte: false,
         };
-        Permit::new(ticket, place, self.handle.clone())
+        Permit::new(ticket, place, self.sender.clone())
     }
 
-    fn serve_all(&mut self) {
-        let names: Vec<pool::Id> = self.lines.keys().cloned().collect();
+    fn dequeue_all(&mut self) {
+        let names: Vec<pool::Id> = self.queues.keys().cloned().collect();
         for name in names {
-            self.serve(&name);
+            self.dequeue(&name);
         }
     }
 
     /// Gives places of one service that came free to those that wait.
-    fn serve(&mut self, name: &pool::Id) {
+    fn dequeue(&mut self, name: &pool::Id) {
         let now = self.clock.now();
-        let Some(line) = self.lines.get_mut(name) else {
+        let Some(queue) = self.queues.get_mut(name) else {
             return;
         };
-        if line.is_empty() {
+        if queue.is_empty() {
             return;
         }
         // Callers that left while they waited get no place.
         let left = self.pending.extract_if(|_, (_, reply)| reply.is_closed());
         for (attempt, _) in left {
-            line.cancel(attempt);
+            queue.cancel(attempt);
         }
-        for (attempt, result) in line.serve(&self.fleet, now) {
-            let Some((order, reply)) = self.pending.remove(&attempt) else {
+        for (attempt, result) in queue.dequeue(&self.fleet, now) {
+            let Some((request, reply)) = self.pending.remove(&attempt) else {
                 continue;
             };
             let result = match result {
-                Ok(place) => Ok(self.permit(order, place, now)),
+                Ok(place) => Ok(self.permit(request, place, now)),
                 Err(refusal) => Err(Refusal::Denied(refusal)),
             };
-            answer(reply, result);
+            send_reply(reply, result);
         }
     }
 
     fn first_byte(&mut self, ticket: &Ticket, now: Instant) {
-        let Some(line) = self.lines.get_mut(&ticket.pool) else {
+        let Some(queue) = self.queues.get_mut(&ticket.pool) else {
             return;
         };
-        line.pool_mut().answered(&ticket.server);
+        queue.pool_mut().record_response(&ticket.server);
         if let Some(at) = ticket.connected_at {
             let time = at.since(ticket.sent_at);
-            line.pool_mut().connected(&ticket.server, time);
+            queue.pool_mut().record_connect_time(&ticket.server, time);
         }
-        let Some(server) = line.pool_mut().server_mut(&ticket.server) else {
+        let Some(server) = queue.pool_mut().server_mut(&ticket.server) else {
             return;
         };
-        server.read(ticket.unread);
+        server.end_prefill(ticket.uncached);
         if server.born() == ticket.born {
-            if let Some(part) = reads::shared(&ticket.parts)
-                && !server.has_read(part, now)
+            if let Some(part) = prefixes::shared_part(&ticket.parts)
+                && !server.has_cached(part, now)
             {
-                self.reads.note(server.hash(), part, now);
+                self.prefixes.record(server.hash(), part, now);
             }
-            server.remember(&ticket.parts, now);
-            server.sample(now.since(ticket.sent_at), expected(ticket), now);
+            server.record_cached(&ticket.parts, now);
+            server.record_first_byte(now.since(ticket.sent_at), expected(ticket), now);
         }
     }
 
     fn ended(&mut self, ticket: &Ticket, outcome: Outcome, now: Instant) {
-        self.note_death(ticket, outcome, now);
-        let Some(line) = self.lines.get_mut(&ticket.pool) else {
+        self.record_crash(ticket, outcome, now);
+        let Some(queue) = self.queues.get_mut(&ticket.pool) else {
             return;
         };
-        if let Some(server) = line.pool_mut().server_mut(&ticket.server)
-            && !ticket.is_read
+        if let Some(server) = queue.pool_mut().server_mut(&ticket.server)
+            && !ticket.has_first_byte
         {
-            server.read(ticket.unread);
+            server.end_prefill(ticket.uncached);
             // A request that never got a byte waited at least this long.
             if outcome == Outcome::Cancelled {
-                server.sample(now.since(ticket.sent_at), expected(ticket), now);
+                server.record_first_byte(now.since(ticket.sent_at), expected(ticket), now);
             }
         }
-        if outcome == Outcome::Unreachable && now >= ticket.connect_by {
-            line.pool_mut()
-                .timed_out(&ticket.server, ticket.sent_at, now);
+        if outcome == Outcome::Unreachable && now >= ticket.connect_deadline {
+            queue
+                .pool_mut()
+                .record_connect_timeout(&ticket.server, ticket.sent_at, now);
         }
-        let standing = line.ended(&ticket.server, &ticket.workspace, outcome, now);
+        let standing = queue.ended(&ticket.server, &ticket.workspace, outcome, now);
         if let Some(standing) = standing {
             self.metrics.stands(standing);
             logging::event!(
@@ -328,60 +334,64 @@
                 outcome = outcome
             );
         }
-        self.serve(&ticket.pool);
+        self.dequeue(&ticket.pool);
     }
 
-    fn note_death(&mut self, ticket: &Ticket, outcome: Outcome, now: Instant) {
+    fn record_crash(&mut self, ticket: &Ticket, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Broken => {
                 let (server, born) = (&ticket.server, ticket.born);
-                self.deaths
-                    .broke(ticket.fingerprint, server, born, ticket.sent_at, now);
+                self.crashes
+                    .record_broken(ticket.fingerprint, server, born, ticket.sent_at, now);
             }
             Outcome::Refused | Outcome::Unreachable => {
-                self.died(&ticket.server, ticket.born, now);
+                self.record_death(&ticket.server, ticket.born, now);
             }
-            Outcome::Completed => self.deaths.completed(ticket.fingerprint),
+            Outcome::Completed => self.crashes.record_completed(ticket.fingerprint),
             Outcome::Failed | Outcome::Moved | Outcome::Full | Outcome::Cancelled => {}
         }
     }
 
-    fn died(&mut self, server: &backend::Server, born: u64, now: Instant) {
-        let count = self.deaths.died(server, born, now);
+    fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) {
+        let count = self.crashes.record_death(server, born, now);
         if count > 0 {
             logging::event!(info, "server_died", server = server, requests = count);
         }
     }
 
     /// Starts of servers that are over by what the store says.
-    fn note_ends(&mut self, roster: &Roster) {
+    fn record_ended_starts(&mut self, roster: &Roster) {
         let now = self.clock.now();
         let starts = roster.starts();
-        let servers = self.lines.values().flat_map(|line| line.pool().servers());
+        let servers = self
+            .queues
+            .values()
+            .flat_map(|queue| queue.pool().servers());
         let ended: Vec<_> = servers
             .filter(|server| starts.get(server.name()) != Some(&server.born()))
             .map(|server| (server.name().clone(), server.born()))
             .collect();
         for (server, born) in ended {
-            self.died(&server, born, now);
+            self.record_death(&server, born, now);
         }
     }
 
     fn set_roster(&mut self, roster: &Roster) {
-        self.note_ends(roster);
-        let mut names: Vec<pool::Id> = self.lines.keys().cloned().collect();
+        self.record_ended_starts(roster);
+        let mut names: Vec<pool::Id> = self.queues.keys().cloned().collect();
         names.extend(roster.all().map(|(entry, _)| entry.pool.clone()));
         names.sort_unstable();
         names.dedup();
         for name in names {
-            let line = self.lines.entry(name.clone()).or_insert_with(|| {
+            let queue = self.queues.entry(name.clone()).or_insert_with(|| {
                 let mut pool = Pool::new(self.settings.zone.clone(), self.settings.bounds);
                 if let Some(service) = self.table.services.get(&name) {
                     pool.set_service(service.clone());
                 }
-                Line::new(pool)
+                ServiceQueue::new(pool)
             });
-            line.pool_mut()
+            queue
+                .pool_mut()
                 .set_servers(roster.all().filter(|(entry, _)| entry.pool == name));
         }
         self.sum_peers();
@@ -389,8 +399,8 @@
 
     fn set_table(&mut self, table: Arc<Table>) {
         for (name, service) in &table.services {
-            if let Some(line) = self.lines.get_mut(name) {
-                line.pool_mut().set_service(service.clone());
+            if let Some(queue) = self.queues.get_mut(name) {
+                queue.pool_mut().set_service(service.clone());
             }
         }
         self.table = table;
@@ -398,15 +408,15 @@
 
     fn set_bounds(&mut self, bounds: Bounds) {
         self.settings.bounds = bounds;
-        self.budgets.clear();
-        for line in self.lines.values_mut() {
-            line.pool_mut().set_bounds(bounds);
+        self.retry_budgets.clear();
+        for queue in self.queues.values_mut() {
+            queue.pool_mut().set_bounds(bounds);
         }
     }
 
     fn report(&self, now: Instant) -> status::Report {
-        let rows = self.lines.iter().flat_map(|(name, line)| {
-            let pool = line.pool();
+        let rows = self.queues.iter().flat_map(|(name, queue)| {
+            let pool = queue.pool();
             let bound = pool.bound(now);
             let servers = pool.servers();
             servers.map(move |server| {
@@ -414,19 +424,19 @@
                 status::Row::new(name, server, bound, standing, now)
             })
         });
-        let waiting = self.lines.iter();
+        let waiting = self.queues.iter();
         status::Report {
             servers: rows.collect(),
             waiting: waiting
-                .map(|(name, line)| (name.clone(), line.len()))
+                .map(|(name, queue)| (name.clone(), queue.len()))
                 .collect(),
             members: self.fleet.members.len(),
-            heard: self.peers.len(),
+            heard: self.peer_loads.len(),
         }
     }
 }
 
-fn answer(reply: Reply, result: Result<Permit, Refusal>) {
+fn send_reply(reply: Reply, result: Result<Permit, Refusal>) {
     // A caller that left meanwhile drops the permit, which gives the place back.
     drop(reply.send(result));
 }
@@ -437,6 +447,6 @@
     const TOKENS_PER_MS: u64 = 30;
     /// A first token takes a step or two; a plain service works some tens of milliseconds.
     const BASE: Duration = Duration::from_millis(40);
-    let whole: u64 = ticket.parts.iter().map(Part::length).sum();
-    BASE + Duration::from_millis(ticket.unread.0.max(whole / 8) / TOKENS_PER_MS)
+    let prompt_tokens: u64 = ticket.parts.iter().map(Part::length).sum();
+    BASE + Duration::from_millis(ticket.uncached.0.max(prompt_tokens / 8) / TOKENS_PER_MS)
 }
--- a/crates/gateway/src/dispatch/message.rs
+++ b/crates/gateway/src/dispatch/message.rs
@@ -7,10 +7,10 @@
 
 use super::Permit;
 use crate::{
-    evidence::Ends,
-    line, load,
+    load,
+    outlier::OutcomeCounts,
     pool::{Demand, Outcome, Parts},
-    reads,
+    prefixes, queue,
     roster::Roster,
     route::Table,
     settings::Bounds,
@@ -19,7 +19,7 @@
 
 /// What a request asks for.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct AcquireRequest {
     /// The service.
     pub pool: pool::Id,
     /// Who is charged for it.
@@ -33,7 +33,7 @@
     /// What placement needs to know.
     pub demand: Demand,
     /// Whether a server has had the request before.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// What it has in common with its repeats by the caller.
     pub fingerprint: request::Fingerprint,
 }
@@ -42,11 +42,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// No server takes it.
-    Denied(line::Refusal),
+    Denied(queue::Refusal),
     /// The service is not known.
     Unknown,
     /// The repeats of the service are used up.
-    Budget,
+    RetryBudget,
     /// Servers died of the request.
     Suspect,
 }
@@ -62,25 +62,25 @@
     /// Requests in flight.
     pub running: u32,
     /// How requests there lately ended.
-    pub ends: Ends,
+    pub outcomes: OutcomeCounts,
 }
 
 /// What other routers are told.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct News {
+pub struct PeerUpdate {
     /// Requests in flight and how others ended; servers without any are left out.
     pub loads: Vec<Load>,
     /// Requests that servers lately died of.
     pub strikes: Vec<recovery::Strike>,
     /// Prompts that servers have read just now.
-    pub reads: Vec<reads::Read>,
+    pub prefixes: Vec<prefixes::CachedPrefix>,
 }
 
 /// What the task is told.
 #[derive(Debug)]
 pub enum Message {
     /// A request wants a server.
-    Acquire(Order, Reply),
+    Acquire(AcquireRequest, Reply),
     /// The first byte of a request's answer has come.
     FirstByte(Ticket),
     /// A request has left a server.
@@ -94,7 +94,7 @@
     /// What another router has in flight.
     Peer(host::Id, Vec<load::Load>),
     /// What all other routers have in flight, added up by some of them.
-    Others(Vec<load::Load>),
+    Aggregate(Vec<load::Load>),
     /// Another router fell silent.
     PeerLost(host::Id),
     /// The bounds of the deployment have changed.
@@ -102,9 +102,9 @@
     /// Requests that another router saw servers die of.
     Strikes(Vec<recovery::Strike>),
     /// Prompts that servers have read, as another router saw it.
-    Reads(Vec<reads::Read>),
+    CachedPrefixes(Vec<prefixes::CachedPrefix>),
     /// Asks for what other routers are told.
-    News(oneshot::Sender<News>),
+    PeerUpdate(oneshot::Sender<PeerUpdate>),
     /// Asks for what is believed of the servers.
     Status(oneshot::Sender<status::Report>),
 }
@@ -119,7 +119,7 @@
     /// The start of the server that the request was meant for.
     pub born: u64,
     /// Prompt tokens that it had to read.
-    pub unread: Cost,
+    pub uncached: Cost,
     /// The prompt.
     pub parts: Parts,
     /// Who is charged for it.
@@ -131,7 +131,7 @@
     /// When the connection to the server came about, once it did.
     pub connected_at: Option<Instant>,
     /// When it has to have come about.
-    pub connect_by: Instant,
+    pub connect_deadline: Instant,
     /// Whether its first byte has come.
-    pub is_read: bool,
+    pub has_first_byte: bool,
 }
--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -11,16 +11,16 @@
 pub struct Permit {
     ticket: Option<Ticket>,
     place: Place,
-    handle: mpsc::UnboundedSender<Message>,
+    sender: mpsc::UnboundedSender<Message>,
 }
 
 impl Permit {
     /// The permit for `ticket`, whose request goes to `place`.
-    pub fn new(ticket: Ticket, place: Place, handle: mpsc::UnboundedSender<Message>) -> Self {
+    pub fn new(ticket: Ticket, place: Place, sender: mpsc::UnboundedSender<Message>) -> Self {
         Self {
             ticket: Some(ticket),
             place,
-            handle,
+            sender,
         }
     }
 
@@ -41,10 +41,10 @@
         let Some(ticket) = &mut self.ticket else {
             return;
         };
-        if !ticket.is_read {
-            ticket.is_read = true;
+        if !ticket.has_first_byte {
+            ticket.has_first_byte = true;
             // The task ends only with the process.
-            drop(self.handle.send(Message::FirstByte(ticket.clone())));
+            drop(self.sender.send(Message::FirstByte(ticket.clone())));
         }
     }
 
@@ -56,7 +56,7 @@
     fn give_back(&mut self, outcome: Outcome) {
         if let Some(ticket) = self.ticket.take() {
             // The task ends only with the process.
-            drop(self.handle.send(Message::Ended(ticket, outcome)));
+            drop(self.sender.send(Message::Ended(ticket, outcome)));
         }
     }
 }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -6,20 +6,20 @@
 use units::{backend, time::Instant};
 use xxhash_rust::xxh3;
 
-use crate::evidence::Ends;
+use crate::outlier::OutcomeCounts;
 
 /// How often all ends are told, and not only those with new failures.
 ///
 /// Requests that ended count for seconds, so at each router nearly all servers
 /// have some. Told in each round they would be half of what routers tell each other.
-const WHOLE_EACH: Duration = Duration::from_secs(2);
+const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// How much the failures at a server have to grow to be told at once: by half
 /// a request, in sixteenths. Failures are rare, and callers meet the server
 /// again until it is found out.
-const NEW_FAILURE: u16 = 8;
+const MIN_NEW_FAILURES: u16 = 8;
 /// The most servers with new failures that one change tells of, so that it fits
 /// a datagram; all are told with the next whole report.
-const MOST_FAILING: usize = 20;
+const MAX_FAILING: usize = 20;
 
 /// Requests that a router has, or lately had, at one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -29,7 +29,7 @@
     /// Requests in flight.
     pub running: u16,
     /// How requests there lately ended.
-    pub ends: Ends,
+    pub outcomes: OutcomeCounts,
 }
 
 impl Load {
@@ -38,20 +38,20 @@
     /// Of two servers with the same each counts with the load of both, which keeps
     /// every bound.
     pub fn hash(server: &backend::Server) -> u32 {
-        Self::short(xxh3::xxh3_64(server.as_str().as_bytes()))
+        Self::short_hash(xxh3::xxh3_64(server.as_str().as_bytes()))
     }
 
     /// The part of the hash of a server's name that stands for it between routers.
-    pub fn short(name_hash: u64) -> u32 {
+    pub fn short_hash(name_hash: u64) -> u32 {
         (name_hash >> 40) as u32
     }
 }
 
 /// The `most` servers with most requests.
-pub fn busiest(mut loads: Vec<Load>, most: usize) -> Vec<Load> {
-    if loads.len() > most {
+pub fn busiest(mut loads: Vec<Load>, max_servers: usize) -> Vec<Load> {
+    if loads.len() > max_servers {
         loads.sort_by_key(|load| Reverse(load.running));
-        loads.truncate(most);
+        loads.truncate(max_servers);
     }
     loads
 }
@@ -60,16 +60,16 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
     /// All of them; other servers have neither requests nor ends.
-    Whole(Vec<Load>),
+    Full(Vec<Load>),
     /// All requests in flight, and ends that say something new since the last report.
-    Change {
+    Delta {
         /// Servers with requests in flight, and how many; all others have none.
         ///
         /// In the order of their hashes, each as the step from the one before, which
         /// takes fewer bytes.
         running: Vec<(u32, u16)>,
         /// How requests ended at servers with new failures.
-        ends: Vec<(u32, Ends)>,
+        outcomes: Vec<(u32, OutcomeCounts)>,
     },
 }
 
@@ -77,46 +77,46 @@
 ///
 /// All who are told have to be told each report, or to be told a whole one soon.
 #[derive(Clone, Debug, Default)]
-pub struct Teller {
+pub struct ReportEncoder {
     /// The failures told last at each server.
-    failed: BTreeMap<u32, u16>,
-    whole_at: Instant,
+    sent_failures: BTreeMap<u32, u16>,
+    full_report_at: Instant,
 }
 
-impl Teller {
+impl ReportEncoder {
     /// The next report of these loads.
     pub fn next(&mut self, loads: &[Load], now: Instant) -> Report {
-        if now >= self.whole_at {
-            self.whole_at = now + WHOLE_EACH;
-            self.failed.clear();
-            self.note(loads.iter().map(|load| (load.server, load.ends)));
-            return Report::Whole(loads.to_vec());
+        if now >= self.full_report_at {
+            self.full_report_at = now + FULL_REPORT_INTERVAL;
+            self.sent_failures.clear();
+            self.record_sent(loads.iter().map(|load| (load.server, load.outcomes)));
+            return Report::Full(loads.to_vec());
         }
-        let failing = loads.iter().filter(|load| self.has_failed_since(load));
-        let ends: Vec<_> = failing
-            .map(|load| (load.server, load.ends))
-            .take(MOST_FAILING)
+        let failing = loads.iter().filter(|load| self.has_new_failures(load));
+        let outcomes: Vec<_> = failing
+            .map(|load| (load.server, load.outcomes))
+            .take(MAX_FAILING)
             .collect();
-        self.note(ends.iter().copied());
-        Report::Change {
-            running: steps(loads),
-            ends,
+        self.record_sent(outcomes.iter().copied());
+        Report::Delta {
+            running: delta_encode(loads),
+            outcomes,
         }
     }
 
-    fn note(&mut self, told: impl Iterator<Item = (u32, Ends)>) {
-        self.failed
-            .extend(told.map(|(server, ends)| (server, ends.failed)));
+    fn record_sent(&mut self, sent: impl Iterator<Item = (u32, OutcomeCounts)>) {
+        self.sent_failures
+            .extend(sent.map(|(server, outcomes)| (server, outcomes.failed)));
     }
 
-    fn has_failed_since(&self, load: &Load) -> bool {
-        let told = self.failed.get(&load.server).copied().unwrap_or(0);
-        load.ends.failed >= told.saturating_add(NEW_FAILURE)
+    fn has_new_failures(&self, load: &Load) -> bool {
+        let sent = self.sent_failures.get(&load.server).copied().unwrap_or(0);
+        load.outcomes.failed >= sent.saturating_add(MIN_NEW_FAILURES)
     }
 }
 
 /// Servers with requests in flight, as steps from hash to hash.
-fn steps(loads: &[Load]) -> Vec<(u32, u16)> {
+fn delta_encode(loads: &[Load]) -> Vec<(u32, u16)> {
     let running = loads.iter().filter(|load| load.running > 0);
     let mut running: Vec<_> = running.map(|load| (load.server, load.running)).collect();
     running.sort_unstable();
@@ -131,25 +131,28 @@
 
 /// What one teller has told so far.
 #[derive(Clone, Debug, Default)]
-pub struct Heard {
-    ends: BTreeMap<u32, Ends>,
+pub struct ReportDecoder {
+    outcomes: BTreeMap<u32, OutcomeCounts>,
 }
 
-impl Heard {
+impl ReportDecoder {
     /// Takes in a report, and returns all loads as they stand with it.
-    pub fn take(&mut self, report: Report) -> Vec<Load> {
-        let (running, ends) = match report {
-            Report::Whole(loads) => {
-                self.ends = loads.iter().map(|load| (load.server, load.ends)).collect();
+    pub fn apply(&mut self, report: Report) -> Vec<Load> {
+        let (running, outcomes) = match report {
+            Report::Full(loads) => {
+                self.outcomes = loads
+                    .iter()
+                    .map(|load| (load.server, load.outcomes))
+                    .collect();
                 return loads;
             }
-            Report::Change { running, ends } => (running, ends),
+            Report::Delta { running, outcomes } => (running, outcomes),
         };
-        self.ends.extend(ends);
-        let ended = self.ends.iter().map(|(&server, &ends)| Load {
+        self.outcomes.extend(outcomes);
+        let ended = self.outcomes.iter().map(|(&server, &outcomes)| Load {
             server,
             running: 0,
-            ends,
+            outcomes,
         });
         let mut loads: BTreeMap<u32, Load> = ended.map(|load| (load.server, load)).collect();
         let mut server: u32 = 0;
@@ -159,7 +162,7 @@
             let load = loads.entry(server).or_insert(Load {
                 server,
                 running,
-                ends: Ends::default(),
+                outcomes: OutcomeCounts::default(),
             });
             load.running = running;
         }
--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -59,7 +59,7 @@
             zone: sum.zone,
             routers: sum.routers,
             loads: self.sum_teller.next(&sum.loads, now),
-            reads: self.zone_reads.news(now),
+            reads: self.zone_reads.updates(now),
         };
         let own_zone = self.inputs.own.zone.clone();
         for zone in zones.into_iter().filter(|zone| **zone != own_zone) {
@@ -71,7 +71,7 @@
 
     async fn send_total(&mut self, routers: u16, total: &[Load], now: Instant) {
         let loads = self.total_teller.next(total, now);
-        let reads = self.fleet_reads.news(now);
+        let reads = self.fleet_reads.updates(now);
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
         let near: Vec<&Member> = members
@@ -96,7 +96,7 @@
             return;
         };
         let hash = sums::hash(member.host.as_str());
-        let loads = self.heard.entry(hash).or_default().take(report);
+        let loads = self.heard.entry(hash).or_default().apply(report);
         self.sums.told(member.host, loads, self.clock.now());
     }
 
@@ -110,7 +110,7 @@
         for aggregators in self.aggregators.values_mut() {
             aggregators.heard(hash, now);
         }
-        let loads = self.heard.entry(hash).or_default().take(loads);
+        let loads = self.heard.entry(hash).or_default().apply(loads);
         let sum = Sum {
             zone,
             routers,
@@ -135,7 +135,7 @@
             .heard(total.aggregator, now);
         self.pass_on(&total).await;
         self.hear_reads(total.reads);
-        let loads = self.total_heard.take(total.loads);
+        let loads = self.total_heard.apply(total.loads);
         let (most, until) = self.total_routers;
         if now < until && sums::is_partial(total.routers, most) {
             return;
@@ -165,6 +165,6 @@
 
     fn take_loads(&self, total: &[Load]) {
         let others = sums::without(total, &self.own_loads);
-        self.tell(dispatch::Message::Others(others));
+        self.tell(dispatch::Message::Aggregate(others));
     }
 }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -7,7 +7,7 @@
 use crate::{
     dispatch,
     load::{self, Load, Report},
-    reads::Read,
+    prefixes::CachedPrefix,
     source::Topic,
 };
 
@@ -69,7 +69,7 @@
     /// Requests that servers lately died of.
     pub strikes: Vec<recovery::Strike>,
     /// Prompts that servers have read just now.
-    pub reads: Vec<Read>,
+    pub reads: Vec<CachedPrefix>,
 }
 
 /// What one datagram holds.
@@ -82,7 +82,7 @@
         /// Its loads.
         loads: Report,
         /// Prompts that servers have read for it just now.
-        reads: Vec<Read>,
+        reads: Vec<CachedPrefix>,
     },
     /// The loads of the sender's zone, for those who add up in other zones.
     Sum {
@@ -93,7 +93,7 @@
         /// Their sum.
         loads: Report,
         /// Prompts that servers have read for them just now.
-        reads: Vec<Read>,
+        reads: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of a zone.
     Total(Total),
@@ -109,7 +109,7 @@
     /// The sum.
     pub loads: Report,
     /// Prompts that servers have read just now, anywhere in the fleet.
-    pub reads: Vec<Read>,
+    pub reads: Vec<CachedPrefix>,
     /// The hashes of the routers that the receiver passes it on to.
     pub others: Vec<u32>,
 }
@@ -145,7 +145,7 @@
     }
 
     /// The same with loads and with what servers have read.
-    pub fn with_loads(self, loads: Report, reads: Vec<Read>) -> Self {
+    pub fn with_loads(self, loads: Report, reads: Vec<CachedPrefix>) -> Self {
         Self {
             loads: Some(loads),
             reads,
@@ -159,7 +159,7 @@
     let loads = all.iter().map(|load| Load {
         server: Load::hash(&load.server),
         running: u16::try_from(load.running).unwrap_or(u16::MAX),
-        ends: load.ends,
+        outcomes: load.outcomes,
     });
     load::busiest(loads.collect(), MOST_SERVERS)
 }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn reads_mut(&mut self) -> &mut Vec<Read> {
+    fn reads_mut(&mut self) -> &mut Vec<CachedPrefix> {
         match self {
             Self::Digest(Digest { reads, .. })
             | Self::Loads { reads, .. }
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -9,8 +9,8 @@
 use xxhash_rust::xxh3;
 
 use crate::{
-    evidence::Ends,
     load::{Load, busiest},
+    outlier::OutcomeCounts,
 };
 
 /// How long what a router or a zone told counts: three rounds.
@@ -104,13 +104,13 @@
             running: load
                 .running
                 .saturating_sub(part.map_or(0, |part| part.running)),
-            ends: load
-                .ends
-                .without(part.map_or(Ends::default(), |part| part.ends)),
+            outcomes: load
+                .outcomes
+                .saturating_sub(part.map_or(OutcomeCounts::default(), |part| part.outcomes)),
         }
     });
     others
-        .filter(|load| load.running > 0 || !load.ends.is_empty())
+        .filter(|load| load.running > 0 || !load.outcomes.is_empty())
         .collect()
 }
 
@@ -128,10 +128,10 @@
         let sum = sums.entry(load.server).or_insert(Load {
             server: load.server,
             running: 0,
-            ends: Ends::default(),
+            outcomes: OutcomeCounts::default(),
         });
         sum.running = sum.running.saturating_add(load.running);
-        sum.ends = sum.ends + load.ends;
+        sum.outcomes = sum.outcomes + load.outcomes;
     }
     busiest(sums.into_values().collect(), MOST_SERVERS)
 }
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -20,9 +20,9 @@
     clock::Clock,
     dispatch,
     follow::Event,
-    load::{Heard, Load, Teller},
+    load::{Load, ReportDecoder, ReportEncoder},
     mirror::Mirror,
-    reads::{Read, Reads},
+    prefixes::{CachedPrefix, PrefixUpdates},
     source::{Member, Source, Topic},
 };
 
@@ -52,18 +52,18 @@
     pub(super) aggregators: BTreeMap<availability::Zone, Aggregators>,
     /// What others told of their loads, or of the sum of their zones, by the
     /// hashes of their names.
-    pub(super) heard: BTreeMap<u32, Heard>,
+    pub(super) heard: BTreeMap<u32, ReportDecoder>,
     /// What those who add up in the own zone told.
-    pub(super) total_heard: Heard,
+    pub(super) total_heard: ReportDecoder,
     /// How many routers the last total was over, and until when it counts.
     pub(super) total_routers: (u16, Instant),
-    teller: Teller,
-    pub(super) sum_teller: Teller,
-    pub(super) total_teller: Teller,
+    teller: ReportEncoder,
+    pub(super) sum_teller: ReportEncoder,
+    pub(super) total_teller: ReportEncoder,
     /// What servers have read for the own zone's routers, if this one adds up.
-    pub(super) zone_reads: Reads,
+    pub(super) zone_reads: PrefixUpdates,
     /// What they have read for all routers.
-    pub(super) fleet_reads: Reads,
+    pub(super) fleet_reads: PrefixUpdates,
     readers: Readers,
     socket: UdpSocket,
     pub(super) inputs: Inputs,
@@ -110,13 +110,13 @@
             own_loads: Vec::new(),
             aggregators: BTreeMap::new(),
             heard: BTreeMap::new(),
-            total_heard: Heard::default(),
+            total_heard: ReportDecoder::default(),
             total_routers: (0, Instant::ZERO),
-            teller: Teller::default(),
-            sum_teller: Teller::default(),
-            total_teller: Teller::default(),
-            zone_reads: Reads::default(),
-            fleet_reads: Reads::default(),
+            teller: ReportEncoder::default(),
+            sum_teller: ReportEncoder::default(),
+            total_teller: ReportEncoder::default(),
+            zone_reads: PrefixUpdates::default(),
+            fleet_reads: PrefixUpdates::default(),
             readers: Readers::new(&inputs.own.host, boot.0),
             socket,
             inputs,
@@ -253,7 +253,7 @@
         let digest = if self.is_large() {
             digest
         } else {
-            digest.with_loads(report.clone(), news.reads.clone())
+            digest.with_loads(report.clone(), news.prefixes.clone())
         };
         for member in self.targets(most) {
             self.send_to(&Frame::Digest(digest.clone()), &member).await;
@@ -261,10 +261,10 @@
         if !self.is_large() {
             return;
         }
-        self.note_reads(&news.reads, now);
+        self.note_reads(&news.prefixes, now);
         let frame = Frame::Loads {
             loads: report,
-            reads: news.reads,
+            reads: news.prefixes,
         };
         for member in self.own_aggregators() {
             self.send_to(&frame, &member).await;
@@ -305,9 +305,9 @@
         mirrors.values().fold(0, |sum, mirror| sum ^ mirror.sum())
     }
 
-    async fn news(&self) -> dispatch::News {
+    async fn news(&self) -> dispatch::PeerUpdate {
         let (reply, answer) = oneshot::channel();
-        self.tell(dispatch::Message::News(reply));
+        self.tell(dispatch::Message::PeerUpdate(reply));
         // The task ends only with the process.
         answer.await.unwrap_or_default()
     }
@@ -352,7 +352,7 @@
             }) => {
                 let tag = opened.tag;
                 self.hear_sum(tag, zone, routers, loads);
-                self.fleet_reads.pass_on(&reads, now);
+                self.fleet_reads.forward(&reads, now);
                 self.hear_reads(reads);
             }
             Ok(Frame::Total(total)) => self.hear_total(total).await,
@@ -379,15 +379,15 @@
     }
 
     /// Keeps what a router of the own zone told of reads, to pass it on.
-    fn note_reads(&mut self, reads: &[Read], now: Instant) {
-        self.zone_reads.pass_on(reads, now);
-        self.fleet_reads.pass_on(reads, now);
+    fn note_reads(&mut self, reads: &[CachedPrefix], now: Instant) {
+        self.zone_reads.forward(reads, now);
+        self.fleet_reads.forward(reads, now);
     }
 
     /// Passes on to whoever chooses servers what other routers saw them read.
-    pub(super) fn hear_reads(&self, reads: Vec<Read>) {
+    pub(super) fn hear_reads(&self, reads: Vec<CachedPrefix>) {
         if !reads.is_empty() {
-            self.tell(dispatch::Message::Reads(reads));
+            self.tell(dispatch::Message::CachedPrefixes(reads));
         }
     }
 
@@ -431,7 +431,7 @@
             return has_news;
         };
         let hash = sums::hash(digest.host.as_str());
-        let loads = self.heard.entry(hash).or_default().take(report);
+        let loads = self.heard.entry(hash).or_default().apply(report);
         self.sums.told(digest.host.clone(), loads.clone(), now);
         self.tell(dispatch::Message::Peer(digest.host, loads));
         has_news
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -3,7 +3,7 @@
 pub mod connect;
 mod copies;
 mod cost;
-mod others;
+mod peers;
 
 mod server;
 mod zone;
@@ -16,7 +16,7 @@
 
 pub use server::{Outcome, Server};
 
-use crate::{fence, roster, route, settings::Bounds};
+use crate::{roster, route, settings::Bounds, slow_start};
 
 /// One part of a prompt; parts that requests share have the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -45,7 +45,7 @@
     /// Servers that had the request before.
     pub tried: SmallVec<[backend::Server; 2]>,
     /// Whether a part of each server's slots is kept free for others.
-    pub is_modest: bool,
+    pub leaves_reserve: bool,
 }
 
 /// The routers that share bounds.
@@ -69,7 +69,7 @@
     /// The start of the server that the request is meant for.
     pub born: u64,
     /// Prompt tokens that the server has not read, as far as known.
-    pub unread: Cost,
+    pub uncached: Cost,
     /// A server that may have read more of the prompt.
     pub source: Option<SocketAddr>,
     /// Requests of all routers at the server, as far as known, this one included.
@@ -77,7 +77,7 @@
     /// The most requests that the server may hold now.
     pub bound: f64,
     /// When a connection to it has to have come about.
-    pub connect_by: Instant,
+    pub connect_deadline: Instant,
 }
 
 /// What is believed of a server.
@@ -112,17 +112,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// No server of the service is known, or all have been tried.
-    Empty,
+    NoServer,
     /// All are in zones that cannot be reached; the first of these is tried again then.
-    Away(Instant),
+    ZonesUnreachable(Instant),
     /// All are at their limit.
     Full,
     /// Those that have room are cold and have had their share; one opens then.
-    Cold(Instant),
+    SlowStart(Instant),
 }
 
 /// How much of the room above the mean is used, since peers' loads are late.
-const BOUND_USED: f64 = 0.75;
+const BOUND_HEADROOM_USED: f64 = 0.75;
 /// Requests above the multiple of the mean that the deployment allows.
 const BOUND_EXTRA: f64 = 3.0;
 
@@ -134,14 +134,14 @@
     service: route::Service,
     servers: BTreeMap<backend::Server, Server>,
     ejection: Ejection,
-    ways: zone::Ways,
+    zone_tracker: zone::ZoneTracker,
 }
 
 impl Pool {
     /// A pool without servers, seen from `zone`.
     pub fn new(zone: availability::Zone, bounds: Bounds) -> Self {
         let settings = recovery::Settings {
-            ejection: EJECTION,
+            ejection: BASE_EJECTION,
             max_ejection: MAX_EJECTION,
             ..recovery::Settings::default()
         };
@@ -154,7 +154,7 @@
             },
             servers: BTreeMap::new(),
             ejection: Ejection::new(settings),
-            ways: zone::Ways::default(),
+            zone_tracker: zone::ZoneTracker::default(),
         }
     }
 
@@ -190,20 +190,20 @@
     /// Why there is none.
     pub fn admit(&mut self, demand: &Demand, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
         let choice = self.choose(demand, fleet, now)?;
-        let share = self.cold_share(&choice, fleet, now);
+        let share = self.slow_start_share(&choice, fleet, now);
         let source = self.source(&choice, demand, now);
         let bound = self.bound(now);
-        let server = self.servers.get_mut(&choice).ok_or(Denial::Empty)?;
-        let unread = Cost(server.unread(&demand.parts, now));
-        server.admit(unread, share, now);
-        self.ways.chosen(server.zone(), now);
+        let server = self.servers.get_mut(&choice).ok_or(Denial::NoServer)?;
+        let uncached = Cost(server.uncached(&demand.parts, now));
+        server.admit(uncached, share, now);
+        self.zone_tracker.record_choice(server.zone(), now);
         Ok(Place {
-            connect_by: now + self.ways.connect_limit(server.zone()),
+            connect_deadline: now + self.zone_tracker.connect_timeout(server.zone()),
             zone: server.zone().clone(),
             address: server.address(),
             born: server.born(),
             server: choice,
-            unread,
+            uncached,
             source,
             load: server.load(),
             bound,
@@ -221,40 +221,40 @@
             servers.filter(|server| !demand.tried.contains(server.name()))
         };
         let is_panicking = self.ejection.is_panicking(now);
-        let sound = |server: &&Server| {
+        let is_available = |server: &&Server| {
             server.is_reachable(now)
-                && !self.ways.is_away(server.zone(), now)
+                && !self.zone_tracker.is_away(server.zone(), now)
                 && (is_panicking || !self.ejection.is_failing(server.name(), now))
         };
-        let mut candidates: Vec<&Server> = untried().filter(sound).collect();
+        let mut candidates: Vec<&Server> = untried().filter(is_available).collect();
         if candidates.is_empty() {
             // What failed lately is still better than a refusal.
-            let near = untried().filter(|server| !self.is_cut_off(server, now));
-            candidates = near.collect();
+            let reachable = untried().filter(|server| !self.is_cut_off(server, now));
+            candidates = reachable.collect();
         }
         if candidates.is_empty() {
-            return Err(self.nobody(untried(), now));
+            return Err(self.no_candidate(untried(), now));
         }
         let bound = self.bound(now);
         // Requests of a plain service are over before others hear of them. Counted,
         // they would keep requests waiting for slots that are free. A server that
         // is full says so.
-        let counts_others = self.service.cache_tokens > 0;
+        let counts_peers = self.service.cache_tokens > 0;
         candidates.retain(|server| {
-            server.has_room(demand.is_modest, counts_others)
+            server.has_room(demand.leaves_reserve, counts_peers)
                 && f64::from(server.load() + 1) <= bound
         });
         if candidates.is_empty() {
             return Err(Denial::Full);
         }
-        let opens_at = candidates
+        let slow_start_ready_at = candidates
             .iter()
-            .filter(|server| self.is_fenced(server, fleet, now))
-            .map(|server| server.opens_at())
+            .filter(|server| self.is_slow_start_limited(server, fleet, now))
+            .map(|server| server.slow_start_ready_at())
             .min();
-        candidates.retain(|server| !self.is_fenced(server, fleet, now));
+        candidates.retain(|server| !self.is_slow_start_limited(server, fleet, now));
         let best = self.cheapest(&candidates, demand, now);
-        best.ok_or(Denial::Cold(opens_at.unwrap_or(now)))
+        best.ok_or(Denial::SlowStart(slow_start_ready_at.unwrap_or(now)))
     }
 
     /// Whether a server is in a zone that cannot be reached.
@@ -262,14 +262,14 @@
     /// One after the other, each of its servers would keep a request for as long as
     /// a connection may take. The router's own zone is never taken for cut off.
     fn is_cut_off(&self, server: &Server, now: Instant) -> bool {
-        *server.zone() != self.zone && self.ways.is_away(server.zone(), now)
+        *server.zone() != self.zone && self.zone_tracker.is_away(server.zone(), now)
     }
 
     /// Why none of `servers` may be tried.
-    fn nobody<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
-        let returns = servers.map(|server| self.ways.away_until(server.zone()));
-        let first = returns.min();
-        first.map_or(Denial::Empty, |at| Denial::Away(at.max(now)))
+    fn no_candidate<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
+        let retry_times = servers.map(|server| self.zone_tracker.away_until(server.zone()));
+        let first = retry_times.min();
+        first.map_or(Denial::NoServer, |at| Denial::ZonesUnreachable(at.max(now)))
     }
 
     /// The most requests that one server may hold at `now`.
@@ -282,43 +282,48 @@
     /// known then, and taken for none they would make callers of a zone that was
     /// cut off wait beside free slots.
     pub fn bound(&self, now: Instant) -> f64 {
-        let is_known = |server: &&Server| !self.ways.is_unknown(server.zone(), now);
-        let all = if self.servers.values().any(|server| is_known(&server)) {
-            mean(self.servers.values().filter(is_known))
+        let has_known_load = |server: &&Server| !self.zone_tracker.is_unknown(server.zone(), now);
+        let mean_load = if self.servers.values().any(|server| has_known_load(&server)) {
+            mean(self.servers.values().filter(has_known_load))
         } else {
             mean(self.servers.values())
         };
-        let above = (self.bounds.load_multiple - 1.0) * all + BOUND_EXTRA;
-        all + above * BOUND_USED
+        let headroom = (self.bounds.load_multiple - 1.0) * mean_load + BOUND_EXTRA;
+        mean_load + headroom * BOUND_HEADROOM_USED
     }
 
-    fn cold_bound(&self) -> fence::Bound {
+    fn slow_start_limit(&self) -> slow_start::RateLimit {
         let rate = self.service.cold_per_s;
-        fence::Bound {
+        slow_start::RateLimit {
             rate,
-            most: rate * self.bounds.cold_multiple + self.bounds.cold_extra,
+            max_per_s: rate * self.bounds.cold_multiple + self.bounds.cold_extra,
         }
     }
 
-    fn cold_share(
+    fn slow_start_share(
         &self,
         server: &backend::Server,
         fleet: &Fleet,
         now: Instant,
-    ) -> Option<fence::Share> {
+    ) -> Option<slow_start::Share> {
         let is_cold = self.servers.get(server)?.is_cold(now);
         if !is_cold || self.service.cold_per_s <= 0.0 {
             return None;
         }
-        fence::share(self.cold_bound(), &fleet.own, &fleet.members, server)
+        slow_start::share(self.slow_start_limit(), &fleet.own, &fleet.members, server)
     }
 
-    fn is_fenced(&self, server: &Server, fleet: &Fleet, now: Instant) -> bool {
+    fn is_slow_start_limited(&self, server: &Server, fleet: &Fleet, now: Instant) -> bool {
         if !server.is_cold(now) || self.service.cold_per_s <= 0.0 {
             return false;
         }
-        let share = fence::share(self.cold_bound(), &fleet.own, &fleet.members, server.name());
-        share.is_none() || !server.is_open(now)
+        let share = slow_start::share(
+            self.slow_start_limit(),
+            &fleet.own,
+            &fleet.members,
+            server.name(),
+        );
+        share.is_none() || !server.is_slow_start_ready(now)
     }
 
     /// The candidate with the least expected time to the first byte.
@@ -328,10 +333,10 @@
         demand: &Demand,
         now: Instant,
     ) -> Option<backend::Server> {
-        let staying = self.servers.values().filter(|server| !server.is_leaving());
-        let order = cost::Order::new(&demand.parts, staying);
+        let active = self.servers.values().filter(|server| !server.is_leaving());
+        let ranking = cost::Ranking::new(&demand.parts, active);
         let cost = |server: &&Server| {
-            let place = order.as_ref().map(|order| order.place(server));
+            let place = ranking.as_ref().map(|ranking| ranking.position(server));
             cost::time_us(server, &self.zone, &demand.parts, place, now)
         };
         let best = candidates.iter().min_by_key(|server| cost(server))?;
@@ -339,9 +344,9 @@
     }
 
     /// Until then every server may have turned cold, or started anew, unnoticed.
-    pub fn doubt(&mut self, until: Instant) {
+    pub fn assume_cold_until(&mut self, until: Instant) {
         for server in self.servers.values_mut() {
-            server.doubt(until);
+            server.assume_cold_until(until);
         }
     }
 
@@ -351,23 +356,29 @@
     }
 
     /// A connection to `server` came about.
-    pub fn connected(&mut self, name: &backend::Server, time: Duration) {
+    pub fn record_connect_time(&mut self, name: &backend::Server, time: Duration) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.connected(server.zone(), time);
+            self.zone_tracker.record_connect_time(server.zone(), time);
         }
     }
 
     /// A connection to `server` was given up at its limit.
-    pub fn timed_out(&mut self, name: &backend::Server, begun_at: Instant, now: Instant) {
+    pub fn record_connect_timeout(
+        &mut self,
+        name: &backend::Server,
+        begun_at: Instant,
+        now: Instant,
+    ) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.timed_out(server.zone(), begun_at, now);
+            self.zone_tracker
+                .record_connect_timeout(server.zone(), begun_at, now);
         }
     }
 
     /// The answer of `server` has begun.
-    pub fn answered(&mut self, name: &backend::Server) {
+    pub fn record_response(&mut self, name: &backend::Server) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.answered(server);
+            self.zone_tracker.record_response(server);
         }
     }
 
@@ -391,7 +402,7 @@
             | Outcome::Cancelled => {}
         }
         if let Some(server) = self.servers.get_mut(name) {
-            self.ways.note(server, outcome, now);
+            self.zone_tracker.record_outcome(server, outcome, now);
             server.ended(outcome, now);
         }
         let after = self.standing(name, now);
@@ -430,6 +441,6 @@
 }
 
 /// How long a first ejection lasts: a few of the shortest faults that were seen (4 to 6 s).
-const EJECTION: Duration = Duration::from_millis(1500);
+const BASE_EJECTION: Duration = Duration::from_millis(1500);
 /// How long the longest ejection lasts.
 const MAX_EJECTION: Duration = Duration::from_secs(6);
--- a/crates/gateway/src/pool/connect.rs
+++ b/crates/gateway/src/pool/connect.rs
@@ -6,12 +6,12 @@
 
 /// The least limit: many times the longest way there and back between zones, and
 /// half the time for which a machine at its quota stands still.
-const LEAST: Duration = Duration::from_millis(50);
+const MIN_TIMEOUT: Duration = Duration::from_millis(50);
 /// The longest limit, and the one while nothing has been measured.
 ///
 /// A first packet that was lost is sent again only after a second, when another
 /// server would have answered long since.
-const LONGEST: Duration = Duration::from_millis(300);
+const MAX_TIMEOUT: Duration = Duration::from_millis(300);
 /// How many times the usual deviation a connection may take longer than the mean.
 const DEVIATIONS: u32 = 4;
 
@@ -22,7 +22,7 @@
 /// with one that follows from what connections take here, the next server
 /// answers in time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Times {
+pub struct ConnectTimes {
     mean: Option<Duration>,
     deviation: Duration,
     /// Connections given up in a row. Without them a way that has become longer
@@ -32,9 +32,9 @@
     timed_out_at: Instant,
 }
 
-impl Times {
+impl ConnectTimes {
     /// A connection came about.
-    pub fn took(&mut self, time: Duration) {
+    pub fn record(&mut self, time: Duration) {
         self.timeouts = 0;
         let Some(mean) = self.mean else {
             self.mean = Some(time);
@@ -48,7 +48,7 @@
     /// A connection that was begun at `begun_at` is given up at `now`.
     ///
     /// Those that hang side by side say no more than one.
-    pub fn timed_out(&mut self, begun_at: Instant, now: Instant) {
+    pub fn record_timeout(&mut self, begun_at: Instant, now: Instant) {
         if begun_at < self.timed_out_at {
             return;
         }
@@ -57,12 +57,12 @@
     }
 
     /// How long the next one may take.
-    pub fn limit(&self) -> Duration {
+    pub fn timeout(&self) -> Duration {
         let Some(mean) = self.mean else {
-            return LONGEST;
+            return MAX_TIMEOUT;
         };
-        let usual = (mean + self.deviation * DEVIATIONS).max(LEAST);
+        let base = (mean + self.deviation * DEVIATIONS).max(MIN_TIMEOUT);
         let factor = 1_u32.checked_shl(self.timeouts).unwrap_or(u32::MAX);
-        usual.saturating_mul(factor).min(LONGEST)
+        base.saturating_mul(factor).min(MAX_TIMEOUT)
     }
 }
--- a/crates/gateway/src/pool/copies.rs
+++ b/crates/gateway/src/pool/copies.rs
@@ -8,7 +8,7 @@
 
 /// Fewer tokens than this are read anew rather than copied: an engine reads them
 /// in the time that setting up a copy takes.
-const LEAST_COPY: u64 = 200;
+const MIN_COPY_TOKENS: u64 = 200;
 
 impl Pool {
     /// A server whose cache `choice` should copy the prompt from, rather than read it anew.
@@ -30,18 +30,18 @@
         let parts = &demand.parts;
         let shared = &parts[..parts.len().saturating_sub(1)];
         let chosen = self.servers.get(choice)?;
-        let missing = chosen.unread(shared, now);
-        if missing < LEAST_COPY {
+        let uncached = chosen.uncached(shared, now);
+        if uncached < MIN_COPY_TOKENS {
             return None;
         }
-        let others = || {
+        let sources = || {
             let servers = self.servers.values();
             servers
                 .filter(|server| server.name() != choice && server.is_reachable(now))
-                .filter(|server| !self.ways.is_unknown(server.zone(), now))
+                .filter(|server| !self.zone_tracker.is_unknown(server.zone(), now))
         };
-        let order = cost::Order::new(parts, others())?;
-        let best = others().min_by_key(|server| order.doubt(server, shared, now))?;
+        let ranking = cost::Ranking::new(parts, sources())?;
+        let best = sources().min_by_key(|server| ranking.source_key(server, shared, now))?;
         Some(best.address())
     }
 }
--- a/crates/gateway/src/pool/cost.rs
+++ b/crates/gateway/src/pool/cost.rs
@@ -10,7 +10,7 @@
 
 /// Tokens that an engine reads in a millisecond; only its ratio to the other
 /// costs here matters.
-const TOKENS_PER_MS: u64 = 60;
+const PREFILL_TOKENS_PER_MS: u64 = 60;
 /// What one request in flight adds to the time of another at an engine, in microseconds.
 ///
 /// Much more than its share of a step would move short prompts for small
@@ -22,7 +22,7 @@
 const ZONE_US: u64 = 2_000;
 /// How much of its prompt the first server in order is expected to have read
 /// for other routers, in percent.
-const HOME_READ_PERCENT: u64 = 95;
+const FIRST_CACHED_PERCENT: u64 = 95;
 /// How much dearer reading a prompt counts with each later place in its order, in
 /// percent, for the first few places.
 ///
@@ -30,12 +30,12 @@
 /// to have it than any other. Without that, zones and small differences of load
 /// would scatter such requests. Expecting the second to have read half of it
 /// instead would draw prompts from servers that are known to have them.
-const PLACE_PERCENT: u64 = 25;
+const POSITION_PENALTY_PERCENT: u64 = 25;
 /// The place from which on all are alike.
-const LAST_PLACE: usize = 3;
+const RANKED_SERVERS: usize = 3;
 
 /// A server's rank in an order, with the hash of its name; the lowest is first.
-type Rank = (Reverse<u64>, u64);
+type RankKey = (Reverse<u64>, u64);
 
 /// The order of servers for a prompt, on which all routers agree.
 ///
@@ -43,56 +43,61 @@
 /// prompt costs: sorting thousands for each request would take longer than
 /// most answers.
 #[derive(Clone, Debug)]
-pub struct Order {
+pub struct Ranking {
     anchor: chat::Key,
-    first: SmallVec<[Rank; LAST_PLACE]>,
+    ranked: SmallVec<[RankKey; RANKED_SERVERS]>,
 }
 
-impl Order {
+impl Ranking {
     /// The order of `servers` for a prompt; `None` if there is no prompt.
     pub fn new<'a>(parts: &[Part], servers: impl Iterator<Item = &'a Server>) -> Option<Self> {
-        let mut order = Self {
+        let mut ranking = Self {
             anchor: anchor(parts)?,
-            first: SmallVec::new(),
+            ranked: SmallVec::new(),
         };
         for server in servers {
-            order.insert(order.rank(server));
+            ranking.insert(ranking.rank_key(server));
         }
-        Some(order)
+        Some(ranking)
     }
 
-    fn rank(&self, server: &Server) -> Rank {
+    fn rank_key(&self, server: &Server) -> RankKey {
         let hash = server.name_hash();
         (Reverse(score::pair(self.anchor, hash)), hash)
     }
 
-    fn insert(&mut self, rank: Rank) {
-        let place = self.first.partition_point(|before| *before < rank);
-        if place < LAST_PLACE {
-            self.first.truncate(LAST_PLACE - 1);
-            self.first.insert(place, rank);
+    fn insert(&mut self, rank_key: RankKey) {
+        let position = self.ranked.partition_point(|before| *before < rank_key);
+        if position < RANKED_SERVERS {
+            self.ranked.truncate(RANKED_SERVERS - 1);
+            self.ranked.insert(position, rank_key);
         }
     }
 
-    /// The place of a server; [`LAST_PLACE`] stands for all from there on.
-    pub fn place(&self, server: &Server) -> usize {
+    /// The place of a server; [`RANKED_SERVERS`] stands for all from there on.
+    pub fn position(&self, server: &Server) -> usize {
         let hash = server.name_hash();
-        let place = self.first.iter().position(|(_, first)| *first == hash);
-        place.unwrap_or(LAST_PLACE)
+        let position = self.ranked.iter().position(|(_, ranked)| *ranked == hash);
+        position.unwrap_or(RANKED_SERVERS)
     }
 
     /// What servers are compared by that may have read `parts`; the likeliest is the lowest.
     ///
     /// One that has just started is the first for prompts that still lie at the
     /// next, and nowhere else.
-    pub fn doubt(&self, server: &Server, parts: &[Part], now: Instant) -> (u64, usize, Rank) {
-        let place = if server.is_settled(now) {
-            self.place(server)
+    pub fn source_key(
+        &self,
+        server: &Server,
+        parts: &[Part],
+        now: Instant,
+    ) -> (u64, usize, RankKey) {
+        let position = if server.is_settled(now) {
+            self.position(server)
         } else {
-            LAST_PLACE
+            RANKED_SERVERS
         };
-        let unread = expected_unread(server.unread(parts, now), place);
-        (unread, place, self.rank(server))
+        let uncached = expected_uncached(server.uncached(parts, now), position);
+        (uncached, position, self.rank_key(server))
     }
 }
 
@@ -102,35 +107,35 @@
     server: &Server,
     zone: &availability::Zone,
     parts: &[Part],
-    place: Option<usize>,
+    position: Option<usize>,
     now: Instant,
 ) -> u64 {
-    let away = if server.zone() == zone { 0 } else { ZONE_US };
+    let zone_us = if server.zone() == zone { 0 } else { ZONE_US };
     let load = u64::from(server.load());
-    let common = away + server.lag_us(now);
-    let Some(place) = place else {
-        return common + load * SERVICE_LOAD_US;
+    let common_us = zone_us + server.lag_us(now);
+    let Some(position) = position else {
+        return common_us + load * SERVICE_LOAD_US;
     };
     // A server that has just started has read nothing for anyone.
-    let expected_place = if server.is_cold(now) {
-        LAST_PLACE
+    let expected_position = if server.is_cold(now) {
+        RANKED_SERVERS
     } else {
-        place
+        position
     };
-    let unread = expected_unread(server.unread(parts, now), expected_place);
-    let queued = server.pending().0 / 4;
-    let read = (unread + queued) * 1000 / TOKENS_PER_MS;
-    common + read + load * ENGINE_LOAD_US
+    let uncached = expected_uncached(server.uncached(parts, now), expected_position);
+    let queued_tokens = server.pending_prefill().0 / 4;
+    let prefill_us = (uncached + queued_tokens) * 1000 / PREFILL_TOKENS_PER_MS;
+    common_us + prefill_us + load * ENGINE_LOAD_US
 }
 
 /// What the server at a place of a prompt's order has to read of it, as far as
 /// expected, where `unread` is what it is not known to have read.
-pub fn expected_unread(unread: u64, place: usize) -> u64 {
-    let percent = match place {
-        0 => 100 - HOME_READ_PERCENT,
-        place => 100 + PLACE_PERCENT * place.min(LAST_PLACE) as u64,
+pub fn expected_uncached(uncached: u64, position: usize) -> u64 {
+    let percent = match position {
+        0 => 100 - FIRST_CACHED_PERCENT,
+        position => 100 + POSITION_PENALTY_PERCENT * position.min(RANKED_SERVERS) as u64,
     };
-    unread * percent / 100
+    uncached * percent / 100
 }
 
 /// The part by which a prompt's servers are ordered.
--- a/crates/gateway/src/pool/others.rs
+++ b/crates/gateway/src/pool/peers.rs
@@ -3,34 +3,34 @@
 use units::{backend, time::Instant};
 
 use super::Pool;
-use crate::{evidence::Ends, reads::Read};
+use crate::{outlier::OutcomeCounts, prefixes::CachedPrefix};
 
 impl Pool {
     /// Sets what other routers have at each server, and how requests of theirs
     /// lately ended there. Servers are named by their hashes.
-    pub fn hear(&mut self, sums: impl Fn(u32) -> (u32, Ends)) {
+    pub fn set_peer_state(&mut self, sums: impl Fn(u32) -> (u32, OutcomeCounts)) {
         for server in self.servers.values_mut() {
-            let (running, ends) = sums(server.hash());
-            server.set_elsewhere(running);
-            server.set_ends_elsewhere(ends);
+            let (running, outcomes) = sums(server.hash());
+            server.set_peer_load(running);
+            server.set_peer_outcomes(outcomes);
         }
     }
 
     /// Takes in prompts that servers have read for other routers.
-    pub fn hear_reads(&mut self, reads: &[Read], now: Instant) {
+    pub fn add_peer_prefixes(&mut self, prefixes: &[CachedPrefix], now: Instant) {
         for server in self.servers.values_mut() {
             let hash = server.hash();
-            for read in reads.iter().filter(|read| read.server == hash) {
-                server.heard(*read, now);
+            for prefix in prefixes.iter().filter(|prefix| prefix.server == hash) {
+                server.record_peer_prefix(*prefix, now);
             }
         }
     }
 
     /// Sets how requests of other routers lately ended at each server.
-    pub fn set_ends_elsewhere(&mut self, ends: impl Fn(&backend::Server) -> Ends) {
+    pub fn set_peer_outcomes(&mut self, outcomes: impl Fn(&backend::Server) -> OutcomeCounts) {
         for server in self.servers.values_mut() {
-            let ends = ends(server.name());
-            server.set_ends_elsewhere(ends);
+            let outcomes = outcomes(server.name());
+            server.set_peer_outcomes(outcomes);
         }
     }
 
@@ -39,19 +39,21 @@
     ///
     /// Of many routers each meets a server too seldom to see by itself that it
     /// fails, and a server may fail every request and say that it is well.
-    pub fn judge(&mut self, now: Instant) -> Vec<(backend::Server, Ends)> {
+    pub fn detect_outliers(&mut self, now: Instant) -> Vec<(backend::Server, OutcomeCounts)> {
         let all = || {
             let servers = self.servers.values();
-            servers.map(|server| (server, server.all_ends(now)))
+            servers.map(|server| (server, server.total_outcomes(now)))
         };
-        let total = all().fold(Ends::default(), |sum, (_, ends)| sum + ends);
+        let total = all().fold(OutcomeCounts::default(), |sum, (_, outcomes)| {
+            sum + outcomes
+        });
         if total.failed == 0 {
             return Vec::new();
         }
         let failing: Vec<_> = all()
-            .filter(|(_, ends)| ends.show_failing(total.without(*ends)))
+            .filter(|(_, outcomes)| outcomes.is_outlier(total.saturating_sub(*outcomes)))
             .filter(|(server, _)| !self.ejection.is_failing(server.name(), now))
-            .map(|(server, ends)| (server.name().clone(), ends))
+            .map(|(server, outcomes)| (server.name().clone(), outcomes))
             .collect();
         for (name, _) in &failing {
             self.ejection.eject(name, now);
@@ -60,10 +62,10 @@
     }
 
     /// Sets how many requests other routers have at each server.
-    pub fn set_elsewhere(&mut self, loads: impl Fn(&backend::Server) -> u32) {
+    pub fn set_peer_load(&mut self, loads: impl Fn(&backend::Server) -> u32) {
         for server in self.servers.values_mut() {
             let load = loads(server.name());
-            server.set_elsewhere(load);
+            server.set_peer_load(load);
         }
     }
 }
--- a/crates/gateway/src/reads.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -9,21 +9,21 @@
 
 /// How long a read is news: a round and a half, so that it is told twice at
 /// most and a lost datagram hides few.
-const NEWS_FOR: Duration = Duration::from_millis(300);
+const GOSSIP_FOR: Duration = Duration::from_millis(300);
 /// The most reads that one datagram tells of as news, where its loads leave room for
 /// them; each takes up to twelve bytes.
-const MOST_NEWS: usize = 64;
+const MAX_UPDATES: usize = 64;
 /// How long a read that was told is known, so that it is not passed on once for
 /// each router that tells of it.
-const KNOWN_FOR: Duration = Duration::from_secs(2);
+const DEDUP_FOR: Duration = Duration::from_secs(2);
 /// The most reads that are kept: what a second's datagrams tell of.
-const MOST_KEPT: usize = 320;
+const MAX_RECORDS: usize = 320;
 /// Shorter runs are read anew in about the time that copying them takes.
-const LEAST_TOKENS: u64 = 200;
+const MIN_TOKENS: u64 = 200;
 
 /// A server has read a part of a prompt, and all parts before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Read {
+pub struct CachedPrefix {
     /// A hash of the server's name.
     pub server: u32,
     /// A hash of the part's key.
@@ -39,18 +39,18 @@
 
 /// The last part of a prompt that other requests share; the one after it belongs
 /// to the request or its chat alone.
-pub fn shared(parts: &[Part]) -> Option<&Part> {
+pub fn shared_part(parts: &[Part]) -> Option<&Part> {
     let last = parts.len().checked_sub(2)?;
     parts.get(last)
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Record {
-    read: Read,
+    prefix: CachedPrefix,
     /// Until when it is told.
-    news_until: Instant,
+    send_until: Instant,
     /// Until when it is no news if another router tells of it.
-    known_until: Instant,
+    dedup_until: Instant,
 }
 
 /// The reads that a router tells others of.
@@ -60,47 +60,47 @@
 /// only of their own requests have the prompt read anew at a server that lacks
 /// it, although another holds it, and its callers wait meanwhile.
 #[derive(Clone, Debug, Default)]
-pub struct Reads {
+pub struct PrefixUpdates {
     records: Vec<Record>,
 }
 
-impl Reads {
+impl PrefixUpdates {
     /// The server with this hash has read a part that it was not known to have.
-    pub fn note(&mut self, server: u32, part: &Part, now: Instant) {
-        if part.length() < LEAST_TOKENS {
+    pub fn record(&mut self, server: u32, part: &Part, now: Instant) {
+        if part.length() < MIN_TOKENS {
             return;
         }
-        let read = Read {
+        let prefix = CachedPrefix {
             server,
             part: hash(part.key),
             tokens: part.tokens,
         };
-        self.pass_on(&[read], now);
+        self.forward(&[prefix], now);
     }
 
     /// These reads are told from now on, but for those that were told just now.
-    pub fn pass_on(&mut self, reads: &[Read], now: Instant) {
-        self.records.retain(|known| now < known.known_until);
-        for &read in reads {
-            if self.records.iter().any(|known| known.read == read) {
+    pub fn forward(&mut self, prefixes: &[CachedPrefix], now: Instant) {
+        self.records.retain(|record| now < record.dedup_until);
+        for &prefix in prefixes {
+            if self.records.iter().any(|record| record.prefix == prefix) {
                 continue;
             }
             self.records.push(Record {
-                read,
-                news_until: now + NEWS_FOR,
-                known_until: now + KNOWN_FOR,
+                prefix,
+                send_until: now + GOSSIP_FOR,
+                dedup_until: now + DEDUP_FOR,
             });
         }
-        let surplus = self.records.len().saturating_sub(MOST_KEPT);
+        let surplus = self.records.len().saturating_sub(MAX_RECORDS);
         self.records.drain(..surplus);
     }
 
     /// What is news at `now`, the longest parts if there is much.
-    pub fn news(&self, now: Instant) -> Vec<Read> {
-        let news = self.records.iter().filter(|known| now < known.news_until);
-        let mut reads: Vec<Read> = news.map(|known| known.read).collect();
-        reads.sort_by_key(|read| Reverse(read.tokens));
-        reads.truncate(MOST_NEWS);
-        reads
+    pub fn updates(&self, now: Instant) -> Vec<CachedPrefix> {
+        let updates = self.records.iter().filter(|record| now < record.send_until);
+        let mut prefixes: Vec<CachedPrefix> = updates.map(|record| record.prefix).collect();
+        prefixes.sort_by_key(|prefix| Reverse(prefix.tokens));
+        prefixes.truncate(MAX_UPDATES);
+        prefixes
     }
 }
--- a/crates/gateway/src/line.rs
+++ b/crates/gateway/src/queue.rs
@@ -11,21 +11,21 @@
 ///
 /// At a hundred requests a second this is over two seconds of work, longer
 /// than most callers wait for a first byte.
-const MOST_WAITING: usize = 256;
+const MAX_QUEUED: usize = 256;
 /// How many workspaces are looked at for one that fits when a place comes free.
-const HEADS: usize = 16;
+const MAX_HEADS: usize = 16;
 /// The time over which it is measured how fast requests get places.
-const METER_WINDOW: Duration = Duration::from_secs(1);
+const RATE_WINDOW: Duration = Duration::from_secs(1);
 /// The least time after which a refused caller may come back: a short answer takes as long.
-const LEAST_RETURN: Duration = Duration::from_millis(100);
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// The longest such time: what fills all servers lasts seconds.
-const LONGEST_RETURN: Duration = Duration::from_secs(3);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 /// How much later each step of lower urgency is served among the requests of a workspace.
 const RANK_STEP: Duration = Duration::from_millis(200);
 
 /// One request that wants a server.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct QueueRequest {
     /// Names it among those that wait.
     pub attempt: request::Attempt,
     /// Who is charged for it.
@@ -51,17 +51,17 @@
 
 /// What became of a request that asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Offered {
+pub enum Admission {
     /// It goes there now.
     Placed(Place),
-    /// It waits; [`Line::serve`] tells what becomes of it.
-    Waits,
+    /// It waits; [`ServiceQueue::dequeue`] tells what becomes of it.
+    Queued,
     /// It is refused.
     Refused(Refusal),
 }
 
 /// What became of a request that waited.
-pub type Served = (request::Attempt, Result<Place, Refusal>);
+pub type Dequeued = (request::Attempt, Result<Place, Refusal>);
 
 /// The servers of one service and the requests that wait for them.
 ///
@@ -70,19 +70,19 @@
 /// share leaves some slots free: otherwise one workspace's surge would make all
 /// others wait for each of their requests.
 #[derive(Debug)]
-pub struct Line {
+pub struct ServiceQueue {
     pool: Pool,
     queue: Queue,
     shares: Shares,
     settings: admission::Settings,
-    waiting: HashMap<request::Attempt, Ask>,
-    meter: Meter,
-    cold_at: Option<Instant>,
+    waiting: HashMap<request::Attempt, QueueRequest>,
+    rate: PlacementRate,
+    slow_start_at: Option<Instant>,
     /// Refused to make room, and not told yet.
-    displaced: Vec<Served>,
+    displaced: Vec<Dequeued>,
 }
 
-impl Line {
+impl ServiceQueue {
     /// A line without requests in front of `pool`.
     pub fn new(pool: Pool) -> Self {
         Self {
@@ -91,8 +91,8 @@
             shares: Shares::default(),
             settings: admission::Settings::default(),
             waiting: HashMap::new(),
-            meter: Meter::default(),
-            cold_at: None,
+            rate: PlacementRate::default(),
+            slow_start_at: None,
             displaced: Vec::new(),
         }
     }
@@ -102,7 +102,7 @@
         &self.pool
     }
 
-    /// The servers, to be changed. [`Line::serve`] has to follow.
+    /// The servers, to be changed. [`ServiceQueue::dequeue`] has to follow.
     pub fn pool_mut(&mut self) -> &mut Pool {
         &mut self.pool
     }
@@ -118,64 +118,75 @@
     }
 
     /// Asks for a place.
-    pub fn offer(&mut self, ask: Ask, fleet: &Fleet, now: Instant) -> Offered {
+    pub fn submit(&mut self, request: QueueRequest, fleet: &Fleet, now: Instant) -> Admission {
         self.shares.expire(now);
-        self.shares.seen(&ask.workspace, 1, &self.settings, now);
-        let denial = match self.offer_now(&ask, fleet, now) {
-            Ok(place) => return Offered::Placed(place),
-            Err(denial @ (Denial::Empty | Denial::Away(_))) => {
-                return Offered::Refused(self.refusal(denial, &ask, now));
+        self.shares.seen(&request.workspace, 1, &self.settings, now);
+        let denial = match self.try_place(&request, fleet, now) {
+            Ok(place) => return Admission::Placed(place),
+            Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
+                return Admission::Refused(self.refusal(denial, &request, now));
             }
             Err(denial) => denial,
         };
-        if self.is_hopeless(&ask, now) || !self.make_room(&ask, now) {
-            return Offered::Refused(self.refusal(denial, &ask, now));
+        if self.would_miss_deadline(&request, now) || !self.make_room(&request, now) {
+            return Admission::Refused(self.refusal(denial, &request, now));
         }
-        self.note_cold(denial);
-        self.push(ask, now);
-        Offered::Waits
+        self.note_slow_start(denial);
+        self.push(request, now);
+        Admission::Queued
     }
 
     /// Places a request at once, if none of its workspace waits.
     ///
     /// What waits of other workspaces had no place when the last one came free,
     /// so a place that is there now is one that is kept from them.
-    fn offer_now(&mut self, ask: &Ask, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
-        if self.queue.len_of(&ask.workspace) > 0 {
+    fn try_place(
+        &mut self,
+        request: &QueueRequest,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Place, Denial> {
+        if self.queue.len_of(&request.workspace) > 0 {
             return Err(Denial::Full);
         }
-        let place = self.place(ask, fleet, now)?;
-        self.queue.charge(&ask.workspace, ask.cost);
+        let place = self.place(request, fleet, now)?;
+        self.queue.charge(&request.workspace, request.cost);
         Ok(place)
     }
 
-    fn place(&mut self, ask: &Ask, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
-        let own_slots = self.pool.slots() / u32::try_from(fleet.members.len().max(1)).unwrap_or(1);
-        let mut demand = ask.demand.clone();
-        demand.is_modest = self
-            .shares
-            .is_over(&ask.workspace, own_slots, &self.settings, now);
+    fn place(
+        &mut self,
+        request: &QueueRequest,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Place, Denial> {
+        let slot_share = self.pool.slots() / u32::try_from(fleet.members.len().max(1)).unwrap_or(1);
+        let mut demand = request.demand.clone();
+        demand.leaves_reserve =
+            self.shares
+                .is_over(&request.workspace, slot_share, &self.settings, now);
         let place = self.pool.admit(&demand, fleet, now)?;
-        self.shares.began(&ask.workspace, 1, &self.settings, now);
-        self.meter.served(ask.cost, now);
+        self.shares
+            .began(&request.workspace, 1, &self.settings, now);
+        self.rate.record(request.cost, now);
         Ok(place)
     }
 
     /// Whether the request would wait longer than it can.
-    fn is_hopeless(&self, ask: &Ask, now: Instant) -> bool {
-        if now >= ask.latest_start {
+    fn would_miss_deadline(&self, request: &QueueRequest, now: Instant) -> bool {
+        if now >= request.latest_start {
             return true;
         }
-        now + self.wait(ask, now) > ask.latest_start
+        now + self.expected_wait(request, now) > request.latest_start
     }
 
     /// Makes room for one more to wait. The workspace that has most gives way;
     /// if that is the request's own, there is no room.
-    fn make_room(&mut self, ask: &Ask, now: Instant) -> bool {
-        if self.queue.len() < MOST_WAITING {
+    fn make_room(&mut self, request: &QueueRequest, now: Instant) -> bool {
+        if self.queue.len() < MAX_QUEUED {
             return true;
         }
-        let Some(last) = self.queue.displace(&ask.workspace) else {
+        let Some(last) = self.queue.displace(&request.workspace) else {
             return false;
         };
         let refused = self.refuse(last.ticket.attempt, Denial::Full, now);
@@ -184,58 +195,58 @@
     }
 
     /// How long the request would wait, by how fast others lately got places.
-    fn wait(&self, ask: &Ask, now: Instant) -> Duration {
-        let ahead = self.queue.ahead(&ask.workspace, priority(ask.rank));
-        self.meter.time_for(ahead, now)
+    fn expected_wait(&self, request: &QueueRequest, now: Instant) -> Duration {
+        let ahead = self.queue.ahead(&request.workspace, priority(request.rank));
+        self.rate.time_to_place(ahead, now)
     }
 
-    fn push(&mut self, ask: Ask, now: Instant) {
+    fn push(&mut self, request: QueueRequest, now: Instant) {
         let ticket = Ticket {
-            attempt: ask.attempt,
-            workspace: ask.workspace.clone(),
-            cost: ask.cost,
-            priority: priority(ask.rank),
+            attempt: request.attempt,
+            workspace: request.workspace.clone(),
+            cost: request.cost,
+            priority: priority(request.rank),
             standing: Standing::Clear,
-            deadline: ask.latest_start,
+            deadline: request.latest_start,
         };
         let waiting = Waiting {
             ticket,
-            latest_start: ask.latest_start,
+            latest_start: request.latest_start,
         };
         self.queue.push(waiting, RANK_STEP, now);
-        self.waiting.insert(ask.attempt, ask);
+        self.waiting.insert(request.attempt, request);
     }
 
     /// Gives places that came free to those that wait, and refuses those whose
     /// time is up.
-    pub fn serve(&mut self, fleet: &Fleet, now: Instant) -> Vec<Served> {
-        let mut served = std::mem::take(&mut self.displaced);
-        self.cold_at = None;
+    pub fn dequeue(&mut self, fleet: &Fleet, now: Instant) -> Vec<Dequeued> {
+        let mut dequeued = std::mem::take(&mut self.displaced);
+        self.slow_start_at = None;
         while let Some(expired) = self.queue.pop_expired(now) {
-            served.extend(self.refuse(expired.ticket.attempt, Denial::Full, now));
+            dequeued.extend(self.refuse(expired.ticket.attempt, Denial::Full, now));
         }
-        while let Some(next) = self.serve_one(fleet, now) {
-            served.push(next);
+        while let Some(next) = self.dequeue_one(fleet, now) {
+            dequeued.push(next);
         }
-        served
+        dequeued
     }
 
-    fn serve_one(&mut self, fleet: &Fleet, now: Instant) -> Option<Served> {
-        let heads: Vec<_> = self.queue.heads().take(HEADS).collect();
+    fn dequeue_one(&mut self, fleet: &Fleet, now: Instant) -> Option<Dequeued> {
+        let heads: Vec<_> = self.queue.heads().take(MAX_HEADS).collect();
         let heads: Vec<_> = heads.iter().map(|head| head.ticket.attempt).collect();
         for attempt in heads {
-            let ask = self.waiting.get(&attempt)?.clone();
-            match self.place(&ask, fleet, now) {
+            let request = self.waiting.get(&attempt)?.clone();
+            match self.place(&request, fleet, now) {
                 Ok(place) => {
                     self.queue.serve(attempt);
                     self.waiting.remove(&attempt);
                     return Some((attempt, Ok(place)));
                 }
-                Err(denial @ (Denial::Empty | Denial::Away(_))) => {
+                Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
                     self.queue.remove(attempt);
                     return self.refuse(attempt, denial, now);
                 }
-                Err(denial) => self.note_cold(denial),
+                Err(denial) => self.note_slow_start(denial),
             }
         }
         None
@@ -246,9 +257,9 @@
         attempt: request::Attempt,
         denial: Denial,
         now: Instant,
-    ) -> Option<Served> {
-        let ask = self.waiting.remove(&attempt)?;
-        Some((attempt, Err(self.refusal(denial, &ask, now))))
+    ) -> Option<Dequeued> {
+        let request = self.waiting.remove(&attempt)?;
+        Some((attempt, Err(self.refusal(denial, &request, now))))
     }
 
     /// Takes a request out whose caller has left.
@@ -269,7 +280,7 @@
         self.pool.ended(server, outcome, now)
     }
 
-    /// When [`Line::serve`] has something to do by itself.
+    /// When [`ServiceQueue::dequeue`] has something to do by itself.
     pub fn next_wake(&self) -> Option<Instant> {
         if !self.displaced.is_empty() {
             return Some(Instant::ZERO);
@@ -278,12 +289,12 @@
             return None;
         }
         let expiry = self.queue.next_expiry();
-        expiry.into_iter().chain(self.cold_at).min()
+        expiry.into_iter().chain(self.slow_start_at).min()
     }
 
-    fn note_cold(&mut self, denial: Denial) {
-        if let Denial::Cold(at) = denial {
-            self.cold_at = Some(self.cold_at.map_or(at, |known| known.min(at)));
+    fn note_slow_start(&mut self, denial: Denial) {
+        if let Denial::SlowStart(at) = denial {
+            self.slow_start_at = Some(self.slow_start_at.map_or(at, |known| known.min(at)));
         }
     }
 
@@ -291,13 +302,13 @@
     /// zone that cannot be reached is tried again.
     ///
     /// It is spread by half, so that those refused together do not return together.
-    fn refusal(&self, denial: Denial, ask: &Ask, now: Instant) -> Refusal {
+    fn refusal(&self, denial: Denial, request: &QueueRequest, now: Instant) -> Refusal {
         let wait = match denial {
-            Denial::Away(at) => at.since(now),
-            _ => self.meter.time_for(self.queue.cost(), now),
+            Denial::ZonesUnreachable(at) => at.since(now),
+            _ => self.rate.time_to_place(self.queue.cost(), now),
         };
-        let wait = wait.clamp(LEAST_RETURN, LONGEST_RETURN);
-        let spread = f64::from(ask.attempt.0 as u8) / f64::from(u8::MAX);
+        let wait = wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let spread = f64::from(request.attempt.0 as u8) / f64::from(u8::MAX);
         Refusal {
             denial,
             retry_at: now + wait.mul_f64(1.0 + spread / 2.0),
@@ -316,29 +327,29 @@
 
 /// How fast requests get places.
 #[derive(Clone, Copy, Debug, Default)]
-struct Meter {
+struct PlacementRate {
     window_ends: Instant,
     cost: Cost,
     /// The cost of the last full window.
-    before: Cost,
+    previous_cost: Cost,
 }
 
-impl Meter {
-    fn served(&mut self, cost: Cost, now: Instant) {
+impl PlacementRate {
+    fn record(&mut self, cost: Cost, now: Instant) {
         if now >= self.window_ends {
-            let is_next = now < self.window_ends + METER_WINDOW;
-            self.before = if is_next { self.cost } else { Cost(0) };
+            let is_next = now < self.window_ends + RATE_WINDOW;
+            self.previous_cost = if is_next { self.cost } else { Cost(0) };
             self.cost = Cost(0);
-            self.window_ends = now + METER_WINDOW;
+            self.window_ends = now + RATE_WINDOW;
         }
         self.cost += cost;
     }
 
     /// The time in which work of `cost` gets places.
-    fn time_for(&self, cost: Cost, now: Instant) -> Duration {
-        let is_current = now < self.window_ends + METER_WINDOW;
+    fn time_to_place(&self, cost: Cost, now: Instant) -> Duration {
+        let is_current = now < self.window_ends + RATE_WINDOW;
         let rate = if is_current {
-            self.before.0.max(self.cost.0)
+            self.previous_cost.0.max(self.cost.0)
         } else {
             0
         };
@@ -346,6 +357,6 @@
             // Nothing is known, so nothing speaks against waiting.
             return Duration::ZERO;
         }
-        METER_WINDOW.mul_f64(cost.0 as f64 / rate as f64)
+        RATE_WINDOW.mul_f64(cost.0 as f64 / rate as f64)
     }
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -256,7 +256,7 @@
             zone = place.map_or("none", |place| place.zone.as_str()),
             load = place.map_or(0, |place| place.load),
             bound = format!("{:.1}", place.map_or(0.0, |place| place.bound)),
-            unread = place.map_or(Cost(0), |place| place.unread),
+            unread = place.map_or(Cost(0), |place| place.uncached),
             copied = place.is_some_and(|place| place.source.is_some()),
             status = self.status,
             ending = ending,
--- a/crates/gateway/src/budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -29,13 +29,13 @@
 /// The ratio part fills with this router's own first arrivals and so adds up
 /// over the fleet by itself. The burst is divided by the number of routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     allowance: Allowance,
     tokens: f64,
     filled_at: Instant,
 }
 
-impl Budget {
+impl RetryBudget {
     /// A bucket that holds this router's share of the burst.
     pub fn new(allowance: Allowance, members: usize, now: Instant) -> Self {
         Self {
@@ -46,14 +46,14 @@
     }
 
     /// A request was sent for the first time.
-    pub fn first_arrival(&mut self, members: usize) {
-        let most = burst(self.allowance, members).max(1.0);
+    pub fn deposit(&mut self, members: usize) {
+        let max_tokens = burst(self.allowance, members).max(1.0);
         let earned = self.allowance.ratio * RATIO_USED;
-        self.tokens = (self.tokens + earned).min(most.max(self.tokens));
+        self.tokens = (self.tokens + earned).min(max_tokens.max(self.tokens));
     }
 
     /// Takes one repeat, if there is one left.
-    pub fn take(&mut self, members: usize, now: Instant) -> bool {
+    pub fn withdraw(&mut self, members: usize, now: Instant) -> bool {
         self.refill(members, now);
         if self.tokens < 1.0 {
             return false;
@@ -64,13 +64,13 @@
 
     /// The burst comes back over a window.
     fn refill(&mut self, members: usize, now: Instant) {
-        let most = burst(self.allowance, members);
+        let max_tokens = burst(self.allowance, members);
         let window = Duration::from_secs(self.allowance.window_s.max(1));
         let share = now.since(self.filled_at).as_secs_f64() / window.as_secs_f64();
         self.filled_at = now;
-        if self.tokens < most {
+        if self.tokens < max_tokens {
             // Half of the burst a window: a window may begin with a full bucket.
-            self.tokens = (self.tokens + share * most * 0.5).min(most);
+            self.tokens = (self.tokens + share * max_tokens * 0.5).min(max_tokens);
         }
     }
 }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -83,7 +83,7 @@
 
 /// A workspace as the holder of a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Tenancy {
+pub struct KeyOwner {
     /// The workspace.
     pub workspace: workspace::Id,
     /// How urgent its requests are, if it goes before the route's rank.
@@ -132,7 +132,7 @@
     /// The version that operators gave it.
     pub version: u64,
     hosts: HashMap<String, Prefixes>,
-    keys: HashMap<String, Arc<Tenancy>>,
+    keys: HashMap<String, Arc<KeyOwner>>,
     /// The services, by name.
     pub services: BTreeMap<pool::Id, Service>,
     /// What callers may send.
@@ -149,8 +149,8 @@
     }
 
     /// Adds a key and its holder.
-    pub fn add_key(&mut self, key: &str, tenancy: Arc<Tenancy>) {
-        self.keys.insert(String::from(key), tenancy);
+    pub fn add_key(&mut self, key: &str, key_owner: Arc<KeyOwner>) {
+        self.keys.insert(String::from(key), key_owner);
     }
 
     /// The route with the longest prefix that begins `path`.
@@ -167,7 +167,7 @@
     }
 
     /// The holder of a key.
-    pub fn holder(&self, key: &str) -> Option<&Arc<Tenancy>> {
+    pub fn holder(&self, key: &str) -> Option<&Arc<KeyOwner>> {
         self.keys.get(key)
     }
 }
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -17,10 +17,10 @@
 use super::Context;
 use crate::{
     attempt::{self, Answer, End},
-    dispatch::{self, Message, Order, Permit},
+    dispatch::{self, AcquireRequest, Message, Permit},
     pool::{Demand, Denial, Outcome, Place},
     protocol::{Attempt, Head, Protocol},
-    route::{Route, Tenancy},
+    route::{KeyOwner, Route},
 };
 
 /// How many servers that cannot be reached a request meets before it is given up.
@@ -56,7 +56,7 @@
     /// Its route.
     pub route: Arc<Route>,
     /// The holder of the caller's key.
-    pub tenancy: Option<Arc<Tenancy>>,
+    pub key_owner: Option<Arc<KeyOwner>>,
     /// The service that runs it.
     pub pool: pool::Id,
     /// Whether the service is an engine.
@@ -137,7 +137,7 @@
 
     /// Who is charged for it.
     pub fn workspace(&self) -> workspace::Id {
-        match &self.plan.tenancy {
+        match &self.plan.key_owner {
             Some(holder) => holder.workspace.clone(),
             None => self.context.anonymous.clone(),
         }
@@ -205,7 +205,7 @@
         let attempt = Attempt {
             server: &place.server,
             remaining: Millis(u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)),
-            workspace: self.plan.tenancy.as_ref().map(|holder| &holder.workspace),
+            workspace: self.plan.key_owner.as_ref().map(|holder| &holder.workspace),
             rank: self.rank(),
             last_event: last_event.or(self.plan.head.last_event.as_deref()),
             source: place.source,
@@ -229,7 +229,7 @@
     }
 
     fn rank(&self) -> u8 {
-        let own = self.plan.tenancy.as_ref().and_then(|holder| holder.rank);
+        let own = self.plan.key_owner.as_ref().and_then(|holder| holder.rank);
         own.unwrap_or(self.plan.route.rank)
     }
 
@@ -252,14 +252,14 @@
         if now + LEAST_TIME >= self.plan.deadline {
             return Err(self.refusal(Code::Deadline, "The time was up."));
         }
-        let order = Order {
+        let order = AcquireRequest {
             pool: self.plan.pool.clone(),
             workspace: self.workspace(),
             cost: self.plan.head.cost,
             rank: self.rank(),
             latest_start: self.latest_start(now),
             demand: self.plan.demand.clone(),
-            is_repeat: self.sends > 0,
+            is_retry: self.sends > 0,
             fingerprint: self.plan.fingerprint,
         };
         let (reply, answer) = oneshot::channel();
@@ -287,7 +287,7 @@
     fn denied(&self, refused: dispatch::Refusal) -> Refusal {
         let now = self.context.clock.now();
         match refused {
-            dispatch::Refusal::Budget => self
+            dispatch::Refusal::RetryBudget => self
                 .refusal(Code::RetryBudget, "The repeats of the service are used up.")
                 .retry_at(now + RETRY_FULL),
             dispatch::Refusal::Suspect => {
@@ -298,10 +298,10 @@
                 .retry_at(now + RETRY_EMPTY),
             dispatch::Refusal::Denied(refusal) => {
                 let (code, message) = match refusal.denial {
-                    Denial::Empty => (Code::NoServer, "No server takes the request."),
-                    Denial::Away(_) => (Code::NoServer, "No server can be reached."),
+                    Denial::NoServer => (Code::NoServer, "No server takes the request."),
+                    Denial::ZonesUnreachable(_) => (Code::NoServer, "No server can be reached."),
                     Denial::Full => (Code::Busy, "All servers are at their limit."),
-                    Denial::Cold(_) => (Code::Cold, "All servers with room are starting."),
+                    Denial::SlowStart(_) => (Code::Cold, "All servers with room are starting."),
                 };
                 self.refusal(code, message).retry_at(refusal.retry_at)
             }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -18,7 +18,7 @@
     headers,
     pool::Demand,
     protocol::{Head, Protocol},
-    route::{Route, Table, Tenancy},
+    route::{KeyOwner, Route, Table},
 };
 
 /// How long a caller may stay silent in the middle of a body.
@@ -42,7 +42,7 @@
     let table = table.ok_or_else(|| context.not_ready());
     let table = table.inspect_err(|refusal| log_refusal(&head, &Table::default(), refusal))?;
     let checked = check(&table, &head, parts.uri.path(), &body);
-    let (route, tenancy) = checked.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
+    let (route, key_owner) = checked.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     let body = read(body, table.limits.body_bytes, &context.memory).await;
     let (body, held) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     headers::strip(&mut parts.headers);
@@ -64,7 +64,7 @@
             is_engine,
             pool,
             route,
-            tenancy,
+            key_owner,
             fingerprint: fingerprint(parts.uri.path(), &head, &body),
             method: parts.method,
             uri: parts.uri,
@@ -80,24 +80,24 @@
     ))
 }
 
-type Checked = (Arc<Route>, Option<Arc<Tenancy>>);
+type Checked = (Arc<Route>, Option<Arc<KeyOwner>>);
 
 fn check(table: &Table, head: &Head, path: &str, body: &Incoming) -> Result<Checked, Refusal> {
     let route = table
         .find(&head.host, path)
         .ok_or_else(|| Refusal::not_run(Code::UnknownRoute, "No route matches."))?;
-    let tenancy = match &head.key {
+    let key_owner = match &head.key {
         Some(key) => table.holder(key).cloned(),
         None => None,
     };
-    if tenancy.is_none() && table.needs_key && !route.is_anonymous {
+    if key_owner.is_none() && table.needs_key && !route.is_anonymous {
         return Err(Refusal::not_run(Code::BadKey, "The key is not known."));
     }
     // A length over the limit is refused before its body is waited for.
     if body.size_hint().lower() > table.limits.body_bytes {
         return Err(too_large());
     }
-    Ok((Arc::clone(route), tenancy))
+    Ok((Arc::clone(route), key_owner))
 }
 
 /// A body and its share of the memory for bodies.
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -4,7 +4,7 @@
 
 use units::{availability, host, time::Millis, workspace};
 
-use crate::budget;
+use crate::retry_budget;
 
 /// The settings of one router.
 #[derive(Clone, Debug, PartialEq)]
@@ -47,7 +47,7 @@
     /// Requests that a cold server may get in one second besides.
     pub cold_extra: f64,
     /// What may be repeated at one service.
-    pub repeats: budget::Allowance,
+    pub repeats: retry_budget::Allowance,
 }
 
 impl Default for Bounds {
@@ -56,7 +56,7 @@
             load_multiple: 2.0,
             cold_multiple: 1.0,
             cold_extra: 0.0,
-            repeats: budget::Allowance {
+            repeats: retry_budget::Allowance {
                 ratio: 0.1,
                 burst: 0.0,
                 window_s: 10,
--- a/crates/gateway/tests/decisions/aggregation.rs
+++ b/crates/gateway/tests/decisions/aggregation.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use gateway::{
-    evidence::Ends,
-    load::{Heard, Load, Report, Teller},
+    load::{Load, Report, ReportDecoder, ReportEncoder},
+    outlier::OutcomeCounts,
     peers::{AGGREGATORS, Aggregators, Frame, Sum, Sums, Total, relays, sums},
     source::Member,
 };
@@ -17,7 +17,7 @@
     Load {
         server,
         running,
-        ends: Ends::default(),
+        outcomes: OutcomeCounts::default(),
     }
 }
 
@@ -67,14 +67,14 @@
     let frame = Frame::Sum {
         zone: sum.zone,
         routers: sum.routers,
-        loads: Teller::default().next(&sum.loads, START),
+        loads: ReportEncoder::default().next(&sum.loads, START),
         reads: Vec::new(),
     };
     assert!(frame.encode().is_ok());
     let total = Total {
         aggregator: u32::MAX,
         routers: u16::MAX,
-        loads: Teller::default().next(&aggregator.total(&sum, START), START),
+        loads: ReportEncoder::default().next(&aggregator.total(&sum, START), START),
         reads: Vec::new(),
         others: vec![u32::MAX; 10],
     };
@@ -87,7 +87,7 @@
 #[test]
 fn failures_of_all_routers_add_up() {
     let seen = |failed| Load {
-        ends: Ends {
+        outcomes: OutcomeCounts {
             failed,
             completed: 0,
         },
@@ -124,7 +124,7 @@
 
 fn ended(server: u32, failed: u16, completed: u16) -> Load {
     Load {
-        ends: Ends { failed, completed },
+        outcomes: OutcomeCounts { failed, completed },
         ..load(server, 1)
     }
 }
@@ -133,33 +133,33 @@
 /// meet it for two seconds longer.
 #[test]
 fn new_failures_are_told_at_once() {
-    let mut teller = Teller::default();
-    let mut heard = Heard::default();
+    let mut teller = ReportEncoder::default();
+    let mut heard = ReportDecoder::default();
     let calm = [ended(1, 0, 160), ended(2, 0, 160)];
-    assert_eq!(heard.take(teller.next(&calm, START)), calm);
+    assert_eq!(heard.apply(teller.next(&calm, START)), calm);
     let soon = START + Duration::from_millis(200);
     let failing = [ended(1, 16, 150), ended(2, 0, 150)];
     let news = teller.next(&failing, soon);
-    assert_eq!(heard.take(news), [ended(1, 16, 150), ended(2, 0, 160)]);
+    assert_eq!(heard.apply(news), [ended(1, 16, 150), ended(2, 0, 160)]);
     let next = soon + Duration::from_millis(200);
-    let Report::Change { ends, .. } = teller.next(&failing, next) else {
+    let Report::Delta { outcomes, .. } = teller.next(&failing, next) else {
         panic!("a whole report so soon");
     };
-    assert_eq!(ends, [], "it has been told");
+    assert_eq!(outcomes, [], "it has been told");
 }
 
 /// The datagram that told of a failure is lost, and one that told that a server
 /// has no requests any more.
 #[test]
 fn a_whole_report_makes_up_for_lost_ones() {
-    let mut teller = Teller::default();
-    let mut heard = Heard::default();
-    heard.take(teller.next(&[load(1, 3)], START));
+    let mut teller = ReportEncoder::default();
+    let mut heard = ReportDecoder::default();
+    heard.apply(teller.next(&[load(1, 3)], START));
     let lost = teller.next(&[ended(2, 32, 0)], START + Duration::from_millis(200));
     drop(lost);
     let now = [ended(2, 32, 0)];
     let whole = teller.next(&now, START + Duration::from_secs(2));
-    assert_eq!(heard.take(whole), now);
+    assert_eq!(heard.apply(whole), now);
 }
 
 proptest! {
@@ -171,9 +171,9 @@
         running in proptest::collection::btree_map(0_u32..1 << 24, 1_u16..500, 0..80),
     ) {
         let loads: Vec<_> = running.into_iter().map(|(server, running)| load(server, running)).collect();
-        let mut teller = Teller::default();
-        let mut heard = Heard::default();
-        heard.take(teller.next(&[], START));
+        let mut teller = ReportEncoder::default();
+        let mut heard = ReportDecoder::default();
+        heard.apply(teller.next(&[], START));
         let report = teller.next(&loads, START);
         let frame = Frame::Loads {
             loads: report,
@@ -182,7 +182,7 @@
         let Ok(Frame::Loads { loads: report, .. }) = Frame::decode(&frame.encode().expect("it fits")) else {
             panic!("another frame");
         };
-        prop_assert_eq!(heard.take(report), loads);
+        prop_assert_eq!(heard.apply(report), loads);
     }
 }
 
--- a/crates/gateway/tests/decisions/copies.rs
+++ b/crates/gateway/tests/decisions/copies.rs
@@ -4,23 +4,23 @@
 
 use gateway::pool::Outcome;
 
-use crate::world::{START, admit, by_score, dozen, pool, run};
+use crate::world::{START, admit, by_score, pool, run, twelve_servers};
 
 /// A server is replaced, and its prompts go to others that would read them
 /// anew, while the one that has read them still runs for a few seconds.
 #[test]
-fn a_prompt_is_copied_from_a_server_that_leaves() {
-    let mut entries = dozen();
+fn a_prompt_is_copied_from_a_draining_server() {
+    let mut entries = twelve_servers();
     let mut pool = pool(&entries);
-    let home = run(&mut pool, 7, 0, START);
-    pool.ended(&home.server, Outcome::Completed, START);
+    let former_first = run(&mut pool, 7, 0, START);
+    pool.ended(&former_first.server, Outcome::Completed, START);
     for entry in &mut entries {
-        entry.is_draining = entry.server == home.server;
+        entry.is_draining = entry.server == former_first.server;
     }
     pool.set_servers(entries.iter().map(|entry| (entry, entry.is_draining)));
     let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_ne!(place.server, home.server);
-    assert_eq!(place.source, Some(home.address));
+    assert_ne!(place.server, former_first.server);
+    assert_eq!(place.source, Some(former_first.address));
 }
 
 /// A new server becomes the first of a prompt that other routers sent to the one
@@ -28,40 +28,45 @@
 /// server with a part that many prompts share. Copied from that one, all the
 /// rest would be read anew, and its callers wait for it.
 #[test]
-fn a_prompt_is_copied_from_its_first_server_rather_than_from_one_with_a_part() {
-    let first = run(&mut pool(&dozen()), 7, 0, START).server;
-    let before: Vec<_> = dozen()
+fn the_former_first_server_is_preferred_to_one_with_a_partial_prefix() {
+    let first = run(&mut pool(&twelve_servers()), 7, 0, START).server;
+    let before: Vec<_> = twelve_servers()
         .into_iter()
         .filter(|entry| entry.server != first)
         .collect();
-    let home = run(&mut pool(&before), 7, 0, START);
-    let mut pool = pool(&dozen());
-    let elsewhere = (100..130).filter(|&topic| {
-        let place = run(&mut crate::world::pool(&dozen()), topic, topic, START);
-        place.server != first && place.server != home.server
+    let former_first = run(&mut pool(&before), 7, 0, START);
+    let mut pool = pool(&twelve_servers());
+    let other_topics = (100..130).filter(|&topic| {
+        let place = run(
+            &mut crate::world::pool(&twelve_servers()),
+            topic,
+            topic,
+            START,
+        );
+        place.server != first && place.server != former_first.server
     });
-    for topic in elsewhere.take(4) {
+    for topic in other_topics.take(4) {
         run(&mut pool, topic, topic, START);
     }
     let place = admit(&mut pool, 7, 1, START).expect("a place");
     assert_eq!(place.server, first);
-    assert_eq!(place.source, Some(home.address));
+    assert_eq!(place.source, Some(former_first.address));
 }
 
 /// A server that has just started is the first of a prompt, and has no room. Copied
 /// from that one, which has read nothing yet, the prompt would be read anew,
 /// though the one that was first before still has it.
 #[test]
-fn a_prompt_is_not_copied_from_a_first_server_that_has_just_started() {
-    let ranked = by_score(1_007, &dozen());
-    let mut entries = dozen();
+fn a_prompt_is_not_copied_from_a_newly_started_server() {
+    let ranked = by_score(1_007, &twelve_servers());
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         if entry.server == ranked[0] {
             entry.cold_until = START + Duration::from_secs(1);
         }
     }
     let mut pool = pool(&entries);
-    pool.set_elsewhere(|name| if ranked[..2].contains(name) { 20 } else { 1 });
+    pool.set_peer_load(|name| if ranked[..2].contains(name) { 20 } else { 1 });
     let now = START + Duration::from_secs(2);
     let place = admit(&mut pool, 7, 0, now).expect("a place");
     assert_eq!(place.server, ranked[2]);
@@ -73,20 +78,20 @@
 /// of that, but the server was the prompt's first, so it is the likeliest to
 /// have read it.
 #[test]
-fn a_prompt_is_copied_from_its_first_server_also_while_that_leaves() {
-    let mut entries = dozen();
-    let home = run(&mut pool(&entries), 7, 0, START);
+fn a_prompt_is_copied_from_its_draining_first_server() {
+    let mut entries = twelve_servers();
+    let former_first = run(&mut pool(&entries), 7, 0, START);
     for entry in &mut entries {
-        entry.is_draining = entry.server == home.server;
+        entry.is_draining = entry.server == former_first.server;
     }
     let place = admit(&mut pool(&entries), 7, 1, START).expect("a place");
-    assert_eq!(place.source, Some(home.address));
+    assert_eq!(place.source, Some(former_first.address));
 }
 
 /// A copy of a few tokens takes longer than reading them.
 #[test]
-fn a_known_prompt_is_not_copied() {
-    let mut pool = pool(&dozen());
+fn a_cached_prompt_is_not_copied() {
+    let mut pool = pool(&twelve_servers());
     let first = run(&mut pool, 7, 0, START);
     let second = run(&mut pool, 7, 1, START);
     assert_eq!(second.server, first.server);
@@ -97,13 +102,13 @@
 /// there waits a third of a second until it reads the prompt itself, and so do
 /// its callers.
 #[test]
-fn no_prompt_is_copied_from_a_zone_that_cannot_be_reached() {
-    let mut pool = pool(&dozen());
-    let far: Vec<_> = dozen()
+fn a_prompt_is_not_copied_from_an_unreachable_zone() {
+    let mut pool = pool(&twelve_servers());
+    let unreachable: Vec<_> = twelve_servers()
         .into_iter()
         .filter(|entry| entry.zone.as_str() == "c")
         .collect();
-    for entry in far.iter().take(3) {
+    for entry in unreachable.iter().take(3) {
         pool.ended(&entry.server, Outcome::Unreachable, START);
     }
     let mut copied = 0;
@@ -112,7 +117,10 @@
         pool.ended(&place.server, Outcome::Completed, START);
         if let Some(source) = place.source {
             copied += 1;
-            assert!(far.iter().all(|entry| entry.address != source), "{topic}");
+            assert!(
+                unreachable.iter().all(|entry| entry.address != source),
+                "{topic}"
+            );
         }
     }
     assert!(copied >= 30, "{copied} were copied from other zones");
--- /dev/null
+++ b/crates/gateway/tests/decisions/crashes.rs
@@ -0,0 +1,99 @@
+//! Requests that crash servers.
+
+use std::time::Duration;
+
+use gateway::crashes::CrashTracker;
+use units::{request::Fingerprint, time::Instant};
+
+use crate::world::{START, server};
+
+const CRASHING: Fingerprint = Fingerprint(7);
+const HARMLESS: Fingerprint = Fingerprint(8);
+
+/// One request crashes a server each second, from `START` on.
+fn crash(tracker: &mut CrashTracker, fingerprint: Fingerprint, count: u64) -> Instant {
+    let mut now = START;
+    for index in 0..count {
+        let name = server(&format!("s{index}"));
+        let began_at = now;
+        now = now + Duration::from_millis(500);
+        tracker.record_broken(fingerprint, &name, 1, began_at, now);
+        tracker.record_death(&name, 1, now);
+        now = now + Duration::from_millis(500);
+    }
+    now
+}
+
+/// A request crashes each server that runs it, and its caller sends it again and
+/// again. Without a count it takes down one server after the other, and with
+/// each all callers that it had.
+#[test]
+fn a_request_that_crashed_three_servers_is_refused() {
+    let mut tracker = CrashTracker::default();
+    let now = crash(&mut tracker, CRASHING, 2);
+    assert!(!tracker.is_refused(CRASHING, now));
+    let now = crash(&mut tracker, CRASHING, 3);
+    assert!(tracker.is_refused(CRASHING, now));
+    assert!(!tracker.is_refused(HARMLESS, now));
+}
+
+/// Connections are reset while their servers live.
+#[test]
+fn a_reset_connection_is_not_a_crash() {
+    let mut tracker = CrashTracker::default();
+    for index in 0..10 {
+        let now = START + Duration::from_secs(index);
+        tracker.record_broken(HARMLESS, &server("s0"), 1, now, now);
+        assert!(!tracker.is_refused(HARMLESS, now));
+    }
+}
+
+/// A server dies long after a connection to it broke.
+#[test]
+fn an_old_connection_failure_does_not_count() {
+    let mut tracker = CrashTracker::default();
+    tracker.record_broken(HARMLESS, &server("s0"), 1, START, START);
+    assert_eq!(
+        tracker.record_death(&server("s0"), 1, START + Duration::from_secs(7)),
+        0
+    );
+}
+
+/// The innocent one ran beside it once, and runs to its end elsewhere.
+#[test]
+fn a_request_that_completes_is_cleared() {
+    let mut tracker = CrashTracker::default();
+    crash(&mut tracker, HARMLESS, 2);
+    tracker.record_completed(HARMLESS);
+    let now = crash(&mut tracker, HARMLESS, 2);
+    assert!(!tracker.is_refused(HARMLESS, now));
+}
+
+/// The caller sends it to another router each time, so that no router sees more
+/// than one death.
+#[test]
+fn strikes_of_all_routers_add_up() {
+    let mut trackers = [
+        CrashTracker::default(),
+        CrashTracker::default(),
+        CrashTracker::default(),
+    ];
+    let mut now = START;
+    for index in 0..3 {
+        let name = server(&format!("s{index}"));
+        trackers[index].record_broken(CRASHING, &name, 1, now, now + Duration::from_millis(100));
+        now = now + Duration::from_millis(200);
+        trackers[index].record_death(&name, 1, now);
+        let strikes = trackers[index].strikes_to_send(now);
+        assert_eq!(strikes.len(), index + 1, "earlier ones are passed on");
+        for tracker in &mut trackers {
+            tracker.merge(&strikes, now);
+        }
+        now = now + Duration::from_millis(200);
+    }
+    assert!(
+        trackers
+            .iter()
+            .all(|tracker| tracker.is_refused(CRASHING, now))
+    );
+}
--- a/crates/gateway/tests/decisions/explore.rs
+++ b/crates/gateway/tests/decisions/explore.rs
@@ -8,9 +8,9 @@
 
 use bytes::Bytes;
 use gateway::{
-    budget::{Allowance, Budget},
-    fence::{self, Bound, Fence},
     mirror::Mirror,
+    retry_budget::{Allowance, RetryBudget},
+    slow_start::{self, Pacer, RateLimit},
     source::{Batch, Row},
 };
 use units::{backend, host, time::Instant};
@@ -76,7 +76,7 @@
     step: usize,
     /// How many registrations each router knows; the first is that of router 0.
     known: [usize; 2],
-    fences: [Fence; 2],
+    pacers: [Pacer; 2],
     restarts: [u8; 2],
     /// Requests that the server got in each of the last steps.
     sent: VecDeque<u8>,
@@ -96,7 +96,7 @@
             Event::Restart if router == 1 && self.restarts[router] < 1 => {
                 self.restarts[router] += 1;
                 self.known[router] = 0;
-                self.fences[router] = Fence::default();
+                self.pacers[router] = Pacer::default();
             }
             Event::Restart => {}
         }
@@ -106,17 +106,17 @@
         let now = self.now();
         let known: Vec<host::Id> = members(self.known[router]);
         let own = host(&format!("r{router}"));
-        let share = fence::share(BOUND, &own, &known, &favourite());
-        if let Some(share) = share.filter(|_| self.fences[router].is_open(now)) {
-            self.fences[router].pass(share, now);
+        let share = slow_start::share(LIMIT, &own, &known, &favourite());
+        if let Some(share) = share.filter(|_| self.pacers[router].is_ready(now)) {
+            self.pacers[router].record(share, now);
             *self.sent.back_mut().expect("this step") += 1;
         }
     }
 
     fn key(&self) -> impl Hash + Eq + use<> {
         let waits = self
-            .fences
-            .map(|fence| fence.opens_at().since(self.now()).as_micros());
+            .pacers
+            .map(|pacer| pacer.ready_at().since(self.now()).as_micros());
         (
             self.step,
             self.known,
@@ -130,20 +130,21 @@
 /// A server that router 1 sends to before router 0 does, which registers first:
 /// until it knows itself registered, only that keeps it from sending, too.
 fn favourite() -> backend::Server {
-    let one_only = Bound {
+    let one_only = RateLimit {
         rate: 1.0,
-        most: 1.0,
+        max_per_s: 1.0,
     };
     let names = (0..100).map(|index| server(&format!("s{index}")));
-    let is_first =
-        |name: &backend::Server| fence::share(one_only, &host("r1"), &members(2), name).is_some();
+    let is_first = |name: &backend::Server| {
+        slow_start::share(one_only, &host("r1"), &members(2), name).is_some()
+    };
     names.into_iter().find(is_first).expect("a server")
 }
 
 /// What a server of the sheets bears while it is cold.
-const BOUND: Bound = Bound {
+const LIMIT: RateLimit = RateLimit {
     rate: 11.0,
-    most: 11.0 * 1.5 + 5.0,
+    max_per_s: 11.0 * 1.5 + 5.0,
 };
 
 /// Two routers share what a cold server bears. They learn of each other at any
@@ -155,7 +156,7 @@
     let start = Cold {
         step: 0,
         known: [0, 0],
-        fences: [Fence::default(); 2],
+        pacers: [Pacer::default(); 2],
         restarts: [0, 0],
         sent: VecDeque::from([0; SECOND]),
     };
@@ -172,7 +173,7 @@
     };
     let states = explore(start, Cold::key, next, |state| {
         let sent: u32 = state.sent.iter().copied().map(u32::from).sum();
-        assert!(f64::from(sent) <= BOUND.most, "{state:?}");
+        assert!(f64::from(sent) <= LIMIT.max_per_s, "{state:?}");
     });
     assert!(states > 10_000, "{states}");
 }
@@ -180,7 +181,7 @@
 #[derive(Clone, Debug)]
 struct Repeats {
     step: u32,
-    budgets: [Budget; 2],
+    budgets: [RetryBudget; 2],
     /// First arrivals and repeats so far.
     arrivals: u32,
     repeats: u32,
@@ -201,7 +202,7 @@
 fn two_routers_never_repeat_more_than_allowed() {
     let start = Repeats {
         step: 0,
-        budgets: [0, 1].map(|_| Budget::new(ALLOWANCE, 2, START)),
+        budgets: [0, 1].map(|_| RetryBudget::new(ALLOWANCE, 2, START)),
         arrivals: 0,
         repeats: 0,
         restarts: 0,
@@ -218,13 +219,13 @@
                 let now = START + Duration::from_millis(u64::from(state.step) * 100);
                 match event {
                     0 => {
-                        state.budgets[router].first_arrival(2);
+                        state.budgets[router].deposit(2);
                         state.arrivals += 1;
                     }
-                    1 => state.repeats += u32::from(state.budgets[router].take(2, now)),
+                    1 => state.repeats += u32::from(state.budgets[router].withdraw(2, now)),
                     _ if state.restarts == 0 => {
                         state.restarts = 1;
-                        state.budgets[router] = Budget::new(ALLOWANCE, 2, now);
+                        state.budgets[router] = RetryBudget::new(ALLOWANCE, 2, now);
                     }
                     _ => {}
                 }
--- a/crates/gateway/tests/decisions/main.rs
+++ b/crates/gateway/tests/decisions/main.rs
@@ -1,24 +1,24 @@
 //! What a router decides, without a network.
 
 mod aggregation;
-mod budget;
 mod configurations;
 mod connect;
 mod copies;
-mod deaths;
+mod crashes;
 mod events;
-mod evidence;
 mod explore;
-mod fence;
 mod mirror;
 mod mirrors;
+mod outlier;
 mod peers;
 mod placing;
-mod reads;
+mod prefixes;
+mod queue;
+mod retry_budget;
 mod roster;
 mod route;
+mod slow_start;
 mod spread;
 mod value;
 mod versions;
-mod waiting;
 mod world;
--- a/crates/gateway/tests/decisions/peers.rs
+++ b/crates/gateway/tests/decisions/peers.rs
@@ -9,8 +9,8 @@
 
 use gateway::{
     dispatch,
-    evidence::Ends,
-    load::Teller,
+    load::ReportEncoder,
+    outlier::OutcomeCounts,
     peers::{
         Digest, Directory, Frame, Part, Readers, Roll, Versions, WATCHERS, Watcher,
         loads as digest_loads, turn,
@@ -354,7 +354,7 @@
         .map(|index| dispatch::Load {
             server: server(&format!("i-{index:016x}")),
             running: 300,
-            ends: Ends {
+            outcomes: OutcomeCounts {
                 failed: 300,
                 completed: 30_000,
             },
@@ -367,7 +367,7 @@
         watchers,
         Vec::new(),
     );
-    let report = Teller::default().next(&digest_loads(&loads), START);
+    let report = ReportEncoder::default().next(&digest_loads(&loads), START);
     let frame = Frame::Digest(digest.with_loads(report, Vec::new()));
     let bytes = frame.encode().expect("it fits");
     assert_eq!(Frame::decode(&bytes), Ok(frame));
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -13,20 +13,21 @@
 use yare::parameterized;
 
 use crate::world::{
-    START, admit, bounds, by_score, demand, dozen, entry, fleet, pool, pool_of, run, server,
+    START, admit, bounds, by_score, demand, entry, fleet, pool, pool_of, run, server,
+    twelve_servers,
 };
 
 /// Requests that share a prompt come one after the other through two routers
 /// that know nothing of each other. If each chose by its own load, the prompt
 /// would be read on several servers, and callers would wait for each reading.
 #[test]
-fn two_routers_agree_on_a_prompt() {
-    let mut here = pool(&dozen());
-    let mut there = pool(&dozen());
+fn routers_choose_the_same_server_for_a_prompt() {
+    let mut first_router = pool(&twelve_servers());
+    let mut second_router = pool(&twelve_servers());
     for topic in 0..50 {
-        let one = run(&mut here, topic, topic, START);
-        let other = run(&mut there, topic, topic + 1_000, START);
-        assert_eq!(one.server, other.server, "topic {topic}");
+        let first_place = run(&mut first_router, topic, topic, START);
+        let second_place = run(&mut second_router, topic, topic + 1_000, START);
+        assert_eq!(first_place.server, second_place.server, "topic {topic}");
     }
 }
 
@@ -34,22 +35,23 @@
 /// routers of different zones. If each took a server near by, each of those would
 /// read the prompt, and all their other callers wait meanwhile.
 #[test]
-fn two_routers_agree_on_the_next_server_of_a_prompt() {
-    let homes = (0..50).map(|topic| run(&mut pool(&dozen()), topic, topic, START).server);
-    for (topic, home) in homes.enumerate() {
-        let next = |zone: &str| {
-            let mut pool = pool_of(zone, &dozen());
-            pool.set_elsewhere(|name| if *name == home { 20 } else { 1 });
+fn routers_choose_the_same_fallback_server_for_a_prompt() {
+    let first_servers =
+        (0..50).map(|topic| run(&mut pool(&twelve_servers()), topic, topic, START).server);
+    for (topic, first_server) in first_servers.enumerate() {
+        let fallback_server = |zone: &str| {
+            let mut pool = pool_of(zone, &twelve_servers());
+            pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
             run(&mut pool, topic as u64, 0, START).server
         };
-        assert_eq!(next("a"), next("b"), "topic {topic}");
+        assert_eq!(fallback_server("a"), fallback_server("b"), "topic {topic}");
     }
 }
 
 /// Routers of different versions that rank servers differently would read each
 /// prompt on two servers.
 #[test]
-fn requests_take_the_servers_of_a_prompt_in_order_of_their_scores() {
+fn servers_are_chosen_in_score_order() {
     let entries: Vec<_> = (0..40)
         .map(|index| entry(&format!("s{index}"), "a"))
         .collect();
@@ -57,7 +59,7 @@
         let mut full: Vec<backend::Server> = Vec::new();
         for expected in by_score(1_000 + topic, &entries).into_iter().take(3) {
             let mut pool = pool(&entries);
-            pool.set_elsewhere(|name| if full.contains(name) { 20 } else { 1 });
+            pool.set_peer_load(|name| if full.contains(name) { 20 } else { 1 });
             let place = admit(&mut pool, topic, topic, START).expect("a place");
             assert_eq!(place.server, expected, "topic {topic}, full {full:?}");
             full.push(expected);
@@ -67,8 +69,8 @@
 
 /// Prompts must not all go to one server either.
 #[test]
-fn prompts_spread_over_the_servers() {
-    let mut pool = pool(&dozen());
+fn prompts_are_spread_over_the_servers() {
+    let mut pool = pool(&twelve_servers());
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
     for topic in 0..240 {
         let place = run(&mut pool, topic, topic, START);
@@ -82,8 +84,8 @@
 /// A prompt that many callers send at once would fill its server while the
 /// others idle. Its callers would get their tokens ever more slowly.
 #[test]
-fn a_hot_prompt_stays_within_the_bound() {
-    let mut pool = pool(&dozen());
+fn a_hot_prompt_stays_within_the_load_bound() {
+    let mut pool = pool(&twelve_servers());
     for own in 0..240 {
         run(&mut pool, 7, own, START);
     }
@@ -97,8 +99,8 @@
 /// the mean over all servers of the service falls below what each of the others
 /// holds: one of these is over the bound sooner than their own mean says.
 #[test]
-fn servers_that_are_out_count_in_the_mean() {
-    let mut entries = dozen();
+fn draining_servers_count_in_the_mean_load() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.is_draining = entry.zone.as_str() == "b";
     }
@@ -120,8 +122,8 @@
 /// beyond it their callers would get their tokens ever more slowly, while those
 /// who ask now are told at once when to come back.
 #[test]
-fn few_servers_that_are_left_are_used_evenly_and_within_the_bound() {
-    let mut entries = dozen();
+fn remaining_servers_are_loaded_evenly_within_the_bound() {
+    let mut entries = twelve_servers();
     for (index, entry) in entries.iter_mut().enumerate() {
         entry.is_draining = index >= 4;
     }
@@ -141,20 +143,20 @@
 /// only its own few requests there. Its load passes the bound, though every
 /// router kept to it.
 #[test]
-fn requests_of_other_routers_count_against_the_bound() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Completed, START);
-    pool.set_elsewhere(|name| if *name == home { 20 } else { 1 });
+fn peer_load_counts_against_the_bound() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Completed, START);
+    pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
     let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_ne!(place.server, home);
+    assert_ne!(place.server, first_server);
 }
 
 /// A server that leaves, or whose zone is out, still has its cache, but a
 /// request sent there would be cut when it goes.
 #[test]
-fn a_leaving_server_gets_nothing_new() {
-    let mut entries = dozen();
+fn a_draining_server_gets_no_new_requests() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.is_draining = entry.server != server("s3");
     }
@@ -171,53 +173,53 @@
 /// seconds. Each request that tries it first loses a round trip, or a third of
 /// a second if the server is silent.
 #[test]
-fn a_server_that_refuses_connections_is_left_alone_for_a_while() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Unreachable, START);
+fn an_unreachable_server_is_skipped_temporarily() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Unreachable, START);
     let soon = START + Duration::from_millis(300);
     let place = admit(&mut pool, 7, 1, soon).expect("a place");
-    assert_ne!(place.server, home);
+    assert_ne!(place.server, first_server);
 }
 
 /// A server that came back after a crash holds nothing and bears little. The
 /// store may say so late, so what could not be reached counts as cold.
 #[test]
-fn a_server_that_comes_back_counts_as_cold() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Unreachable, START);
+fn a_server_is_cold_after_an_outage() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Unreachable, START);
     let later = START + Duration::from_millis(500);
-    let back = pool.server_mut(&home).expect("the server");
-    assert!(back.is_reachable(later));
-    assert!(back.is_cold(later));
+    let returned_server = pool.server_mut(&first_server).expect("the server");
+    assert!(returned_server.is_reachable(later));
+    assert!(returned_server.is_cold(later));
 }
 
 /// A server starts again under its old name. What was remembered of its cache
 /// is wrong from then on, and its callers would wait for a reading that nobody
 /// expected.
 #[test]
-fn a_new_start_of_a_server_knows_nothing() {
-    let mut entries = dozen();
+fn a_restarted_server_has_an_empty_cache() {
+    let mut entries = twelve_servers();
     let mut pool = pool(&entries);
-    let home = run(&mut pool, 7, 0, START).server;
+    let first_server = run(&mut pool, 7, 0, START).server;
     for entry in &mut entries {
-        entry.born += u64::from(entry.server == home);
+        entry.born += u64::from(entry.server == first_server);
     }
     pool.set_servers(entries.iter().map(|entry| (entry, false)));
     let parts = demand(7, 0).parts;
-    let unread = pool
-        .server_mut(&home)
+    let uncached = pool
+        .server_mut(&first_server)
         .expect("the server")
-        .unread(&parts, START);
-    assert_eq!(unread, 11_500);
+        .uncached(&parts, START);
+    assert_eq!(uncached, 11_500);
 }
 
 /// All servers of a service fail at once, such as when a zone is cut off. What
 /// failed lately is still better than a refusal.
 #[test]
-fn failing_servers_are_used_when_there_is_no_other() {
-    let mut pool = pool(&dozen()[..1]);
+fn unreachable_servers_are_used_as_a_last_resort() {
+    let mut pool = pool(&twelve_servers()[..1]);
     for own in 0..10 {
         // Such a server counts as cold, so that requests come one by one.
         let now = START + Duration::from_millis(600 * own);
@@ -230,8 +232,8 @@
 /// tell each other of their requests is older than that, so every server looks
 /// full, and callers wait for slots that are free.
 #[test]
-fn short_requests_do_not_wait_for_old_loads() {
-    let mut entries = dozen();
+fn stale_peer_load_does_not_block_a_plain_service() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.slots = 6;
     }
@@ -240,44 +242,50 @@
         cold_per_s: 0.0,
         cache_tokens: 0,
     });
-    pool.set_elsewhere(|_| 6);
+    pool.set_peer_load(|_| 6);
     assert!(pool.admit(&Demand::default(), &fleet(), START).is_ok());
 }
 
 /// A server that answers slowly for a while, though its load is small, would
 /// keep its prompts and make all their callers late.
 #[test]
-fn a_slow_server_gets_less() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Completed, START);
-    let slow = pool.server_mut(&home).expect("the server");
+fn a_slow_server_is_avoided_until_its_lag_decays() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Completed, START);
+    let slow_server = pool.server_mut(&first_server).expect("the server");
     for _ in 0..5 {
-        slow.sample(Duration::from_secs(2), Duration::from_millis(50), START);
+        slow_server.record_first_byte(Duration::from_secs(2), Duration::from_millis(50), START);
     }
-    assert_ne!(admit(&mut pool, 7, 1, START).expect("a place").server, home);
+    assert_ne!(
+        admit(&mut pool, 7, 1, START).expect("a place").server,
+        first_server
+    );
     let later = START + Duration::from_secs(30);
-    assert_eq!(admit(&mut pool, 7, 2, later).expect("a place").server, home);
+    assert_eq!(
+        admit(&mut pool, 7, 2, later).expect("a place").server,
+        first_server
+    );
 }
 
 /// The machine stands still for seconds, and meanwhile a server starts anew.
 /// The router wakes with a socket full of requests and knows nothing of it. Sent
 /// at once, they make the server fall over, and all its callers get nothing.
 #[test]
-fn after_a_pause_servers_get_requests_one_by_one() {
-    let mut pauses = pause::Watch::default();
-    let mut pool = pool(&dozen());
-    assert_eq!(pauses.look(START), None);
-    assert_eq!(pauses.look(START + Duration::from_millis(400)), None);
-    let woken = START + Duration::from_secs(4);
-    let pause = pauses.look(woken).expect("a pause");
+fn servers_are_treated_as_cold_after_a_process_pause() {
+    let mut pause_watch = pause::Watch::default();
+    let mut pool = pool(&twelve_servers());
+    assert_eq!(pause_watch.look(START), None);
+    assert_eq!(pause_watch.look(START + Duration::from_millis(400)), None);
+    let resumed_at = START + Duration::from_secs(4);
+    let pause = pause_watch.look(resumed_at).expect("a pause");
     assert!(pause > Duration::from_secs(3));
-    pool.doubt(woken + Duration::from_millis(600));
-    let placed = (0..200).filter(|&own| admit(&mut pool, own, own, woken).is_ok());
+    pool.assume_cold_until(resumed_at + Duration::from_millis(600));
+    let placed = (0..200).filter(|&own| admit(&mut pool, own, own, resumed_at).is_ok());
     assert_eq!(placed.count(), 12, "one at each server");
-    let renewed = woken + Duration::from_millis(700);
-    assert_eq!(pauses.look(renewed), None);
-    let placed = (0..60).filter(|&own| admit(&mut pool, own, own, renewed).is_ok());
+    let later_at = resumed_at + Duration::from_millis(700);
+    assert_eq!(pause_watch.look(later_at), None);
+    let placed = (0..60).filter(|&own| admit(&mut pool, own, own, later_at).is_ok());
     assert_eq!(placed.count(), 60);
 }
 
@@ -285,34 +293,37 @@
 /// third of a second to fail. If every server had to be met for that, nearly all
 /// callers would wait as long, for as long as the zone is away.
 #[test]
-fn a_zone_that_cannot_be_reached_is_left_alone() {
-    let mut pool = pool(&dozen());
-    let mut misses = 0;
+fn an_unreachable_zone_is_skipped() {
+    let mut pool = pool(&twelve_servers());
+    let mut timeouts = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
         let place = admit(&mut pool, own, own, now).expect("a place");
-        let is_cut = ["s2", "s5", "s8", "s11"].contains(&place.server.as_str());
-        misses += u32::from(is_cut);
-        let outcome = if is_cut {
+        let is_unreachable = ["s2", "s5", "s8", "s11"].contains(&place.server.as_str());
+        timeouts += u32::from(is_unreachable);
+        let outcome = if is_unreachable {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
         pool.ended(&place.server, outcome, now);
     }
-    assert!((3..=9).contains(&misses), "{misses} of 200 in two seconds");
+    assert!(
+        (3..=9).contains(&timeouts),
+        "{timeouts} of 200 in two seconds"
+    );
 }
 
 /// Two servers of a zone have died, and the others are well. Were the zone left
 /// alone for it, its prompts would be read anew in other zones.
 #[test]
-fn a_zone_with_dead_servers_is_used() {
-    let mut pool = pool(&dozen());
+fn a_zone_with_two_failed_servers_stays_in_use() {
+    let mut pool = pool(&twelve_servers());
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
         let place = admit(&mut pool, own, own, now).expect("a place");
-        let is_dead = ["s2", "s5"].contains(&place.server.as_str());
-        let outcome = if is_dead {
+        let has_failed = ["s2", "s5"].contains(&place.server.as_str());
+        let outcome = if has_failed {
             Outcome::Unreachable
         } else {
             Outcome::Completed
@@ -333,11 +344,11 @@
 /// nothing, it made the bound on load so small that callers waited for seconds
 /// beside servers with free slots.
 #[parameterized(
-    in_silence = { Outcome::Unreachable },
-    by_refusals = { Outcome::Refused },
+    by_timeout = { Outcome::Unreachable },
+    by_refused_connections = { Outcome::Refused },
 )]
-fn a_zone_that_is_cut_off_uses_its_own_servers(cut: Outcome) {
-    let mut pool = pool(&dozen());
+fn a_partitioned_zone_uses_its_own_servers(partition_outcome: Outcome) {
+    let mut pool = pool(&twelve_servers());
     let mut loads: BTreeMap<backend::Server, u32> = BTreeMap::new();
     let mut placed = 0;
     for own in 0..200 {
@@ -345,12 +356,12 @@
         let Ok(place) = admit(&mut pool, own, own, now) else {
             continue;
         };
-        let is_near = ["s0", "s3", "s6", "s9"].contains(&place.server.as_str());
-        if is_near {
+        let is_local = ["s0", "s3", "s6", "s9"].contains(&place.server.as_str());
+        if is_local {
             placed += 1;
             *loads.entry(place.server).or_default() += 1;
         } else {
-            pool.ended(&place.server, cut, now);
+            pool.ended(&place.server, partition_outcome, now);
         }
     }
     assert!(placed >= 150, "{placed} of 200 were placed");
@@ -363,67 +374,70 @@
 /// then, and each try takes a third of a second to fail. Were all requests that
 /// come meanwhile to try it too, a crowd of callers would wait at each time.
 #[test]
-fn one_request_at_a_time_tries_a_zone_again() {
-    let mut pool = pool(&dozen());
-    let mut hanging: VecDeque<(Instant, backend::Server)> = VecDeque::new();
-    let mut tries = 0;
+fn one_request_at_a_time_probes_a_zone() {
+    let mut pool = pool(&twelve_servers());
+    let mut pending_connections: VecDeque<(Instant, backend::Server)> = VecDeque::new();
+    let mut probes = 0;
     for own in 0..1000 {
         let now = START + Duration::from_millis(10 * own);
-        while let Some((_, server)) = hanging.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, server)) = pending_connections.pop_front_if(|(at, _)| *at <= now) {
             pool.ended(&server, Outcome::Unreachable, now);
         }
         let place = admit(&mut pool, own, own, now).expect("a place");
         if ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()) {
-            tries += 1;
-            hanging.push_back((now + Duration::from_millis(300), place.server));
+            probes += 1;
+            pending_connections.push_back((now + Duration::from_millis(300), place.server));
         } else {
             pool.ended(&place.server, Outcome::Completed, now);
         }
     }
     // Some ten until it is known, and one at each later time: 15. It was 24.
-    assert!(tries <= 20, "{tries} of 1,000 tried it");
+    assert!(probes <= 20, "{probes} of 1,000 tried it");
 }
 
 /// The zone can be reached again, and the answer that shows it is a long one.
 /// Until its end the zone would be left alone.
 #[test]
-fn a_zone_is_used_from_the_first_byte_on() {
-    let mut pool = pool(&dozen());
+fn a_zone_is_used_after_the_first_response_byte() {
+    let mut pool = pool(&twelve_servers());
     for name in ["s2", "s5", "s8"] {
         pool.ended(&server(name), Outcome::Unreachable, START);
     }
     let later = START + Duration::from_secs(1);
-    let mut tried = 0;
+    let mut probed = 0;
     let mut places = Vec::new();
     for own in 0..60 {
         let place = admit(&mut pool, own, own, later).expect("a place");
-        tried += usize::from(["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
+        probed += usize::from(["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
         places.push(place);
     }
-    assert_eq!(tried, 1);
+    assert_eq!(probed, 1);
     for place in places {
-        pool.answered(&place.server);
+        pool.record_response(&place.server);
     }
     let places = (100..160).filter_map(|own| admit(&mut pool, own, own, later).ok());
-    let near = places.filter(|place| ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
-    assert!(near.count() >= 5);
+    let in_zone = places.filter(|place| ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
+    assert!(in_zone.count() >= 5);
 }
 
 /// A zone that has no server of a service is cut off. Each of its callers would be
 /// kept for as long as four connections hang, and then be refused.
 #[test]
-fn a_request_that_no_reachable_zone_can_serve_is_refused_at_once() {
+fn a_request_without_a_reachable_zone_is_refused_immediately() {
     let entries = [entry("s1", "b"), entry("s2", "b"), entry("s3", "b")];
     let mut pool = pool(&entries);
     for name in ["s1", "s2", "s3"] {
         pool.ended(&server(name), Outcome::Unreachable, START);
     }
-    let Err(Denial::Away(at)) = admit(&mut pool, 7, 0, START) else {
+    let Err(Denial::ZonesUnreachable(at)) = admit(&mut pool, 7, 0, START) else {
         panic!("not refused");
     };
     assert!(START < at && at <= START + Duration::from_secs(1), "{at:?}");
     let place = admit(&mut pool, 7, 1, at);
     assert!(place.is_ok(), "the zone is tried again: {place:?}");
     let others = admit(&mut pool, 7, 2, at);
-    assert!(matches!(others, Err(Denial::Away(_))), "{others:?}");
+    assert!(
+        matches!(others, Err(Denial::ZonesUnreachable(_))),
+        "{others:?}"
+    );
 }
--- /dev/null
+++ b/crates/gateway/tests/decisions/queue.rs
@@ -0,0 +1,288 @@
+//! Requests that wait for a server.
+
+use std::{collections::BTreeSet, time::Duration};
+
+use gateway::{
+    pool::{Denial, Outcome},
+    queue::{Admission, Dequeued, QueueRequest, ServiceQueue},
+};
+use units::{cost::Cost, request::Attempt, time::Instant};
+
+use crate::world::{START, demand, entry, fleet, pool, workspace};
+
+/// One server with eight slots.
+fn queue() -> ServiceQueue {
+    let mut entry = entry("s0", "a");
+    entry.slots = 8;
+    ServiceQueue::new(pool(&[entry]))
+}
+
+fn request(attempt: u64, workspace_name: &str, wait_ms: u64) -> QueueRequest {
+    QueueRequest {
+        attempt: Attempt(attempt),
+        workspace: workspace(workspace_name),
+        cost: Cost(1000),
+        rank: 1,
+        latest_start: START + Duration::from_millis(wait_ms),
+        demand: demand(attempt, attempt),
+    }
+}
+
+fn submit(queue: &mut ServiceQueue, request: QueueRequest, now: Instant) -> Admission {
+    queue.submit(request, &fleet(), now)
+}
+
+/// Asks for places until the first request has to wait; returns how many got one.
+fn fill(queue: &mut ServiceQueue, workspace_name: &str, now: Instant) -> u64 {
+    (1..)
+        .find(|&attempt| {
+            !matches!(
+                submit(queue, request(attempt, workspace_name, 5_000), now),
+                Admission::Placed(_)
+            )
+        })
+        .expect("it is full in the end")
+        - 1
+}
+
+fn end(queue: &mut ServiceQueue, workspace_name: &str, now: Instant) -> Vec<Dequeued> {
+    let server = queue
+        .pool()
+        .servers()
+        .next()
+        .expect("a server")
+        .name()
+        .clone();
+    // How the server stands does not matter here.
+    let _ = queue.ended(&server, &workspace(workspace_name), Outcome::Completed, now);
+    queue.dequeue(&fleet(), now)
+}
+
+fn placed(dequeued: &[Dequeued]) -> Vec<u64> {
+    let placed = dequeued.iter().filter(|(_, result)| result.is_ok());
+    placed.map(|(attempt, _)| attempt.0).collect()
+}
+
+/// Requests waited at limits while servers had room, and callers waited 600 ms
+/// for a first byte that was ready in 30.
+#[test]
+fn a_request_is_placed_while_slots_are_free() {
+    let mut queue = queue();
+    assert!(matches!(
+        submit(&mut queue, request(1, "team", 5_000), START),
+        Admission::Placed(_)
+    ));
+    assert!(queue.is_empty());
+}
+
+#[test]
+fn a_queued_request_gets_the_next_free_slot() {
+    let mut queue = queue();
+    let first = fill(&mut queue, "team", START);
+    assert_eq!(queue.len(), 1);
+    assert_eq!(placed(&end(&mut queue, "team", START)), [first + 1]);
+    assert!(queue.is_empty());
+}
+
+/// One workspace sends ten times its usual. All slots are always taken, so each
+/// request of a quiet workspace would wait for one.
+#[test]
+fn a_surge_of_one_workspace_leaves_slots_for_others() {
+    let mut queue = queue();
+    let mut now = START;
+    for attempt in 1..200 {
+        now = now + Duration::from_millis(200);
+        let mut surging = request(attempt, "loud", 60_000);
+        surging.latest_start = now + Duration::from_secs(60);
+        drop(submit(&mut queue, surging, now));
+        if attempt % 2 == 0 {
+            end(&mut queue, "loud", now);
+        }
+        // Another workspace is active, so that the first one has a share to exceed.
+        if attempt % 50 == 1 {
+            let quiet = request(1_000 + attempt, "quiet", 60_000);
+            assert!(
+                matches!(submit(&mut queue, quiet, now), Admission::Placed(_)),
+                "{attempt}"
+            );
+            end(&mut queue, "quiet", now);
+        }
+    }
+    assert!(!queue.is_empty(), "the surge waits");
+    let mut quiet = request(2_000, "quiet", 5_000);
+    quiet.latest_start = now + Duration::from_secs(1);
+    assert!(matches!(
+        submit(&mut queue, quiet, now),
+        Admission::Placed(_)
+    ));
+}
+
+/// Two workspaces wait, one with many requests and one with a few. Served in
+/// the order of arrival, the few would wait behind all of the many.
+#[test]
+fn queued_workspaces_are_served_fairly() {
+    let mut queue = queue();
+    fill(&mut queue, "loud", START);
+    for attempt in 100..110 {
+        submit(&mut queue, request(attempt, "loud", 5_000), START);
+    }
+    for attempt in 200..203 {
+        submit(&mut queue, request(attempt, "quiet", 5_000), START);
+    }
+    let mut order = Vec::new();
+    for _ in 0..6 {
+        order.extend(placed(&end(&mut queue, "loud", START)));
+    }
+    let quiet = order.iter().filter(|attempt| **attempt >= 200).count();
+    assert_eq!(quiet, 3, "{order:?}");
+}
+
+/// A request whose time is up before its turn comes is told so, and not kept
+/// until its caller has given up.
+#[test]
+fn a_queued_request_is_refused_at_its_deadline() {
+    let mut queue = queue();
+    fill(&mut queue, "team", START);
+    submit(&mut queue, request(100, "team", 300), START);
+    assert_eq!(queue.next_wake(), Some(START + Duration::from_millis(300)));
+    let later = START + Duration::from_millis(300);
+    let dequeued = queue.dequeue(&fleet(), later);
+    let refused: Vec<_> = dequeued
+        .iter()
+        .filter(|(attempt, _)| attempt.0 == 100)
+        .collect();
+    let refusal = refused[0].1.clone().expect_err("it is refused");
+    assert_eq!(refusal.denial, Denial::Full);
+    assert!(refusal.retry_at > later);
+}
+
+/// Places come free slowly, and so many wait that a request would be too late.
+/// It is refused at once, with the time by which those ahead are served.
+#[test]
+fn a_request_that_would_miss_its_deadline_is_refused_immediately() {
+    let mut queue = queue();
+    fill(&mut queue, "team", START);
+    let mut now = START;
+    for attempt in 100..130 {
+        now = now + Duration::from_millis(500);
+        let mut long_deadline = request(attempt, "team", 0);
+        long_deadline.latest_start = now + Duration::from_secs(600);
+        submit(&mut queue, long_deadline, now);
+        if attempt % 3 == 0 {
+            end(&mut queue, "team", now);
+        }
+    }
+    let mut short_deadline = request(500, "team", 0);
+    short_deadline.latest_start = now + Duration::from_secs(1);
+    let Admission::Refused(refusal) = submit(&mut queue, short_deadline, now) else {
+        panic!("it must not wait");
+    };
+    let wait = refusal.retry_at.since(now);
+    assert!(wait >= Duration::from_secs(1), "{wait:?}");
+}
+
+/// So many wait that there is no room for more. The workspace that has most of
+/// them gives way to one that has none.
+#[test]
+fn a_full_queue_displaces_a_request_of_the_largest_workspace() {
+    let mut queue = queue();
+    fill(&mut queue, "loud", START);
+    for attempt in 1_000..1_255 {
+        submit(&mut queue, request(attempt, "loud", 600_000), START);
+    }
+    let full_length = queue.len();
+    assert!(matches!(
+        submit(&mut queue, request(5_000, "loud", 600_000), START),
+        Admission::Refused(_)
+    ));
+    assert!(matches!(
+        submit(&mut queue, request(6_000, "quiet", 600_000), START),
+        Admission::Queued
+    ));
+    assert_eq!(queue.len(), full_length);
+    let dequeued = queue.dequeue(&fleet(), START);
+    assert_eq!(
+        dequeued
+            .iter()
+            .filter(|(_, result)| result.is_err())
+            .count(),
+        1
+    );
+}
+
+/// All that are refused together come back together, unless they are told
+/// different times.
+#[test]
+fn retry_times_are_spread() {
+    let mut queue = queue();
+    fill(&mut queue, "team", START);
+    let mut retry_times: Vec<Instant> = Vec::new();
+    for attempt in 0..64 {
+        let mut expired = request(attempt * 3 + 1_000, "team", 0);
+        expired.latest_start = START;
+        let Admission::Refused(refusal) = submit(&mut queue, expired, START) else {
+            panic!("it is too late");
+        };
+        retry_times.push(refusal.retry_at);
+    }
+    retry_times.sort_unstable();
+    retry_times.dedup();
+    assert!(retry_times.len() > 32, "{}", retry_times.len());
+}
+
+/// All servers are starting, and this router's share of what they bear is used.
+/// The next request waits for its turn instead of being refused.
+#[test]
+fn a_request_is_queued_during_slow_start() {
+    let mut entry = entry("s0", "a");
+    entry.cold_until = START + Duration::from_secs(5);
+    let mut queue = ServiceQueue::new(pool(&[entry]));
+    assert!(matches!(
+        submit(&mut queue, request(1, "team", 5_000), START),
+        Admission::Placed(_)
+    ));
+    assert!(matches!(
+        submit(&mut queue, request(2, "team", 5_000), START),
+        Admission::Queued
+    ));
+    let at = queue.next_wake().expect("a time");
+    assert!(at < START + Duration::from_secs(1));
+    assert_eq!(placed(&queue.dequeue(&fleet(), at)), [2]);
+}
+
+/// The last server leaves while requests wait for it.
+#[test]
+fn queued_requests_are_refused_without_servers() {
+    let mut queue = queue();
+    fill(&mut queue, "team", START);
+    queue.pool_mut().set_servers(std::iter::empty());
+    let dequeued = queue.dequeue(&fleet(), START);
+    assert!(dequeued.iter().all(|(_, result)| result.is_err()));
+    assert!(queue.is_empty());
+}
+
+/// A zone without a server of a service is cut off, and its callers come on. Told to
+/// return before the way is tried again, they would be refused once more; told to
+/// return at one moment, they would come as one wave.
+#[test]
+fn retry_times_of_an_unreachable_zone_follow_its_next_probe() {
+    let entries = ["s1", "s2", "s3"].map(|name| entry(name, "b"));
+    let mut queue = ServiceQueue::new(pool(&entries));
+    for entry in &entries {
+        let workspace_name = workspace("team");
+        queue.ended(&entry.server, &workspace_name, Outcome::Unreachable, START);
+    }
+    let mut retry_times = BTreeSet::new();
+    for attempt in 0..200 {
+        let admission = submit(&mut queue, request(attempt, "team", 800), START);
+        let Admission::Refused(refusal) = admission else {
+            panic!("not refused: {admission:?}");
+        };
+        let Denial::ZonesUnreachable(at) = refusal.denial else {
+            panic!("another denial: {refusal:?}");
+        };
+        assert!(refusal.retry_at >= at, "{refusal:?}");
+        retry_times.insert(refusal.retry_at);
+    }
+    assert!(retry_times.len() > 100, "{} moments", retry_times.len());
+}
--- a/crates/gateway/tests/decisions/route.rs
+++ b/crates/gateway/tests/decisions/route.rs
@@ -34,8 +34,8 @@
 #[parameterized(
     longest = { "a.example", "/x/y/z", Some("xy") },
     prefix_itself = { "a.example", "/x/y/", Some("xy") },
-    without_its_slash = { "a.example", "/x/y", Some("x") },
-    not_a_whole_part = { "a.example", "/xy/z", Some("root") },
+    without_trailing_slash = { "a.example", "/x/y", Some("x") },
+    partial_path_segment = { "a.example", "/xy/z", Some("root") },
     other_host = { "b.example", "/x/1", Some("other") },
     other_case = { "A.Example", "/x/1", Some("x") },
     no_route = { "b.example", "/y/1", None },
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn splits_share_by_weight_and_stay_for_one_request() {
+fn splits_are_weighted_and_stable_per_request() {
     let route = route("r");
     let hashes = 0..10_000_u64;
     let small = hashes.filter(|hash| route.pool(hash * 7919).unwrap().as_str() == "small");
--- a/crates/gateway/tests/decisions/fence.rs
+++ b/crates/gateway/tests/decisions/slow_start.rs
@@ -2,15 +2,15 @@
 
 use std::time::Duration;
 
-use gateway::fence::{self, Bound, Fence};
+use gateway::slow_start::{self, Pacer, RateLimit};
 use units::time::Instant;
 use yare::parameterized;
 
 use crate::world::{START, host, members, server};
 
-const BOUND: Bound = Bound {
+const LIMIT: RateLimit = RateLimit {
     rate: 11.0,
-    most: 21.5,
+    max_per_s: 21.5,
 };
 
 /// All routers send to a cold server as often as their shares allow, each from
@@ -19,29 +19,29 @@
 #[parameterized(
     one = { 1, 1 },
     six = { 6, 6 },
-    three_that_nobody_knows_yet = { 6, 9 },
+    three_not_yet_registered = { 6, 9 },
     eighty_five = { 85, 85 },
     a_thousand = { 1000, 1000 },
 )]
-fn all_shares_together_keep_the_bound(known: usize, running: usize) {
+fn shares_of_all_routers_stay_within_the_limit(registered: usize, running: usize) {
     let all = members(running);
     for target in ["s0", "s1", "s2"] {
         let mut sent: Vec<Instant> = Vec::new();
         for (index, own) in all.iter().enumerate() {
             // Each of those that are not known counts itself in.
-            let mut seen: Vec<_> = all[..known].to_vec();
-            if index >= known {
-                seen.push(own.clone());
+            let mut known_members: Vec<_> = all[..registered].to_vec();
+            if index >= registered {
+                known_members.push(own.clone());
             }
-            let Some(share) = fence::share(BOUND, own, &seen, &server(target)) else {
+            let Some(share) = slow_start::share(LIMIT, own, &known_members, &server(target)) else {
                 continue;
             };
-            let mut fence = Fence::default();
+            let mut pacer = Pacer::default();
             let offset = Duration::from_micros(u64::try_from(index * 7919 % 100_000).unwrap());
             let mut now = START + offset;
             while now < START + Duration::from_secs(5) {
-                if fence.is_open(now) {
-                    fence.pass(share, now);
+                if pacer.is_ready(now) {
+                    pacer.record(share, now);
                     sent.push(now);
                 }
                 now = now + Duration::from_millis(1);
@@ -54,29 +54,29 @@
                 .filter(|&at| *at >= *from && *at < until)
                 .count()
         };
-        let most = sent.iter().map(window).max().unwrap_or(0);
-        assert!(most as f64 <= BOUND.most, "{target}: {most}");
-        assert!(most >= 5, "{target}: {most} leaves the server idle");
+        let busiest = sent.iter().map(window).max().unwrap_or(0);
+        assert!(busiest as f64 <= LIMIT.max_per_s, "{target}: {busiest}");
+        assert!(busiest >= 5, "{target}: {busiest} leaves the server idle");
     }
 }
 
 /// A router that the others do not know of takes more than was planned for.
 #[test]
-fn a_router_that_is_not_registered_has_no_share() {
-    let share = fence::share(BOUND, &host("new"), &members(6), &server("s0"));
+fn an_unregistered_router_has_no_share() {
+    let share = slow_start::share(LIMIT, &host("new"), &members(6), &server("s0"));
     assert_eq!(share, None);
 }
 
 /// Some services bear nothing at all while they are cold.
 #[test]
-fn a_bound_of_nothing_leaves_no_share() {
-    let bound = Bound {
+fn a_limit_below_one_leaves_a_single_share() {
+    let limit = RateLimit {
         rate: 0.5,
-        most: 0.9,
+        max_per_s: 0.9,
     };
     let all = members(6);
     let shares = all
         .iter()
-        .filter_map(|own| fence::share(bound, own, &all, &server("s0")));
+        .filter_map(|own| slow_start::share(limit, own, &all, &server("s0")));
     assert_eq!(shares.count(), 1);
 }
--- a/crates/gateway/tests/decisions/versions.rs
+++ b/crates/gateway/tests/decisions/versions.rs
@@ -1,14 +1,14 @@
 //! Datagrams between routers of this version and the one before.
 
 use gateway::{
-    evidence::Ends,
     load::{Load, Report},
+    outlier::OutcomeCounts,
     peers::{Digest, Frame, Total, Versions},
-    reads::Read,
+    prefixes::CachedPrefix,
 };
 use yare::parameterized;
 
-const READ: Read = Read {
+const READ: CachedPrefix = CachedPrefix {
     server: 0x00ab_cdef,
     part: 0x1234_5678,
     tokens: 10_000,
@@ -18,7 +18,7 @@
     Load {
         server,
         running,
-        ends: Ends {
+        outcomes: OutcomeCounts {
             failed: 8,
             completed: 320,
         },
@@ -33,18 +33,18 @@
     };
     let host = "r0".parse().expect("a name");
     let digest = Digest::new(host, versions, true, Vec::new(), Vec::new()).with_sum(u64::MAX);
-    Frame::Digest(digest.with_loads(Report::Whole(vec![load(1, 2)]), vec![READ]))
+    Frame::Digest(digest.with_loads(Report::Full(vec![load(1, 2)]), vec![READ]))
 }
 
 fn loads() -> Frame {
-    let failed = Ends {
+    let failed = OutcomeCounts {
         failed: 16,
         completed: 0,
     };
     Frame::Loads {
-        loads: Report::Change {
+        loads: Report::Delta {
             running: vec![(5, 1), (300, 2)],
-            ends: vec![(5, failed)],
+            outcomes: vec![(5, failed)],
         },
         reads: vec![READ],
     }
@@ -54,7 +54,7 @@
     Frame::Sum {
         zone: 9,
         routers: 39,
-        loads: Report::Whole(vec![load(70_000, 3)]),
+        loads: Report::Full(vec![load(70_000, 3)]),
         reads: Vec::new(),
     }
 }
@@ -63,9 +63,9 @@
     Frame::Total(Total {
         aggregator: 77,
         routers: 39,
-        loads: Report::Change {
+        loads: Report::Delta {
             running: vec![(1, 1)],
-            ends: Vec::new(),
+            outcomes: Vec::new(),
         },
         reads: vec![READ, READ],
         others: vec![1, 2],
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -129,13 +129,13 @@
 pub fn run(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Place {
     let place = admit(pool, topic, own, now).expect("a place");
     let server = pool.server_mut(&place.server).expect("the server");
-    server.read(place.unread);
-    server.remember(&demand(topic, own).parts, now);
+    server.end_prefill(place.uncached);
+    server.record_cached(&demand(topic, own).parts, now);
     place
 }
 
 /// Twelve servers in three zones.
-pub fn dozen() -> Vec<roster::Entry> {
+pub fn twelve_servers() -> Vec<roster::Entry> {
     let zones = ["a", "b", "c"];
     let named = (0..12).map(|index| entry(&format!("s{index}"), zones[index % 3]));
     named.collect()
