--- a/crates/gateway/benches/place.rs
+++ b/crates/gateway/benches/place.rs
@@ -1,4 +1,4 @@
-//! The time of one placement, by the servers of a service.
+//! Benchmarks the time of one placement by the number of servers.
 
 use std::hint;
 
@@ -10,9 +10,9 @@
 };
 use units::{chat, host, time::Instant};
 
-/// The moment at which all requests come.
+/// The time of all requests.
 const NOW: Instant = Instant::from_millis(1_000);
-/// Prompts that requests share.
+/// The number of distinct shared prompts.
 const TOPICS: u64 = 512;
 
 fn entry(number: usize) -> roster::Entry {
@@ -54,7 +54,7 @@
     }
 }
 
-/// A prompt of three parts, of which all requests of a topic share the first two.
+/// A prompt of three parts; all requests of a topic share the first two.
 fn demand(number: u64) -> Demand {
     let part = |key: u64, tokens| Part {
         key: chat::Key(key.wrapping_mul(0x9e37_79b9_7f4a_7c15)),
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -1,26 +1,26 @@
-//! Requests that were in flight when a server died.
+//! Detection of requests that crash servers.
 
 use std::time::Duration;
 
 use recovery::{Crash, Standing, Strike, Suspects};
 use units::{backend, request::Fingerprint, time::Instant};
 
-/// How long a break waits for a sign that its server has died.
+/// How long after a connection broke a crash of its server may be confirmed.
 ///
-/// A server that crashed refuses connections at once, and its entry changes
+/// A crashed server refuses connections immediately, and its entry in the store changes
 /// within a few heartbeats of about a second.
 const CONFIRM_WITHIN: Duration = Duration::from_secs(6);
-/// How long a strike is told to other routers: some rounds of datagrams.
+/// How long a strike is sent to other routers: several gossip rounds.
 const GOSSIP_FOR: Duration = Duration::from_secs(3);
-/// The most strikes that one datagram tells.
+/// The most strikes in one datagram.
 const MAX_STRIKES_PER_DATAGRAM: usize = 8;
-/// Deaths after which a request is refused everywhere.
+/// The number of crashes after which a request is refused by all routers.
 ///
-/// Each death takes along all that ran beside the guilty request. Two may
-/// happen to an innocent one in a bad minute.
+/// A crash breaks all requests in flight at the server, not only the one that caused
+/// it. A harmless request may be hit twice within a bad minute.
 const STRIKE_LIMIT: usize = 3;
 
-/// A request whose server broke off, and which may have caused it.
+/// A request whose connection broke and which may have crashed the server.
 #[derive(Clone, Debug)]
 struct BrokenRequest {
     fingerprint: Fingerprint,
@@ -30,10 +30,10 @@
     expires_at: Instant,
 }
 
-/// Which requests are suspected of crashing servers.
+/// Tracks requests that are suspected of crashing servers.
 ///
-/// A break alone says little: connections are reset for many reasons. It counts
-/// once the server refuses connections or starts anew.
+/// A broken connection alone is weak evidence, since connections are reset for many
+/// reasons. It counts once the server refuses connections or restarts.
 #[derive(Debug)]
 pub struct CrashTracker {
     suspects: Suspects,
@@ -56,7 +56,8 @@
 }
 
 impl CrashTracker {
-    /// Whether a request is refused since servers died of it.
+    /// Whether a request is refused because it is suspected of having crashed several
+    /// servers.
     pub fn is_refused(&self, fingerprint: Fingerprint, now: Instant) -> bool {
         matches!(
             self.suspects.standing(fingerprint, now),
@@ -64,7 +65,8 @@
         )
     }
 
-    /// A server broke off in the middle of a request that began at `began_at`.
+    /// Records that the connection to a server broke during a request that was sent at
+    /// `began_at`.
     pub fn record_broken(
         &mut self,
         fingerprint: Fingerprint,
@@ -83,12 +85,13 @@
         });
     }
 
-    /// A request ran to its end, so it does not crash servers.
+    /// Records that a request completed, which clears it of suspicion.
     pub fn record_completed(&mut self, fingerprint: Fingerprint) {
         self.suspects.completed(fingerprint);
     }
 
-    /// The start `born` of a server is over. Returns how many requests it counts against.
+    /// Records that the incarnation `born` of a server has ended. Returns the number of
+    /// requests that get a strike for it.
     pub fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) -> usize {
         let matches = |request: &BrokenRequest| request.server == *server && request.born == born;
         let (matching, rest): (Vec<_>, Vec<_>) = self.broken.drain(..).partition(matches);
@@ -108,7 +111,7 @@
         count
     }
 
-    /// Takes in what another router tells.
+    /// Merges strikes received from another router.
     pub fn merge(&mut self, strikes: &[Strike], now: Instant) {
         for &strike in strikes {
             if self.suspects.learn(strike, now) {
@@ -117,7 +120,7 @@
         }
     }
 
-    /// The strikes to tell other routers.
+    /// The strikes to send to other routers.
     pub fn strikes_to_send(&mut self, now: Instant) -> Vec<Strike> {
         self.recent_strikes.retain(|&(_, until)| now < until);
         let latest = self
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -1,4 +1,5 @@
-//! The task that knows all backend servers and decides which one gets a request.
+//! The dispatch task: holds the state of all backend servers and places requests on
+//! them.
 
 mod message;
 mod peers;
@@ -32,16 +33,16 @@
     status,
 };
 
-/// How long a sum over all others counts in place of what single routers told.
+/// How long aggregated loads replace the loads reported by individual peers.
 const AGGREGATE_TTL: Duration = Duration::from_millis(800);
 
-/// How long after a pause of the process all servers count as cold.
+/// How long all servers are treated as cold after the process was paused.
 ///
-/// What has changed meanwhile is told by the store's answers that wait in the
-/// sockets, or by the other routers, within three of their rounds of 200 ms.
+/// Changes during the pause arrive within three gossip rounds of 200 ms, either in
+/// responses of the store that are already buffered in sockets or from other routers.
 const COLD_AFTER_PAUSE: Duration = Duration::from_millis(600);
 
-/// The task's state.
+/// The dispatch task and its state.
 #[derive(Debug)]
 pub struct Dispatch {
     clock: Clock,
@@ -55,17 +56,18 @@
     pending: HashMap<request::Attempt, (AcquireRequest, Reply)>,
     attempts: u64,
     peer_loads: BTreeMap<host::Id, Vec<load::Load>>,
-    /// What all others have in flight, while it is current.
+    /// The loads of all other routers, as sent by aggregators; valid until
+    /// `aggregate_until`.
     aggregate: Vec<load::Load>,
     aggregate_until: Instant,
     crashes: CrashTracker,
-    /// What servers have read for requests of this router.
+    /// Prefixes that servers have cached for requests of this router.
     prefixes: PrefixUpdates,
     pauses: pause::Watch,
 }
 
 impl Dispatch {
-    /// A task without servers, and the way to tell it something.
+    /// Creates a task without servers, together with both ends of its message channel.
     pub fn new(
         clock: Clock,
         metrics: Arc<Metrics>,
@@ -100,7 +102,7 @@
         (dispatch, sender, messages)
     }
 
-    /// Runs until nobody can tell it anything any more.
+    /// Runs until all senders of messages are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
         let mut pause_checks = time::interval(pause::LOOK);
         pause_checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -118,7 +120,8 @@
         }
     }
 
-    /// After a pause nothing is known of the servers but what is old.
+    /// Detects that the process was paused. The state of all servers is stale after
+    /// that.
     fn detect_pause(&mut self, now: Instant) {
         let Some(pause) = self.pauses.look(now) else {
             return;
@@ -137,7 +140,7 @@
             .min()
     }
 
-    /// Takes in one message.
+    /// Processes one message.
     pub fn handle_message(&mut self, message: Message) {
         let now = self.clock.now();
         self.detect_pause(now);
@@ -169,7 +172,7 @@
                 };
                 drop(reply.send(update));
             }
-            // Whoever asked may have left.
+            // The receiver may have been dropped.
             Message::Status(reply) => drop(reply.send(self.report(now))),
         }
     }
@@ -209,7 +212,7 @@
         }
     }
 
-    /// Takes a repeat from this router's share.
+    /// Takes a retry from this router's share of the retry budget.
     fn withdraw_retry(&mut self, pool: &pool::Id, now: Instant) -> bool {
         let members = self.fleet.members.len();
         // A router that has not registered does not know its share.
@@ -253,7 +256,7 @@
         }
     }
 
-    /// Gives places of one service that came free to those that wait.
+    /// Places queued requests of one service at servers with free slots.
     fn dequeue(&mut self, name: &pool::Id) {
         let now = self.clock.now();
         let Some(queue) = self.queues.get_mut(name) else {
@@ -262,7 +265,7 @@
         if queue.is_empty() {
             return;
         }
-        // Callers that left while they waited get no place.
+        // Callers that disconnected while queued get no slot.
         let left = self.pending.extract_if(|_, (_, reply)| reply.is_closed());
         for (attempt, _) in left {
             queue.cancel(attempt);
@@ -312,7 +315,7 @@
             && !ticket.has_first_byte
         {
             server.end_prefill(ticket.uncached);
-            // A request that never got a byte waited at least this long.
+            // A request that got no byte has waited at least this long.
             if outcome == Outcome::Cancelled {
                 server.record_first_byte(now.since(ticket.sent_at), expected(ticket), now);
             }
@@ -359,7 +362,7 @@
         }
     }
 
-    /// Starts of servers that are over by what the store says.
+    /// Records the end of incarnations that the roster no longer lists.
     fn record_ended_starts(&mut self, roster: &Roster) {
         let now = self.clock.now();
         let starts = roster.starts();
@@ -437,15 +440,16 @@
 }
 
 fn send_reply(reply: Reply, result: Result<Permit, Refusal>) {
-    // A caller that left meanwhile drops the permit, which gives the place back.
+    // If the caller has disconnected, the permit is dropped, which frees the slot.
     drop(reply.send(result));
 }
 
-/// The time to the first byte that a request's prompt explains.
+/// The time to first byte that the prompt of a request explains.
 fn expected(ticket: &Ticket) -> Duration {
-    // Reading at half the usual speed is not held against a server.
+    // Half the usual prefill rate, so that a server that is up to twice as slow has no lag.
     const TOKENS_PER_MS: u64 = 30;
-    /// A first token takes a step or two; a plain service works some tens of milliseconds.
+    /// An engine needs one or two steps for the first token; a plain service takes some
+    /// tens of milliseconds.
     const BASE: Duration = Duration::from_millis(40);
     let prompt_tokens: u64 = ticket.parts.iter().map(Part::length).sum();
     BASE + Duration::from_millis(ticket.uncached.0.max(prompt_tokens / 8) / TOKENS_PER_MS)
--- a/crates/gateway/src/dispatch/message.rs
+++ b/crates/gateway/src/dispatch/message.rs
@@ -1,4 +1,4 @@
-//! What the task is told, and what it tells.
+//! Messages to and from the dispatch task.
 
 use std::sync::Arc;
 
@@ -17,121 +17,122 @@
     status,
 };
 
-/// What a request asks for.
+/// A request for a slot at a server of a service.
 #[derive(Clone, Debug)]
 pub struct AcquireRequest {
     /// The service.
     pub pool: pool::Id,
-    /// Who is charged for it.
+    /// The workspace to which the request is charged.
     pub workspace: workspace::Id,
-    /// The work that it means.
+    /// The estimated work of the request.
     pub cost: Cost,
-    /// How urgent it is; zero is the most urgent.
+    /// The urgency of the request; zero is the most urgent.
     pub rank: u8,
-    /// When it is too late to start it.
+    /// The latest instant at which the request may start.
     pub latest_start: Instant,
-    /// What placement needs to know.
+    /// The properties of the request that placement depends on.
     pub demand: Demand,
-    /// Whether a server has had the request before.
+    /// Whether an earlier attempt of the request was sent to a server.
     pub is_retry: bool,
-    /// What it has in common with its repeats by the caller.
+    /// The fingerprint that the request shares with its retries by the caller.
     pub fingerprint: request::Fingerprint,
 }
 
-/// Why a request is not sent.
+/// The reason why a request is not sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// No server takes it.
+    /// No server can take the request.
     Denied(queue::Refusal),
-    /// The service is not known.
+    /// The service does not exist.
     Unknown,
-    /// The repeats of the service are used up.
+    /// The retry budget of the service is used up.
     RetryBudget,
-    /// Servers died of the request.
+    /// The request is suspected of having crashed servers.
     Suspect,
 }
 
-/// How a request is told what became of it.
+/// The channel for the result of a request.
 pub type Reply = oneshot::Sender<Result<Permit, Refusal>>;
 
-/// How many requests of one router are at a server.
+/// The load that one router puts on a server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Load {
     /// The server.
     pub server: backend::Server,
     /// Requests in flight.
     pub running: u32,
-    /// How requests there lately ended.
+    /// Recent outcomes of the router's requests.
     pub outcomes: OutcomeCounts,
 }
 
-/// What other routers are told.
+/// The state that a router sends to its peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PeerUpdate {
-    /// Requests in flight and how others ended; servers without any are left out.
+    /// Requests in flight and recent outcomes by server; servers without any are left
+    /// out.
     pub loads: Vec<Load>,
-    /// Requests that servers lately died of.
+    /// Requests that are suspected of having crashed servers recently.
     pub strikes: Vec<recovery::Strike>,
-    /// Prompts that servers have read just now.
+    /// Prefixes that servers have cached recently.
     pub prefixes: Vec<prefixes::CachedPrefix>,
 }
 
-/// What the task is told.
+/// A message to the dispatch task.
 #[derive(Debug)]
 pub enum Message {
-    /// A request wants a server.
+    /// Requests a slot at a server.
     Acquire(AcquireRequest, Reply),
-    /// The first byte of a request's answer has come.
+    /// The first byte of a response has arrived.
     FirstByte(Ticket),
-    /// A request has left a server.
+    /// A request at a server has ended.
     Ended(Ticket, Outcome),
     /// The registered servers have changed.
     Roster(Arc<Roster>),
     /// The configuration has changed.
     Table(Arc<Table>),
-    /// The routers that share bounds, this one included, have changed.
+    /// The set of routers that share limits, including this one, has changed.
     Members(Vec<host::Id>),
-    /// What another router has in flight.
+    /// The loads reported by another router.
     Peer(host::Id, Vec<load::Load>),
-    /// What all other routers have in flight, added up by some of them.
+    /// The loads of all other routers, as summed up by aggregators.
     Aggregate(Vec<load::Load>),
-    /// Another router fell silent.
+    /// Another router has stopped sending heartbeats.
     PeerLost(host::Id),
     /// The bounds of the deployment have changed.
     Bounds(Bounds),
-    /// Requests that another router saw servers die of.
+    /// Strikes reported by another router.
     Strikes(Vec<recovery::Strike>),
-    /// Prompts that servers have read, as another router saw it.
+    /// Cached prefixes reported by another router.
     CachedPrefixes(Vec<prefixes::CachedPrefix>),
-    /// Asks for what other routers are told.
+    /// Asks for the state to send to peers.
     PeerUpdate(oneshot::Sender<PeerUpdate>),
-    /// Asks for what is believed of the servers.
+    /// Asks for a status report.
     Status(oneshot::Sender<status::Report>),
 }
 
-/// One request at one server.
+/// A request in flight at a server.
 #[derive(Clone, Debug)]
 pub struct Ticket {
     /// The service.
     pub pool: pool::Id,
     /// The server.
     pub server: backend::Server,
-    /// The start of the server that the request was meant for.
+    /// The incarnation of the server for which the request was meant.
     pub born: u64,
-    /// Prompt tokens that it had to read.
+    /// Prompt tokens that were not known to be cached at the server.
     pub uncached: Cost,
     /// The prompt.
     pub parts: Parts,
-    /// Who is charged for it.
+    /// The workspace to which the request is charged.
     pub workspace: workspace::Id,
-    /// What it has in common with its repeats by the caller.
+    /// The fingerprint that the request shares with its retries by the caller.
     pub fingerprint: request::Fingerprint,
     /// When it was sent.
     pub sent_at: Instant,
-    /// When the connection to the server came about, once it did.
+    /// When the connection to the server was established, if it was.
     pub connected_at: Option<Instant>,
-    /// When it has to have come about.
+    /// The deadline for establishing the connection.
     pub connect_deadline: Instant,
-    /// Whether its first byte has come.
+    /// Whether the first byte of the response has arrived.
     pub has_first_byte: bool,
 }
--- a/crates/gateway/src/dispatch/peers.rs
+++ b/crates/gateway/src/dispatch/peers.rs
@@ -1,4 +1,4 @@
-//! What other routers have in flight, and what they are told.
+//! The loads of other routers, and the state sent to them.
 
 use std::collections::HashMap;
 
@@ -8,11 +8,11 @@
 use crate::{load, outlier::OutcomeCounts, pool::Standing, prefixes::CachedPrefix};
 
 impl Dispatch {
-    /// Another router told what it has in flight.
+    /// Stores the loads reported by another router.
     ///
-    /// In a large fleet sums count in place of it, and most routers tell nothing
-    /// here. Adding up over thousands of servers for each of forty datagrams a
-    /// second would take more of the processor than the requests do.
+    /// In a large fleet, aggregated loads replace them, and most routers report none
+    /// here. Summing up thousands of servers for each of forty datagrams per second
+    /// would cost more CPU time than the requests themselves.
     pub(super) fn set_peer_loads(&mut self, host: host::Id, loads: Vec<load::Load>, now: Instant) {
         let has_changed = !loads.is_empty()
             || self
@@ -23,7 +23,8 @@
         if now < self.aggregate_until {
             return;
         }
-        // Those that add up fell silent: what they told last must not stay.
+        // The aggregators have stopped sending; their last sums must not stay in
+        // effect.
         let has_expired = !self.aggregate.is_empty();
         self.aggregate.clear();
         if has_changed || has_expired {
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Adds up what others told, and judges the servers by it.
+    /// Sums up the loads of other routers and runs outlier detection on the result.
     pub(super) fn sum_peers(&mut self) {
         let now = self.clock.now();
         let mut sums: HashMap<u32, (u32, OutcomeCounts)> = HashMap::new();
@@ -62,7 +63,7 @@
         self.dequeue_all();
     }
 
-    /// Other routers saw servers read prompts.
+    /// Adds prefixes that servers have cached for requests of other routers.
     pub(super) fn add_peer_prefixes(&mut self, prefixes: &[CachedPrefix], now: Instant) {
         logging::event!(debug, "reads_heard", count = prefixes.len());
         for queue in self.queues.values_mut() {
@@ -70,7 +71,7 @@
         }
     }
 
-    /// What this router has in flight, for others.
+    /// The loads that this router reports to others.
     pub(super) fn loads(&self) -> Vec<Load> {
         let now = self.clock.now();
         let servers = self
--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -1,4 +1,4 @@
-//! The right to have one request at one backend server.
+//! A permit to send one request to one backend server.
 
 use tokio::sync::mpsc;
 use units::time::Instant;
@@ -6,7 +6,8 @@
 use super::{Message, Ticket};
 use crate::pool::{Outcome, Place};
 
-/// A place at a backend server. Dropped without an outcome, it counts as cancelled.
+/// A slot at a backend server. If it is dropped without an outcome, the request counts
+/// as cancelled.
 #[derive(Debug)]
 pub struct Permit {
     ticket: Option<Ticket>,
@@ -15,7 +16,7 @@
 }
 
 impl Permit {
-    /// The permit for `ticket`, whose request goes to `place`.
+    /// Creates the permit for the request of `ticket`, which is sent to `place`.
     pub fn new(ticket: Ticket, place: Place, sender: mpsc::UnboundedSender<Message>) -> Self {
         Self {
             ticket: Some(ticket),
@@ -24,38 +25,38 @@
         }
     }
 
-    /// Where the request goes, and why.
+    /// The chosen server and the state the choice was based on.
     pub fn place(&self) -> &Place {
         &self.place
     }
 
-    /// The connection to the server came about.
+    /// Records that the connection to the server was established.
     pub fn connected(&mut self, now: Instant) {
         if let Some(ticket) = &mut self.ticket {
             ticket.connected_at = Some(now);
         }
     }
 
-    /// The first byte of the answer has come.
+    /// Records that the first byte of the response has arrived.
     pub fn first_byte(&mut self) {
         let Some(ticket) = &mut self.ticket else {
             return;
         };
         if !ticket.has_first_byte {
             ticket.has_first_byte = true;
-            // The task ends only with the process.
+            // The dispatch task runs as long as the process.
             drop(self.sender.send(Message::FirstByte(ticket.clone())));
         }
     }
 
-    /// Gives the place back.
+    /// Frees the slot and records the outcome of the request.
     pub fn end(mut self, outcome: Outcome) {
         self.give_back(outcome);
     }
 
     fn give_back(&mut self, outcome: Outcome) {
         if let Some(ticket) = self.ticket.take() {
-            // The task ends only with the process.
+            // The dispatch task runs as long as the process.
             drop(self.sender.send(Message::Ended(ticket, outcome)));
         }
     }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -1,4 +1,5 @@
-//! Requests at servers, as routers tell each other of them.
+//! Load reports: requests in flight and recent outcomes by server, as exchanged between
+//! routers.
 
 use std::{cmp::Reverse, collections::BTreeMap, time::Duration};
 
@@ -8,46 +9,47 @@
 
 use crate::outlier::OutcomeCounts;
 
-/// How often all ends are told, and not only those with new failures.
+/// The interval of full reports, which contain all outcomes and not only new failures.
 ///
-/// Requests that ended count for seconds, so at each router nearly all servers
-/// have some. Told in each round they would be half of what routers tell each other.
+/// Outcomes count for several seconds, so a router has some for nearly every server.
+/// Sent in each gossip round, they would be half of all gossip traffic.
 const FULL_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// How much the failures at a server have to grow to be told at once: by half
-/// a request, in sixteenths. Failures are rare, and callers meet the server
-/// again until it is found out.
+/// The growth of a server's failure count that is sent with the next report: half a
+/// request, in sixteenths. Failures are rare, and until a failing server is detected it
+/// continues to receive requests.
 const MIN_NEW_FAILURES: u16 = 8;
-/// The most servers with new failures that one change tells of, so that it fits
-/// a datagram; all are told with the next whole report.
+/// The most servers with new failures in one delta report, so that it fits a datagram;
+/// the next full report contains all.
 const MAX_FAILING: usize = 20;
 
-/// Requests that a router has, or lately had, at one server.
+/// The load that a router puts, or has recently put, on one server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Load {
-    /// A hash of the server's name.
+    /// The hash of the server's name.
     pub server: u32,
     /// Requests in flight.
     pub running: u16,
-    /// How requests there lately ended.
+    /// Recent outcomes of requests at the server.
     pub outcomes: OutcomeCounts,
 }
 
 impl Load {
-    /// The hash that stands for a server, of 24 bits.
+    /// The 24-bit hash that identifies a server.
     ///
-    /// Of two servers with the same each counts with the load of both, which keeps
+    /// Two servers with the same hash each count with the load of both, which keeps
     /// every bound.
     pub fn hash(server: &backend::Server) -> u32 {
         Self::short_hash(xxh3::xxh3_64(server.as_str().as_bytes()))
     }
 
-    /// The part of the hash of a server's name that stands for it between routers.
+    /// The part of a name's hash that identifies the server in messages between
+    /// routers.
     pub fn short_hash(name_hash: u64) -> u32 {
         (name_hash >> 40) as u32
     }
 }
 
-/// The `most` servers with most requests.
+/// The `max_servers` servers with the most requests in flight.
 pub fn busiest(mut loads: Vec<Load>, max_servers: usize) -> Vec<Load> {
     if loads.len() > max_servers {
         loads.sort_by_key(|load| Reverse(load.running));
@@ -56,35 +58,34 @@
     loads
 }
 
-/// What one datagram tells of loads.
+/// The loads in one datagram.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
-    /// All of them; other servers have neither requests nor ends.
+    /// All loads; other servers have no requests in flight and no recent outcomes.
     Full(Vec<Load>),
-    /// All requests in flight, and ends that say something new since the last report.
+    /// All requests in flight, and outcomes with new failures since the last report.
     Delta {
-        /// Servers with requests in flight, and how many; all others have none.
+        /// The number of requests in flight by server; other servers have none.
         ///
-        /// In the order of their hashes, each as the step from the one before, which
-        /// takes fewer bytes.
+        /// Sorted by server hash and delta-encoded, which takes fewer bytes.
         running: Vec<(u32, u16)>,
-        /// How requests ended at servers with new failures.
+        /// Outcomes at servers with new failures.
         outcomes: Vec<(u32, OutcomeCounts)>,
     },
 }
 
-/// Decides what of the loads is told next.
+/// Encodes loads as full or delta reports.
 ///
-/// All who are told have to be told each report, or to be told a whole one soon.
+/// Every receiver must get each report, or a full one soon after.
 #[derive(Clone, Debug, Default)]
 pub struct ReportEncoder {
-    /// The failures told last at each server.
+    /// The failure count last sent for each server.
     sent_failures: BTreeMap<u32, u16>,
     full_report_at: Instant,
 }
 
 impl ReportEncoder {
-    /// The next report of these loads.
+    /// Encodes the next report.
     pub fn next(&mut self, loads: &[Load], now: Instant) -> Report {
         if now >= self.full_report_at {
             self.full_report_at = now + FULL_REPORT_INTERVAL;
@@ -115,7 +116,7 @@
     }
 }
 
-/// Servers with requests in flight, as steps from hash to hash.
+/// Servers with requests in flight, sorted by hash and delta-encoded.
 fn delta_encode(loads: &[Load]) -> Vec<(u32, u16)> {
     let running = loads.iter().filter(|load| load.running > 0);
     let mut running: Vec<_> = running.map(|load| (load.server, load.running)).collect();
@@ -129,14 +130,14 @@
     running
 }
 
-/// What one teller has told so far.
+/// Decodes the reports of one sender.
 #[derive(Clone, Debug, Default)]
 pub struct ReportDecoder {
     outcomes: BTreeMap<u32, OutcomeCounts>,
 }
 
 impl ReportDecoder {
-    /// Takes in a report, and returns all loads as they stand with it.
+    /// Applies a report and returns the resulting loads.
     pub fn apply(&mut self, report: Report) -> Vec<Load> {
         let (running, outcomes) = match report {
             Report::Full(loads) => {
@@ -157,7 +158,8 @@
         let mut loads: BTreeMap<u32, Load> = ended.map(|load| (load.server, load)).collect();
         let mut server: u32 = 0;
         for (step, running) in running {
-            // Whatever comes from outside, a sum too large is a server that is not known.
+            // Input from the network may overflow; the saturated hash matches no known
+            // server.
             server = server.saturating_add(step);
             let load = loads.entry(server).or_insert(Load {
                 server,
--- a/crates/gateway/src/outlier.rs
+++ b/crates/gateway/src/outlier.rs
@@ -1,42 +1,43 @@
-//! How requests lately ended at a server, as routers tell each other.
+//! Outlier detection: recent outcomes of requests at a server, as exchanged between
+//! routers.
 
 use std::{ops, time::Duration};
 
 use serde::{Deserialize, Serialize};
 use units::time::Instant;
 
-/// How fast the end of a request is forgotten, as a half-life. The fleet has to
-/// see some failures within it.
+/// Half-life of the outcome counts. The fleet must observe several failures of a server
+/// within it.
 const HALF_LIFE: Duration = Duration::from_secs(2);
-/// The unit in which counts are told, as a part of one request.
+/// Fixed-point scale of the exchanged counts, in units per request.
 const SCALE: f64 = 16.0;
 
-/// The least failures that say something of a server, after forgetting.
+/// The minimum decayed number of failures for a server to be ejected.
 const MIN_FAILURES: f64 = 4.0;
-/// The least share of a server's requests that fail before it is left alone.
+/// The minimum ratio of failed requests for a server to be ejected.
 ///
-/// Some requests fail at sound servers too.
+/// Some requests fail at healthy servers too.
 const MIN_FAILURE_RATIO: f64 = 0.35;
-/// How many times as often as at the service's other servers requests have to
-/// fail at it. When all fail alike, the fault is not one server's.
+/// How many times the failure ratio of the service's other servers a server must reach
+/// to be ejected. If all servers fail equally, the cause is not a single server.
 const MIN_RATIO_TO_OTHERS: f64 = 3.0;
 
-/// How many requests failed and completed lately, older ones counting less.
+/// Numbers of recently failed and completed requests, with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OutcomeCounts {
-    /// Requests that the server failed, or broke off; in sixteenths.
+    /// Requests that failed or whose connection broke, in sixteenths.
     pub failed: u16,
-    /// Requests that it completed; in sixteenths.
+    /// Completed requests, in sixteenths.
     pub completed: u16,
 }
 
 impl OutcomeCounts {
-    /// Whether these are as good as none.
+    /// Whether both counts have decayed to zero.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
 
-    /// Less a part of them.
+    /// Subtracts `part` from the counts.
     pub fn saturating_sub(self, part: Self) -> Self {
         Self {
             failed: self.failed.saturating_sub(part.failed),
@@ -49,7 +50,8 @@
         f64::from(self.failed) / all.max(1.0)
     }
 
-    /// Whether a server with these ends fails, among others with `others`.
+    /// Whether a server with these outcomes is an outlier, where `others` are the
+    /// outcomes of the service's other servers.
     pub fn is_outlier(self, others: Self) -> bool {
         let failures = f64::from(self.failed) / SCALE;
         failures >= MIN_FAILURES
@@ -69,7 +71,7 @@
     }
 }
 
-/// Counts the ends of one router's requests at one server.
+/// Counts the outcomes of one router's requests at one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OutcomeTracker {
     failed: f64,
@@ -78,7 +80,7 @@
 }
 
 impl OutcomeTracker {
-    /// A request has ended.
+    /// Records the outcome of a request.
     pub fn record(&mut self, is_failure: bool, now: Instant) {
         let decay = self.decay(now);
         self.failed = self.failed * decay + f64::from(u8::from(is_failure));
@@ -91,14 +93,14 @@
         (-age / HALF_LIFE.as_secs_f64()).exp2()
     }
 
-    /// What is left of the counts at `now`.
+    /// The decayed counts at `now`.
     pub fn counts(&self, now: Instant) -> OutcomeCounts {
         if self.failed == 0.0 && self.completed == 0.0 {
             return OutcomeCounts::default();
         }
         let decay = self.decay(now) * SCALE;
         OutcomeCounts {
-            // Beyond the largest count a cast gives just that.
+            // The cast saturates at the largest count.
             failed: (self.failed * decay).round() as u16,
             completed: (self.completed * decay).round() as u16,
         }
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,4 +1,4 @@
-//! Which backend server of one service takes a request.
+//! Placement: chooses the backend server of a service that receives a request.
 
 pub mod connect;
 mod copies;
@@ -18,10 +18,10 @@
 
 use crate::{roster, route, settings::Bounds, slow_start};
 
-/// One part of a prompt; parts that requests share have the same key.
+/// One part of a prompt; requests with a common prefix have parts with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// What names it.
+    /// The key that identifies the part.
     pub key: chat::Key,
     /// Its length, in tokens.
     pub tokens: u32,
@@ -37,62 +37,64 @@
 /// The parts of a prompt, in order.
 pub type Parts = SmallVec<[Part; 4]>;
 
-/// What placement needs to know of a request.
+/// The properties of a request that placement depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
     /// The prompt; empty for a plain service.
     pub parts: Parts,
-    /// Servers that had the request before.
+    /// Servers to which earlier attempts of the request were sent.
     pub tried: SmallVec<[backend::Server; 2]>,
-    /// Whether a part of each server's slots is kept free for others.
+    /// Whether the request must leave some slots of each server to other workspaces.
     pub leaves_reserve: bool,
 }
 
-/// The routers that share bounds.
+/// The routers that share the limits of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fleet {
     /// This router.
     pub own: host::Id,
-    /// All routers that are registered, this one included once it is.
+    /// All registered routers, including this one once it has registered.
     pub members: Vec<host::Id>,
 }
 
-/// Where a request goes.
+/// The server chosen for a request, and the state the choice was based on.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Place {
-    /// The server.
+    /// The name of the server.
     pub server: backend::Server,
     /// Its availability zone.
     pub zone: availability::Zone,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The start of the server that the request is meant for.
+    /// The incarnation of the server for which the request is meant.
     pub born: u64,
-    /// Prompt tokens that the server has not read, as far as known.
+    /// Prompt tokens that are not known to be in the server's cache.
     pub uncached: Cost,
-    /// A server that may have read more of the prompt.
+    /// A server from which more of the prompt's cache may be copied.
     pub source: Option<SocketAddr>,
-    /// Requests of all routers at the server, as far as known, this one included.
+    /// Requests in flight at the server from all routers, including this one; peers'
+    /// counts may be stale.
     pub load: u32,
-    /// The most requests that the server may hold now.
+    /// The load bound of the server at the time of placement.
     pub bound: f64,
-    /// When a connection to it has to have come about.
+    /// The deadline for establishing the connection to the server.
     pub connect_deadline: Instant,
 }
 
-/// What is believed of a server.
+/// The state of a server as this router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes requests.
+    /// The server receives requests.
     Sound,
-    /// It refused a connection, and is left alone for a while.
+    /// The last connection attempt failed; the server receives no requests during the
+    /// backoff.
     Away,
-    /// It failed too often, and is left alone for a while.
+    /// Outlier detection ejected the server for a time.
     Ejected,
 }
 
 impl Standing {
-    /// Its name in logs and metrics.
+    /// The name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Sound => "sound",
@@ -108,22 +110,26 @@
     }
 }
 
-/// Why no server takes a request now.
+/// The reason why no server can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// No server of the service is known, or all have been tried.
+    /// The service has no known server, or all of them have been tried.
     NoServer,
-    /// All are in zones that cannot be reached; the first of these is tried again then.
+    /// All servers are in unreachable zones; the first of these zones is probed at this
+    /// instant.
     ZonesUnreachable(Instant),
-    /// All are at their limit.
+    /// All servers are at their load bound or have no free slot.
     Full,
-    /// Those that have room are cold and have had their share; one opens then.
+    /// The servers with free slots are cold and this router's slow-start share is used
+    /// up; the next request may be sent at this instant.
     SlowStart(Instant),
 }
 
-/// How much of the room above the mean is used, since peers' loads are late.
+/// The fraction of the headroom above the mean load that this router uses. The rest
+/// covers the delay with which peers report their loads.
 const BOUND_HEADROOM_USED: f64 = 0.75;
-/// Requests above the multiple of the mean that the deployment allows.
+/// Requests that a server may hold in addition to the configured multiple of the mean
+/// load.
 const BOUND_EXTRA: f64 = 3.0;
 
 /// The servers of one service.
@@ -138,7 +144,7 @@
 }
 
 impl Pool {
-    /// A pool without servers, seen from `zone`.
+    /// Creates a pool without servers for a router in `zone`.
     pub fn new(zone: availability::Zone, bounds: Bounds) -> Self {
         let settings = recovery::Settings {
             ejection: BASE_EJECTION,
@@ -158,17 +164,18 @@
         }
     }
 
-    /// Takes over what the configuration says of the service.
+    /// Applies the configuration of the service.
     pub fn set_service(&mut self, service: route::Service) {
         self.service = service;
     }
 
-    /// Takes over new bounds.
+    /// Applies new bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Sets the registered servers, each with whether it gets nothing new.
+    /// Replaces the registered servers. Each entry carries a flag that says whether the
+    /// server is leaving and must get no new requests.
     pub fn set_servers<'a>(&mut self, entries: impl Iterator<Item = (&'a roster::Entry, bool)>) {
         let mut old = std::mem::take(&mut self.servers);
         for (entry, is_leaving) in entries {
@@ -183,11 +190,11 @@
         self.ejection.set_servers(zones);
     }
 
-    /// Chooses a server and counts the request there.
+    /// Chooses a server for a request and counts the request as in flight there.
     ///
     /// # Errors
     ///
-    /// Why there is none.
+    /// Returns the reason if no server can take the request now.
     pub fn admit(&mut self, demand: &Demand, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
         let choice = self.choose(demand, fleet, now)?;
         let share = self.slow_start_share(&choice, fleet, now);
@@ -228,7 +235,7 @@
         };
         let mut candidates: Vec<&Server> = untried().filter(is_available).collect();
         if candidates.is_empty() {
-            // What failed lately is still better than a refusal.
+            // A server that failed recently is preferable to refusing the request.
             let reachable = untried().filter(|server| !self.is_cut_off(server, now));
             candidates = reachable.collect();
         }
@@ -236,9 +243,9 @@
             return Err(self.no_candidate(untried(), now));
         }
         let bound = self.bound(now);
-        // Requests of a plain service are over before others hear of them. Counted,
-        // they would keep requests waiting for slots that are free. A server that
-        // is full says so.
+        // Requests to a plain service complete before peers report them. Counting the
+        // reported ones would queue requests although slots are free. A server that is
+        // full rejects the request itself.
         let counts_peers = self.service.cache_tokens > 0;
         candidates.retain(|server| {
             server.has_room(demand.leaves_reserve, counts_peers)
@@ -257,30 +264,30 @@
         best.ok_or(Denial::SlowStart(slow_start_ready_at.unwrap_or(now)))
     }
 
-    /// Whether a server is in a zone that cannot be reached.
+    /// Whether a server is in a remote zone that is unreachable.
     ///
-    /// One after the other, each of its servers would keep a request for as long as
-    /// a connection may take. The router's own zone is never taken for cut off.
+    /// Trying its servers in turn would cost the request a full connect timeout for
+    /// each. The router's own zone is never treated as unreachable.
     fn is_cut_off(&self, server: &Server, now: Instant) -> bool {
         *server.zone() != self.zone && self.zone_tracker.is_away(server.zone(), now)
     }
 
-    /// Why none of `servers` may be tried.
+    /// The reason why none of `servers` can be tried.
     fn no_candidate<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
         let retry_times = servers.map(|server| self.zone_tracker.away_until(server.zone()));
         let first = retry_times.min();
         first.map_or(Denial::NoServer, |at| Denial::ZonesUnreachable(at.max(now)))
     }
 
-    /// The most requests that one server may hold at `now`.
+    /// The load bound at `now`: the most requests that one server may hold.
     ///
-    /// The mean is that of all servers of the service, also of those that get
-    /// nothing new. When few are left, requests wait although these have slots:
-    /// the bound has no exception for that.
+    /// The mean covers all servers of the service, including those that are draining.
+    /// If only a few servers remain active, requests queue although these have free
+    /// slots; the bound makes no exception.
     ///
-    /// Servers of zones that cannot be reached do not count. Their loads are not
-    /// known then, and taken for none they would make callers of a zone that was
-    /// cut off wait beside free slots.
+    /// Servers in unreachable zones are left out. Their load is unknown, and counting
+    /// it as zero would lower the bound so far that requests in a partitioned zone
+    /// queue while slots are free.
     pub fn bound(&self, now: Instant) -> f64 {
         let has_known_load = |server: &&Server| !self.zone_tracker.is_unknown(server.zone(), now);
         let mean_load = if self.servers.values().any(|server| has_known_load(&server)) {
@@ -326,7 +333,7 @@
         share.is_none() || !server.is_slow_start_ready(now)
     }
 
-    /// The candidate with the least expected time to the first byte.
+    /// The candidate with the lowest expected time to first byte.
     fn cheapest(
         &self,
         candidates: &[&Server],
@@ -343,26 +350,27 @@
         Some(best.name().clone())
     }
 
-    /// Until then every server may have turned cold, or started anew, unnoticed.
+    /// Treats all servers as cold until `until`, since any of them may have restarted
+    /// unnoticed.
     pub fn assume_cold_until(&mut self, until: Instant) {
         for server in self.servers.values_mut() {
             server.assume_cold_until(until);
         }
     }
 
-    /// A server that this router has sent a request to.
+    /// The server with this name, for recording events of this router's requests.
     pub fn server_mut(&mut self, name: &backend::Server) -> Option<&mut Server> {
         self.servers.get_mut(name)
     }
 
-    /// A connection to `server` came about.
+    /// Records how long it took to connect to `server`.
     pub fn record_connect_time(&mut self, name: &backend::Server, time: Duration) {
         if let Some(server) = self.servers.get(name) {
             self.zone_tracker.record_connect_time(server.zone(), time);
         }
     }
 
-    /// A connection to `server` was given up at its limit.
+    /// Records that connecting to `server` timed out.
     pub fn record_connect_timeout(
         &mut self,
         name: &backend::Server,
@@ -375,15 +383,15 @@
         }
     }
 
-    /// The answer of `server` has begun.
+    /// Records that a response from `server` has begun.
     pub fn record_response(&mut self, name: &backend::Server) {
         if let Some(server) = self.servers.get(name) {
             self.zone_tracker.record_response(server);
         }
     }
 
-    /// The request at `server` has ended. Returns how the server stands with
-    /// that, if it was different before.
+    /// Records that a request at `server` has ended. Returns the new standing of the
+    /// server if it changed.
     pub fn ended(
         &mut self,
         name: &backend::Server,
@@ -394,7 +402,8 @@
         match outcome {
             Outcome::Completed => self.ejection.succeeded(name, now),
             Outcome::Failed | Outcome::Broken => self.ejection.failed(name, now),
-            // What all routers saw decides on these; a cut would eject whole zones.
+            // These are left to the fleet-wide outlier detection. Counting them here
+            // would eject whole zones during a network partition.
             Outcome::Refused
             | Outcome::Unreachable
             | Outcome::Moved
@@ -409,7 +418,7 @@
         (after != before).then_some(after)
     }
 
-    /// What is believed of a server.
+    /// The current state of a server.
     pub fn standing(&self, name: &backend::Server, now: Instant) -> Standing {
         if self.ejection.is_ejected(name, now) {
             return Standing::Ejected;
@@ -420,19 +429,19 @@
         }
     }
 
-    /// Slots of the servers that get work.
+    /// Total slots of the servers that are not leaving.
     pub fn slots(&self) -> u32 {
         let used = self.servers.values().filter(|server| !server.is_leaving());
         used.map(Server::slots).sum()
     }
 
-    /// The servers, by name.
+    /// All servers, ordered by name.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 }
 
-/// The mean load of some servers; zero if there are none.
+/// The mean load of the servers; zero if there are none.
 fn mean<'a>(servers: impl Iterator<Item = &'a Server>) -> f64 {
     let (count, load) = servers.fold((0_u32, 0), |(count, load), server| {
         (count + 1, load + server.load())
@@ -440,7 +449,8 @@
     f64::from(load) / f64::from(count.max(1))
 }
 
-/// How long a first ejection lasts: a few of the shortest faults that were seen (4 to 6 s).
+/// Duration of the first ejection: a fraction of the shortest faults observed (4 to 6
+/// s).
 const BASE_EJECTION: Duration = Duration::from_millis(1500);
-/// How long the longest ejection lasts.
+/// Upper limit of the ejection time.
 const MAX_EJECTION: Duration = Duration::from_secs(6);
--- a/crates/gateway/src/pool/connect.rs
+++ b/crates/gateway/src/pool/connect.rs
@@ -1,39 +1,39 @@
-//! How long a connection to a server may take.
+//! Adaptive connect timeouts.
 
 use std::time::Duration;
 
 use units::time::Instant;
 
-/// The least limit: many times the longest way there and back between zones, and
-/// half the time for which a machine at its quota stands still.
+/// The lower limit of the timeout: many times the longest round trip between zones, and
+/// half the time for which a machine stalls once its CPU quota is used up.
 const MIN_TIMEOUT: Duration = Duration::from_millis(50);
-/// The longest limit, and the one while nothing has been measured.
+/// The upper limit of the timeout, also used until a connection has been measured.
 ///
-/// A first packet that was lost is sent again only after a second, when another
-/// server would have answered long since.
+/// A lost SYN is retransmitted only after a second; by then another server would have
+/// answered.
 const MAX_TIMEOUT: Duration = Duration::from_millis(300);
-/// How many times the usual deviation a connection may take longer than the mean.
+/// How many mean deviations above the mean a connection may take.
 const DEVIATIONS: u32 = 4;
 
-/// How long connections to the servers of one zone lately took.
+/// Recent connect times of the servers in one zone.
 ///
-/// When a zone is cut off in silence, connections hang. With a limit that fits
-/// all networks the request is late at any server once the first one has hung;
-/// with one that follows from what connections take here, the next server
-/// answers in time.
+/// When a zone is partitioned without resets, connections hang. With a timeout that
+/// suits every network, a request would miss its target after the first hanging
+/// connection. A timeout derived from measured connect times leaves time for an attempt
+/// at another server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ConnectTimes {
     mean: Option<Duration>,
     deviation: Duration,
-    /// Connections given up in a row. Without them a way that has become longer
-    /// than the limit would never be measured again.
+    /// Consecutive timeouts. They raise the timeout; otherwise a path whose latency
+    /// grew beyond the timeout would never be measured again.
     timeouts: u32,
-    /// When the last of them was given up.
+    /// When the last timeout occurred.
     timed_out_at: Instant,
 }
 
 impl ConnectTimes {
-    /// A connection came about.
+    /// Records the time that a successful connection took.
     pub fn record(&mut self, time: Duration) {
         self.timeouts = 0;
         let Some(mean) = self.mean else {
@@ -45,9 +45,9 @@
         self.mean = Some((mean * 7 + time) / 8);
     }
 
-    /// A connection that was begun at `begun_at` is given up at `now`.
+    /// Records that a connection attempt that started at `begun_at` timed out at `now`.
     ///
-    /// Those that hang side by side say no more than one.
+    /// Concurrent timeouts count as one.
     pub fn record_timeout(&mut self, begun_at: Instant, now: Instant) {
         if begun_at < self.timed_out_at {
             return;
@@ -56,7 +56,7 @@
         self.timeouts = self.timeouts.saturating_add(1);
     }
 
-    /// How long the next one may take.
+    /// The timeout for the next connection attempt.
     pub fn timeout(&self) -> Duration {
         let Some(mean) = self.mean else {
             return MAX_TIMEOUT;
--- a/crates/gateway/src/pool/copies.rs
+++ b/crates/gateway/src/pool/copies.rs
@@ -1,4 +1,4 @@
-//! Where a prompt is copied from.
+//! Selection of the server from which a cached prompt is copied.
 
 use std::net::SocketAddr;
 
@@ -6,21 +6,22 @@
 
 use super::{Demand, Pool, cost};
 
-/// Fewer tokens than this are read anew rather than copied: an engine reads them
-/// in the time that setting up a copy takes.
+/// The fewest uncached tokens for which a copy is made: an engine computes fewer in the
+/// time that setting up a copy takes.
 const MIN_COPY_TOKENS: u64 = 200;
 
 impl Pool {
-    /// A server whose cache `choice` should copy the prompt from, rather than read it anew.
+    /// The server from whose cache `choice` should copy the prompt instead of computing
+    /// it.
     ///
-    /// Copying takes a third of the time of reading and leaves the engine to
-    /// others. A source that keeps nothing of the prompt costs nothing, so the
-    /// likeliest one is named also where none is known to have it: the first in
-    /// the prompt's order, and it may be leaving. A server that this router
-    /// knows to have a part of the prompt gives way to it.
+    /// A copy takes a third of the prefill time and leaves the engine free for other
+    /// requests. Naming a source that does not hold the prompt costs nothing. So if no
+    /// server is known to hold it, the most likely one is named: the first in the
+    /// prompt's ranking, even if it is leaving. That server is also preferred to one
+    /// that is known to hold only a part of the prompt.
     ///
-    /// None is named in a zone that cannot be reached from here: the chosen
-    /// server would wait for it.
+    /// Servers in unreachable zones are skipped, since the chosen server would wait for
+    /// them.
     pub(super) fn source(
         &self,
         choice: &backend::Server,
--- a/crates/gateway/src/pool/cost.rs
+++ b/crates/gateway/src/pool/cost.rs
@@ -1,4 +1,4 @@
-//! What a request costs at a server, and the order of servers for a prompt.
+//! The cost of a request at each server, and the ranking of servers for a prompt.
 
 use std::cmp::Reverse;
 
@@ -8,40 +8,42 @@
 
 use super::{Part, Server};
 
-/// Tokens that an engine reads in a millisecond; only its ratio to the other
-/// costs here matters.
+/// Prefill rate of an engine in tokens per millisecond; only its ratio to the other
+/// costs in this file matters.
 const PREFILL_TOKENS_PER_MS: u64 = 60;
-/// What one request in flight adds to the time of another at an engine, in microseconds.
+/// Delay that each request in flight at an engine adds to another, in microseconds.
 ///
-/// Much more than its share of a step would move short prompts for small
-/// differences of load.
+/// A value far above a request's share of an engine step would move short prompts away
+/// from their cache for small differences in load.
 const ENGINE_LOAD_US: u64 = 500;
-/// The same at a plain service, in microseconds: a short answer over a few slots.
+/// Delay that each request in flight at a plain service adds to another, in
+/// microseconds: the time of a short response, divided over a few slots.
 const SERVICE_LOAD_US: u64 = 5_000;
-/// The way to another availability zone and back, in microseconds.
+/// Round-trip time to another availability zone, in microseconds.
 const ZONE_US: u64 = 2_000;
-/// How much of its prompt the first server in order is expected to have read
-/// for other routers, in percent.
+/// The share of a prompt that the first server in its ranking is expected to have
+/// cached for other routers, in percent.
 const FIRST_CACHED_PERCENT: u64 = 95;
-/// How much dearer reading a prompt counts with each later place in its order, in
-/// percent, for the first few places.
+/// The increase of the prefill cost for each position in the ranking, in percent, for
+/// the first few positions.
 ///
-/// What the first one has no room for goes to the second, so that one is likelier
-/// to have it than any other. Without that, zones and small differences of load
-/// would scatter such requests. Expecting the second to have read half of it
-/// instead would draw prompts from servers that are known to have them.
+/// Requests for which the first server has no room go to the second, which makes it the
+/// most likely other server to have the prompt cached. Without the increase, zones and
+/// small load differences would scatter these requests. If the second server were
+/// assumed to have half of the prompt cached instead, it would attract prompts from
+/// servers that are known to have them.
 const POSITION_PENALTY_PERCENT: u64 = 25;
-/// The place from which on all are alike.
+/// The number of servers that are ranked individually; all others share this position.
 const RANKED_SERVERS: usize = 3;
 
-/// A server's rank in an order, with the hash of its name; the lowest is first.
+/// The score of a server for a prompt and the hash of its name; the lowest key ranks
+/// first.
 type RankKey = (Reverse<u64>, u64);
 
-/// The order of servers for a prompt, on which all routers agree.
+/// The ranking of servers for a prompt, which is the same at all routers.
 ///
-/// Only as many servers are told apart as have places of their own in what a
-/// prompt costs: sorting thousands for each request would take longer than
-/// most answers.
+/// Only the positions that differ in cost are determined: sorting thousands of servers
+/// for each request would take longer than most responses.
 #[derive(Clone, Debug)]
 pub struct Ranking {
     anchor: chat::Key,
@@ -49,7 +51,7 @@
 }
 
 impl Ranking {
-    /// The order of `servers` for a prompt; `None` if there is no prompt.
+    /// Ranks `servers` for a prompt; `None` if the prompt is empty.
     pub fn new<'a>(parts: &[Part], servers: impl Iterator<Item = &'a Server>) -> Option<Self> {
         let mut ranking = Self {
             anchor: anchor(parts)?,
@@ -74,17 +76,18 @@
         }
     }
 
-    /// The place of a server; [`RANKED_SERVERS`] stands for all from there on.
+    /// The position of a server; [`RANKED_SERVERS`] if it is not ranked individually.
     pub fn position(&self, server: &Server) -> usize {
         let hash = server.name_hash();
         let position = self.ranked.iter().position(|(_, ranked)| *ranked == hash);
         position.unwrap_or(RANKED_SERVERS)
     }
 
-    /// What servers are compared by that may have read `parts`; the likeliest is the lowest.
+    /// The sort key for servers that may have `parts` cached; the most likely one has
+    /// the lowest key.
     ///
-    /// One that has just started is the first for prompts that still lie at the
-    /// next, and nowhere else.
+    /// A server that has just started does not get its position in the ranking: its
+    /// prompts are still cached at the next server.
     pub fn source_key(
         &self,
         server: &Server,
@@ -101,8 +104,9 @@
     }
 }
 
-/// The expected time to the first byte at `server`, in microseconds, for a router
-/// in `zone`. `place` is the server's in the prompt's order, if there is a prompt.
+/// The expected time to first byte at `server`, in microseconds, for a router in
+/// `zone`. `position` is the server's position in the prompt's ranking, if there is a
+/// prompt.
 pub fn time_us(
     server: &Server,
     zone: &availability::Zone,
@@ -116,7 +120,7 @@
     let Some(position) = position else {
         return common_us + load * SERVICE_LOAD_US;
     };
-    // A server that has just started has read nothing for anyone.
+    // A server that has just started has nothing cached for any router.
     let expected_position = if server.is_cold(now) {
         RANKED_SERVERS
     } else {
@@ -128,8 +132,8 @@
     common_us + prefill_us + load * ENGINE_LOAD_US
 }
 
-/// What the server at a place of a prompt's order has to read of it, as far as
-/// expected, where `unread` is what it is not known to have read.
+/// The number of tokens that the server at `position` is expected to prefill, where
+/// `uncached` tokens are not known to be in its cache.
 pub fn expected_uncached(uncached: u64, position: usize) -> u64 {
     let percent = match position {
         0 => 100 - FIRST_CACHED_PERCENT,
@@ -138,10 +142,10 @@
     uncached * percent / 100
 }
 
-/// The part by which a prompt's servers are ordered.
+/// The key of the prompt part by which servers are ranked.
 ///
-/// The last part belongs to the request or its chat alone; the one before it
-/// is the longest run of the prompt that other requests share.
+/// The last part is specific to the request or its chat; the one before it ends the
+/// longest prefix that other requests share.
 fn anchor(parts: &[Part]) -> Option<chat::Key> {
     let last = parts.len().checked_sub(1)?;
     Some(parts[last.saturating_sub(1)].key)
--- a/crates/gateway/src/pool/peers.rs
+++ b/crates/gateway/src/pool/peers.rs
@@ -1,4 +1,4 @@
-//! What other routers told of the servers.
+//! Server state reported by peers.
 
 use units::{backend, time::Instant};
 
@@ -6,8 +6,8 @@
 use crate::{outlier::OutcomeCounts, prefixes::CachedPrefix};
 
 impl Pool {
-    /// Sets what other routers have at each server, and how requests of theirs
-    /// lately ended there. Servers are named by their hashes.
+    /// Sets the load and the recent outcomes that peers report for each server. Servers
+    /// are identified by the hashes of their names.
     pub fn set_peer_state(&mut self, sums: impl Fn(u32) -> (u32, OutcomeCounts)) {
         for server in self.servers.values_mut() {
             let (running, outcomes) = sums(server.hash());
@@ -16,7 +16,7 @@
         }
     }
 
-    /// Takes in prompts that servers have read for other routers.
+    /// Adds prefixes that servers have cached for requests of peers.
     pub fn add_peer_prefixes(&mut self, prefixes: &[CachedPrefix], now: Instant) {
         for server in self.servers.values_mut() {
             let hash = server.hash();
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Sets how requests of other routers lately ended at each server.
+    /// Sets the recent outcomes of peers' requests at each server.
     pub fn set_peer_outcomes(&mut self, outcomes: impl Fn(&backend::Server) -> OutcomeCounts) {
         for server in self.servers.values_mut() {
             let outcomes = outcomes(server.name());
@@ -34,11 +34,12 @@
         }
     }
 
-    /// Leaves servers alone that fail by what all routers saw. Returns those
-    /// that are left alone from now on.
+    /// Ejects servers that are outliers by the outcomes of all routers. Returns the
+    /// newly ejected servers.
     ///
-    /// Of many routers each meets a server too seldom to see by itself that it
-    /// fails, and a server may fail every request and say that it is well.
+    /// In a large fleet, each router sends too few requests to a server to detect its
+    /// failures alone, and a server may fail every request while it passes its health
+    /// checks.
     pub fn detect_outliers(&mut self, now: Instant) -> Vec<(backend::Server, OutcomeCounts)> {
         let all = || {
             let servers = self.servers.values();
@@ -61,7 +62,7 @@
         failing
     }
 
-    /// Sets how many requests other routers have at each server.
+    /// Sets the number of requests that peers have in flight at each server.
     pub fn set_peer_load(&mut self, loads: impl Fn(&backend::Server) -> u32) {
         for server in self.servers.values_mut() {
             let load = loads(server.name());
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one backend server.
+//! The state of one backend server as this router sees it.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -15,24 +15,24 @@
     slow_start::{Pacer, Share},
 };
 
-/// How a request at a server ended.
+/// The outcome of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered in full.
+    /// The response was complete.
     Completed,
-    /// The server failed it.
+    /// The server responded with a failure.
     Failed,
-    /// The server broke off in the middle of it.
+    /// The connection broke while the server was processing the request.
     Broken,
-    /// Its host refused the connection, so nothing was sent and nothing runs there.
+    /// The host refused the connection: nothing was sent, and no server runs there.
     Refused,
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreachable,
-    /// Another server has the address.
+    /// The address belongs to another server now.
     Moved,
-    /// The server said that it is full and did not run it.
+    /// The server rejected the request because it is full; it did not run it.
     Full,
-    /// The caller left, or the time was up.
+    /// The caller disconnected or the deadline passed.
     Cancelled,
 }
 
@@ -51,27 +51,28 @@
     }
 }
 
-/// One part in this many of a server's slots is kept for workspaces that use
-/// less than their share; as in `admission`.
+/// One slot in this many is reserved for workspaces that use less than their share, as
+/// in `admission`.
 const RESERVE_DIVISOR: u32 = 4;
-/// How long a server that could not be reached gets nothing; doubled with each further time.
+/// The backoff after a connection failure; doubled with each further failure.
 const BASE_AWAY: Duration = Duration::from_millis(400);
-/// The longest such time.
+/// Upper limit of the backoff.
 const MAX_AWAY: Duration = Duration::from_millis(3200);
-/// How long a server that could not be reached counts as cold once it answers again.
+/// How long a server is treated as cold once the backoff after a connection failure
+/// ends.
 ///
-/// It may have started anew, and the store may say so later than the server
-/// takes requests, or not at all while it is away.
+/// The server may have restarted. The store may report that only after the server
+/// accepts requests, or not at all during the outage.
 const COLD_AFTER_OUTAGE: Duration = Duration::from_secs(3);
-/// How long a server that is no longer cold takes to meet most of the prompts
-/// that it is the first for. Prompts come again within seconds.
+/// How long a server that is no longer cold takes to receive most of the prompts for
+/// which it ranks first. Prompts recur within seconds.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
-/// How fast the excess of the time to the first byte is forgotten, as a half-life.
+/// Half-life of the measured lag, the time to first byte in excess of the expected one.
 const LAG_HALF_LIFE: Duration = Duration::from_secs(2);
-/// The weight of one sample, as a divisor.
+/// The weight of a new lag sample is one divided by this number.
 const LAG_SAMPLE_DIVISOR: u64 = 3;
 
-/// One backend server and this router's work there.
+/// A backend server and this router's requests there.
 #[derive(Debug)]
 pub struct Server {
     entry: roster::Entry,
@@ -81,13 +82,13 @@
     peer_load: u32,
     pending_prefill: Cost,
     own_prefixes: Warmth,
-    /// What it has read for other routers, by the hashes of the parts.
+    /// Prompt parts cached for peers' requests, by the hashes of their keys.
     peer_prefixes: Warmth,
     pacer: Pacer,
     connect_failures: u32,
     away_until: Instant,
     assumed_cold_until: Instant,
-    /// When it is taken to have read the prompts that it is the first for.
+    /// When the server is assumed to have cached the prompts for which it ranks first.
     settled_at: Instant,
     lag_us: u64,
     lag_at: Instant,
@@ -96,7 +97,7 @@
 }
 
 impl Server {
-    /// A server without work.
+    /// Creates a server without requests.
     pub fn new(entry: roster::Entry) -> Self {
         let settings = placement::Settings {
             chats_per_server: MAX_PREFIX_PARTS,
@@ -125,10 +126,10 @@
         }
     }
 
-    /// Takes over what the store says of it.
+    /// Applies a new entry of the store.
     pub fn update(&mut self, entry: &roster::Entry, is_leaving: bool) {
         if entry.born != self.entry.born || entry.address != self.entry.address {
-            // A new start knows nothing of before.
+            // A restarted server has lost its cache and all other state.
             *self = Self {
                 running: self.running,
                 pacer: self.pacer,
@@ -139,78 +140,79 @@
         self.is_leaving = is_leaving;
     }
 
-    /// Whether it gets nothing new: it drains, or its zone is out.
+    /// Whether the server must get no new requests because it is draining or its zone
+    /// is out of service.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Its name.
+    /// The name of the server.
     pub fn name(&self) -> &backend::Server {
         &self.entry.server
     }
 
-    /// The hash of its name.
+    /// The full hash of the server's name.
     pub fn name_hash(&self) -> u64 {
         self.name_hash
     }
 
-    /// What stands for its name between routers.
+    /// The short hash that identifies the server in messages between routers.
     pub fn hash(&self) -> u32 {
         Load::short_hash(self.name_hash)
     }
 
-    /// Its availability zone.
+    /// The availability zone of the server.
     pub fn zone(&self) -> &availability::Zone {
         &self.entry.zone
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.entry.address
     }
 
-    /// Tells its starts apart.
+    /// The incarnation of the server, which changes with each restart.
     pub fn born(&self) -> u64 {
         self.entry.born
     }
 
-    /// Requests of this router that are in flight.
+    /// Requests of this router in flight.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests of all routers that are in flight, as far as known.
+    /// Requests of all routers in flight; peers' counts may be stale.
     pub fn load(&self) -> u32 {
         self.running + self.peer_load
     }
 
-    /// Sets the requests of other routers.
+    /// Sets the number of requests that peers have in flight.
     pub fn set_peer_load(&mut self, load: u32) {
         self.peer_load = load;
     }
 
-    /// How this router's requests lately ended there.
+    /// Recent outcomes of this router's requests.
     pub fn outcomes(&self, now: Instant) -> OutcomeCounts {
         self.outcomes.counts(now)
     }
 
-    /// How the requests of all routers lately ended there, as far as known.
+    /// Recent outcomes of the requests of all routers, as far as reported.
     pub fn total_outcomes(&self, now: Instant) -> OutcomeCounts {
         self.outcomes(now) + self.peer_outcomes
     }
 
-    /// Sets how those of other routers ended.
+    /// Sets the recent outcomes of peers' requests.
     pub fn set_peer_outcomes(&mut self, outcomes: OutcomeCounts) {
         self.peer_outcomes = outcomes;
     }
 
-    /// How many requests it runs at once.
+    /// The number of requests that the server runs concurrently.
     pub fn slots(&self) -> u32 {
         self.entry.slots
     }
 
-    /// Whether a slot is free, besides those kept for others if `is_modest`.
-    /// Requests of other routers take slots only if `counts_others`.
+    /// Whether a slot is free, not counting the reserved ones if `leaves_reserve`.
+    /// Requests of peers occupy slots only if `counts_peers`.
     pub fn has_room(&self, leaves_reserve: bool, counts_peers: bool) -> bool {
         let used = if counts_peers {
             self.load()
@@ -225,45 +227,46 @@
         used + reserved < self.entry.slots
     }
 
-    /// Whether it is cold, or may have started anew.
+    /// Whether the server is cold or may have restarted unnoticed.
     pub fn is_cold(&self, now: Instant) -> bool {
         now < self.entry.cold_until.max(self.assumed_cold_until)
     }
 
-    /// Whether it has run for long enough to have read the prompts that it is the
-    /// first for.
+    /// Whether the server has run long enough to have cached the prompts for which it
+    /// ranks first.
     pub fn is_settled(&self, now: Instant) -> bool {
         now >= self.settled_at && !self.is_cold(now)
     }
 
-    /// Until then it counts as cold.
+    /// Treats the server as cold until `until`.
     pub fn assume_cold_until(&mut self, until: Instant) {
         self.assumed_cold_until = self.assumed_cold_until.max(until);
     }
 
-    /// Whether connections to it came about lately.
+    /// Whether the server is not in backoff after a connection failure.
     pub fn is_reachable(&self, now: Instant) -> bool {
         self.away_until <= now
     }
 
-    /// Whether this router's share lets a request through while it is cold.
+    /// Whether this router's slow-start share permits a request now.
     pub fn is_slow_start_ready(&self, now: Instant) -> bool {
         self.pacer.is_ready(now)
     }
 
-    /// When its share lets the next one through.
+    /// When this router's slow-start share permits the next request.
     pub fn slow_start_ready_at(&self) -> Instant {
         self.pacer.ready_at()
     }
 
-    /// Prompt tokens of requests that wait for their first byte.
+    /// Uncached prompt tokens of requests that have not received their first byte.
     pub fn pending_prefill(&self) -> Cost {
         self.pending_prefill
     }
 
-    /// Prompt tokens that it would have to read.
+    /// The number of prompt tokens that the server would have to prefill.
     ///
-    /// A part that is cached saves its reading only if all parts before it are cached too.
+    /// A cached part is usable only together with all parts before it, so these are
+    /// assumed to be cached too.
     pub fn uncached(&self, parts: &[Part], now: Instant) -> u64 {
         let last = parts.iter().rposition(|part| self.has_cached(part, now));
         let cached = last.map_or(0, |last| last + 1);
@@ -273,7 +276,8 @@
             .sum()
     }
 
-    /// How much longer it lately took to the first byte than its load explains.
+    /// The recent time to first byte in excess of what the load explains, in
+    /// microseconds.
     pub fn lag_us(&self, now: Instant) -> u64 {
         let age = now.since(self.lag_at).as_micros();
         let halvings = age / LAG_HALF_LIFE.as_micros();
@@ -290,12 +294,14 @@
         }
     }
 
-    /// The request's first byte has come, or never will.
+    /// Removes the prefill of a request that has received its first byte or has ended
+    /// without one.
     pub fn end_prefill(&mut self, uncached: Cost) {
         self.pending_prefill -= uncached;
     }
 
-    /// The first byte came after `waited`, where `expected` was explained by the prompt.
+    /// Records a time to first byte of `waited`, of which the prompt explains
+    /// `expected`.
     pub fn record_first_byte(&mut self, waited: Duration, expected: Duration, now: Instant) {
         let excess = waited.saturating_sub(expected).as_micros();
         let excess = u64::try_from(excess).unwrap_or(u64::MAX);
@@ -304,27 +310,27 @@
         self.lag_at = now;
     }
 
-    /// Whether it is known to have read a part, for any router.
+    /// Whether a part is known to be cached for a request of any router.
     pub fn has_cached(&self, part: &Part, now: Instant) -> bool {
         let hash = chat::Key(u64::from(prefixes::hash(part.key)));
         self.own_prefixes.cached(part.key, now).is_some()
             || self.peer_prefixes.cached(hash, now).is_some()
     }
 
-    /// It has read a part for another router.
+    /// Records a prefix that the server has cached for a peer's request.
     pub fn record_peer_prefix(&mut self, prefix: CachedPrefix, now: Instant) {
         let hash = chat::Key(u64::from(prefix.part));
         self.peer_prefixes.served(hash, prefix.tokens, now);
     }
 
-    /// The parts of a prompt that it has read by now.
+    /// Records that the server has cached these parts of a prompt.
     pub fn record_cached(&mut self, parts: &[Part], now: Instant) {
         for part in parts {
             self.own_prefixes.served(part.key, part.tokens, now);
         }
     }
 
-    /// One of this router's requests has ended.
+    /// Records the end of one of this router's requests.
     pub fn ended(&mut self, outcome: Outcome, now: Instant) {
         self.running = self.running.saturating_sub(1);
         match outcome {
@@ -341,8 +347,7 @@
     }
 
     fn connect_failed(&mut self, now: Instant) {
-        // Requests that were sent side by side fail side by side, which says no
-        // more than one of them.
+        // Concurrent requests fail together; they count as one failure.
         if now < self.away_until {
             return;
         }
@@ -354,7 +359,7 @@
     }
 }
 
-/// When a server that is cold until then, or not at all, has settled.
+/// When a server settles that is cold until `cold_until`; zero if it was not cold.
 fn settled_at(cold_until: Instant) -> Instant {
     if cold_until == Instant::ZERO {
         return Instant::ZERO;
@@ -362,7 +367,7 @@
     cold_until + SETTLE_TIME
 }
 
-/// How many parts of prompts are remembered for one server; 200 bytes each.
+/// The number of prompt parts recorded for each server, at 200 bytes each.
 const MAX_PREFIX_PARTS: usize = 512;
-/// How long a part counts as cached after its last use.
+/// How long a part is assumed to stay cached after its last use.
 const CACHED_FOR: Duration = Duration::from_secs(600);
--- a/crates/gateway/src/pool/zone.rs
+++ b/crates/gateway/src/pool/zone.rs
@@ -1,4 +1,4 @@
-//! Availability zones whose servers cannot be reached from here.
+//! Detection of unreachable availability zones.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,32 +6,34 @@
 
 use super::{Outcome, Server, connect::ConnectTimes};
 
-/// How many servers of a zone have to be out of reach, one after the other, until
-/// the zone is. With fewer, two of them that died would do.
+/// Consecutive connection failures, each at a server that was not in backoff, after
+/// which a zone is treated as unreachable. With two, a pair of crashed servers would be
+/// enough.
 const MIN_FAILURES: u32 = 3;
-/// How long a zone that cannot be reached gets nothing; doubled with each time.
+/// The backoff for an unreachable zone; doubled each time.
 const BASE_AWAY: Duration = Duration::from_millis(800);
-/// The longest such time: about as long as a single server's.
+/// Upper limit of the backoff, equal to that of a single server.
 const MAX_AWAY: Duration = Duration::from_millis(3200);
-/// How long one request may take to find out whether it can be reached again:
-/// longer than any connection attempt.
+/// How long a single request probes an unreachable zone before the next probe; longer
+/// than any connect timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Record {
     failures: u32,
-    /// How often it was left alone since it was last reached.
+    /// Number of backoffs since the zone was last reached.
     ejections: u32,
     away_until: Instant,
-    /// Whether a request is on its way to find out, and others wait for it.
+    /// Whether a request is probing the zone while others avoid it.
     is_probing: bool,
 }
 
-/// What this router has seen of the ways to other zones.
+/// Reachability of the zones as observed by this router.
 ///
-/// When a zone is cut off in silence, connections to its servers hang until they
-/// are given up. Learned server by server, nearly every request would wait that
-/// long, since there are more servers than requests in a second.
+/// When a zone is partitioned without resets, connections to its servers hang until
+/// they time out. If that were detected for each server separately, nearly every
+/// request would wait for a timeout, since there are more servers than requests per
+/// second.
 #[derive(Clone, Debug, Default)]
 pub struct ZoneTracker {
     records: BTreeMap<availability::Zone, Record>,
@@ -39,7 +41,7 @@
 }
 
 impl ZoneTracker {
-    /// A request at `server` has ended.
+    /// Records the outcome of a request at `server`.
     pub fn record_outcome(&mut self, server: &Server, outcome: Outcome, now: Instant) {
         let (zone, name) = (server.zone(), server.name());
         match outcome {
@@ -48,7 +50,9 @@
                 logging::event!(info, "zone_away", zone = zone, last = name);
             }
             Outcome::Completed | Outcome::Failed | Outcome::Full => self.record_response(server),
-            // What a server does, or its caller, says nothing of the way there.
+            // Either the failure does not change the state of the zone, or the server
+            // or the caller caused the outcome, which then says nothing about the
+            // network path.
             Outcome::Refused
             | Outcome::Unreachable
             | Outcome::Broken
@@ -57,7 +61,7 @@
         }
     }
 
-    /// A connection to a server of the zone came about.
+    /// Records how long it took to connect to a server of the zone.
     pub fn record_connect_time(&mut self, zone: &availability::Zone, time: Duration) {
         self.connect_times
             .entry(zone.clone())
@@ -65,7 +69,7 @@
             .record(time);
     }
 
-    /// A connection to a server of the zone was given up at its limit.
+    /// Records that connecting to a server of the zone timed out.
     pub fn record_connect_timeout(
         &mut self,
         zone: &availability::Zone,
@@ -76,13 +80,13 @@
         connect_times.record_timeout(begun_at, now);
     }
 
-    /// How long a connection to a server of the zone may take.
+    /// The connect timeout for servers of the zone.
     pub fn connect_timeout(&self, zone: &availability::Zone) -> Duration {
         let connect_times = self.connect_times.get(zone).copied();
         connect_times.unwrap_or_default().timeout()
     }
 
-    /// A server has answered.
+    /// Records that a server has responded.
     pub fn record_response(&mut self, server: &Server) {
         let (zone, name) = (server.zone(), server.name());
         if self.record_reached(zone) {
@@ -90,15 +94,14 @@
         }
     }
 
-    /// A server of the zone could be reached. Returns whether the zone had been
-    /// left alone.
+    /// Marks the zone as reachable. Returns whether it was in backoff.
     fn record_reached(&mut self, zone: &availability::Zone) -> bool {
         let record = self.records.remove(zone);
         record.is_some_and(|record| record.ejections > 0)
     }
 
-    /// A server of the zone that counted as reachable could not be reached.
-    /// Returns whether the zone is left alone from now on.
+    /// Records a connection failure at a server that was not in backoff. Returns
+    /// whether the zone enters backoff.
     fn record_failure(&mut self, zone: &availability::Zone, now: Instant) -> bool {
         let record = self.records.entry(zone.clone()).or_default();
         record.failures += 1;
@@ -113,8 +116,9 @@
         true
     }
 
-    /// A request goes to the zone. If that was left alone, others wait for what
-    /// becomes of it: one after the other they would all hang.
+    /// Records that a request is sent to the zone. If the zone's backoff has just
+    /// ended, the request is a probe, and other requests avoid the zone until its
+    /// outcome is known; otherwise they would all hang.
     pub fn record_choice(&mut self, zone: &availability::Zone, now: Instant) {
         let Some(record) = self.records.get_mut(zone) else {
             return;
@@ -125,19 +129,19 @@
         }
     }
 
-    /// Whether what the zone's servers hold is not known: it gets nothing, or did
-    /// so until a moment ago and was not reached since.
+    /// Whether the load of the zone's servers is unknown: the zone is in backoff, or
+    /// the backoff ended less than a probe ago and the zone has not been reached since.
     pub fn is_unknown(&self, zone: &availability::Zone, now: Instant) -> bool {
         let record = self.records.get(zone);
         record.is_some_and(|record| record.ejections > 0 && now < record.away_until + PROBE_TIMEOUT)
     }
 
-    /// Whether the zone gets nothing at present.
+    /// Whether the zone is in backoff.
     pub fn is_away(&self, zone: &availability::Zone, now: Instant) -> bool {
         now < self.away_until(zone)
     }
 
-    /// Until when the zone gets nothing.
+    /// When the backoff of the zone ends.
     pub fn away_until(&self, zone: &availability::Zone) -> Instant {
         let record = self.records.get(zone);
         record.map_or(Instant::ZERO, |record| record.away_until)
--- a/crates/gateway/src/prefixes.rs
+++ b/crates/gateway/src/prefixes.rs
@@ -1,4 +1,5 @@
-//! Prompts that servers have read, as routers tell each other of them.
+//! Updates of the prefix index: prompt prefixes that servers have cached, as exchanged
+//! between routers.
 
 use std::{cmp::Reverse, time::Duration};
 
@@ -7,38 +8,39 @@
 
 use crate::pool::Part;
 
-/// How long a read is news: a round and a half, so that it is told twice at
-/// most and a lost datagram hides few.
+/// How long an update is sent: one and a half gossip rounds, so that it is sent at most
+/// twice and the loss of one datagram hides few updates.
 const GOSSIP_FOR: Duration = Duration::from_millis(300);
-/// The most reads that one datagram tells of as news, where its loads leave room for
-/// them; each takes up to twelve bytes.
+/// The most updates in one datagram, if its loads leave room for them; each takes up to
+/// twelve bytes.
 const MAX_UPDATES: usize = 64;
-/// How long a read that was told is known, so that it is not passed on once for
-/// each router that tells of it.
+/// How long an update is remembered, so that it is not forwarded once for each router
+/// that sends it.
 const DEDUP_FOR: Duration = Duration::from_secs(2);
-/// The most reads that are kept: what a second's datagrams tell of.
+/// The most updates that are remembered: as many as arrive within a second.
 const MAX_RECORDS: usize = 320;
-/// Shorter runs are read anew in about the time that copying them takes.
+/// Shorter parts are not worth an update: computing them takes about as long as copying
+/// them.
 const MIN_TOKENS: u64 = 200;
 
-/// A server has read a part of a prompt, and all parts before it.
+/// A server has cached a part of a prompt and all parts before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CachedPrefix {
-    /// A hash of the server's name.
+    /// The hash of the server's name.
     pub server: u32,
-    /// A hash of the part's key.
+    /// The hash of the part's key.
     pub part: u32,
     /// The length of the part, in tokens.
     pub tokens: u32,
 }
 
-/// The hash that stands for a part between routers.
+/// The hash that identifies a prompt part in messages between routers.
 pub fn hash(key: chat::Key) -> u32 {
     (key.0 >> 32) as u32
 }
 
-/// The last part of a prompt that other requests share; the one after it belongs
-/// to the request or its chat alone.
+/// The last part of a prompt that other requests share; the part after it is specific
+/// to the request or its chat.
 pub fn shared_part(parts: &[Part]) -> Option<&Part> {
     let last = parts.len().checked_sub(2)?;
     parts.get(last)
@@ -47,25 +49,26 @@
 #[derive(Clone, Copy, Debug)]
 struct Record {
     prefix: CachedPrefix,
-    /// Until when it is told.
+    /// The end of the period in which the update is sent.
     send_until: Instant,
-    /// Until when it is no news if another router tells of it.
+    /// The end of the period in which the same update from another router is ignored.
     dedup_until: Instant,
 }
 
-/// The reads that a router tells others of.
+/// The updates of the prefix index that a router sends to others.
 ///
-/// Where a prompt lies follows from its order of servers only while these stay
-/// the same. Once servers are replaced or a zone was out, routers that know
-/// only of their own requests have the prompt read anew at a server that lacks
-/// it, although another holds it, and its callers wait meanwhile.
+/// The ranking of servers locates a cached prompt only as long as the set of servers is
+/// unchanged. After servers were replaced or a zone was out of service, a router that
+/// knows only its own requests would send a prompt to a server that must compute it,
+/// although another server has it cached, and its callers would wait meanwhile.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixUpdates {
     records: Vec<Record>,
 }
 
 impl PrefixUpdates {
-    /// The server with this hash has read a part that it was not known to have.
+    /// Records that the server with this hash has cached a part that was not known to
+    /// be cached there.
     pub fn record(&mut self, server: u32, part: &Part, now: Instant) {
         if part.length() < MIN_TOKENS {
             return;
@@ -78,7 +81,7 @@
         self.forward(&[prefix], now);
     }
 
-    /// These reads are told from now on, but for those that were told just now.
+    /// Schedules these updates for sending, except those that were scheduled recently.
     pub fn forward(&mut self, prefixes: &[CachedPrefix], now: Instant) {
         self.records.retain(|record| now < record.dedup_until);
         for &prefix in prefixes {
@@ -95,7 +98,8 @@
         self.records.drain(..surplus);
     }
 
-    /// What is news at `now`, the longest parts if there is much.
+    /// The updates to send at `now`; if there are too many, those with the longest
+    /// parts.
     pub fn updates(&self, now: Instant) -> Vec<CachedPrefix> {
         let updates = self.records.iter().filter(|record| now < record.send_until);
         let mut prefixes: Vec<CachedPrefix> = updates.map(|record| record.prefix).collect();
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -1,4 +1,5 @@
-//! Requests that wait for a server of one service, in fair order.
+//! The queue of requests that wait for a server of one service, served fairly across
+//! workspaces.
 
 use std::{collections::HashMap, time::Duration};
 
@@ -7,68 +8,70 @@
 
 use crate::pool::{self, Demand, Denial, Fleet, Outcome, Place, Pool};
 
-/// The most requests that wait at one router for one service.
+/// The most requests that one router queues for one service.
 ///
-/// At a hundred requests a second this is over two seconds of work, longer
-/// than most callers wait for a first byte.
+/// At a hundred requests per second this is more than two seconds of work, longer than
+/// most callers wait for a first byte.
 const MAX_QUEUED: usize = 256;
-/// How many workspaces are looked at for one that fits when a place comes free.
+/// How many workspaces are considered when a slot becomes free.
 const MAX_HEADS: usize = 16;
-/// The time over which it is measured how fast requests get places.
+/// The window over which the rate of placements is measured.
 const RATE_WINDOW: Duration = Duration::from_secs(1);
-/// The least time after which a refused caller may come back: a short answer takes as long.
+/// The shortest time after which a refused caller may retry: about the duration of a
+/// short response.
 const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// The longest such time: what fills all servers lasts seconds.
+/// The longest such time: overloads of all servers last for seconds.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
-/// How much later each step of lower urgency is served among the requests of a workspace.
+/// The delay added per rank below the most urgent, in the order among requests of one
+/// workspace.
 const RANK_STEP: Duration = Duration::from_millis(200);
 
-/// One request that wants a server.
+/// A request for a slot at a server.
 #[derive(Clone, Debug)]
 pub struct QueueRequest {
-    /// Names it among those that wait.
+    /// Identifies the request in the queue.
     pub attempt: request::Attempt,
-    /// Who is charged for it.
+    /// The workspace to which the request is charged.
     pub workspace: workspace::Id,
-    /// The work that it means.
+    /// The estimated work of the request.
     pub cost: Cost,
-    /// How urgent it is; zero is the most urgent.
+    /// The urgency of the request; zero is the most urgent.
     pub rank: u8,
-    /// When it is too late to start it.
+    /// The latest instant at which the request may start.
     pub latest_start: Instant,
-    /// What placement needs to know.
+    /// The properties of the request that placement depends on.
     pub demand: Demand,
 }
 
-/// Why a request gets no place, and when its caller may come back.
+/// A refused request: the reason, and when its caller may retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Refusal {
-    /// What was in the way.
+    /// Why no server could take the request.
     pub denial: Denial,
-    /// When to come back.
+    /// When the caller may retry.
     pub retry_at: Instant,
 }
 
-/// What became of a request that asked.
+/// The result of submitting a request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
-    /// It goes there now.
+    /// The request is sent to a server now.
     Placed(Place),
-    /// It waits; [`ServiceQueue::dequeue`] tells what becomes of it.
+    /// The request is queued; [`ServiceQueue::dequeue`] returns its result.
     Queued,
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
-/// What became of a request that waited.
+/// The result of a queued request.
 pub type Dequeued = (request::Attempt, Result<Place, Refusal>);
 
-/// The servers of one service and the requests that wait for them.
+/// The servers of one service and the queue of requests for them.
 ///
-/// While servers have room a request does not wait. When they are full, the
-/// workspace that has had least is served next, and one that has more than its
-/// share leaves some slots free: otherwise one workspace's surge would make all
-/// others wait for each of their requests.
+/// As long as servers have free slots, requests are not queued. When all are full, the
+/// workspace that has been served least is next. A workspace that exceeds its share
+/// leaves some slots free; otherwise a surge of one workspace would delay every request
+/// of all others.
 #[derive(Debug)]
 pub struct ServiceQueue {
     pool: Pool,
@@ -78,12 +81,12 @@
     waiting: HashMap<request::Attempt, QueueRequest>,
     rate: PlacementRate,
     slow_start_at: Option<Instant>,
-    /// Refused to make room, and not told yet.
+    /// Results of requests that were displaced from a full queue and not yet returned.
     displaced: Vec<Dequeued>,
 }
 
 impl ServiceQueue {
-    /// A line without requests in front of `pool`.
+    /// Creates an empty queue for the servers of `pool`.
     pub fn new(pool: Pool) -> Self {
         Self {
             pool,
@@ -102,22 +105,23 @@
         &self.pool
     }
 
-    /// The servers, to be changed. [`ServiceQueue::dequeue`] has to follow.
+    /// Mutable access to the servers. [`ServiceQueue::dequeue`] must be called after
+    /// changes.
     pub fn pool_mut(&mut self) -> &mut Pool {
         &mut self.pool
     }
 
-    /// How many requests wait.
+    /// The number of queued requests.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Whether none waits, and none is to be told that it waits no more.
+    /// Whether no request is queued and no result is waiting to be returned.
     pub fn is_empty(&self) -> bool {
         self.waiting.is_empty() && self.displaced.is_empty()
     }
 
-    /// Asks for a place.
+    /// Submits a request: places it, queues it or refuses it.
     pub fn submit(&mut self, request: QueueRequest, fleet: &Fleet, now: Instant) -> Admission {
         self.shares.expire(now);
         self.shares.seen(&request.workspace, 1, &self.settings, now);
@@ -136,10 +140,10 @@
         Admission::Queued
     }
 
-    /// Places a request at once, if none of its workspace waits.
+    /// Places a request immediately unless its workspace has queued requests.
     ///
-    /// What waits of other workspaces had no place when the last one came free,
-    /// so a place that is there now is one that is kept from them.
+    /// Queued requests of other workspaces could not use the last slot that became
+    /// free. A slot that is free now is therefore reserved from them.
     fn try_place(
         &mut self,
         request: &QueueRequest,
@@ -172,7 +176,7 @@
         Ok(place)
     }
 
-    /// Whether the request would wait longer than it can.
+    /// Whether the request would wait beyond its latest start.
     fn would_miss_deadline(&self, request: &QueueRequest, now: Instant) -> bool {
         if now >= request.latest_start {
             return true;
@@ -180,8 +184,9 @@
         now + self.expected_wait(request, now) > request.latest_start
     }
 
-    /// Makes room for one more to wait. The workspace that has most gives way;
-    /// if that is the request's own, there is no room.
+    /// Makes room for one more request in the queue by displacing one of the workspace
+    /// with the most queued requests. Returns false if that is the request's own
+    /// workspace.
     fn make_room(&mut self, request: &QueueRequest, now: Instant) -> bool {
         if self.queue.len() < MAX_QUEUED {
             return true;
@@ -194,7 +199,7 @@
         true
     }
 
-    /// How long the request would wait, by how fast others lately got places.
+    /// The expected wait of the request, by the recent rate of placements.
     fn expected_wait(&self, request: &QueueRequest, now: Instant) -> Duration {
         let ahead = self.queue.ahead(&request.workspace, priority(request.rank));
         self.rate.time_to_place(ahead, now)
@@ -217,8 +222,8 @@
         self.waiting.insert(request.attempt, request);
     }
 
-    /// Gives places that came free to those that wait, and refuses those whose
-    /// time is up.
+    /// Places queued requests at servers with free slots, and refuses those that have
+    /// reached their latest start.
     pub fn dequeue(&mut self, fleet: &Fleet, now: Instant) -> Vec<Dequeued> {
         let mut dequeued = std::mem::take(&mut self.displaced);
         self.slow_start_at = None;
@@ -262,13 +267,13 @@
         Some((attempt, Err(self.refusal(denial, &request, now))))
     }
 
-    /// Takes a request out whose caller has left.
+    /// Removes a request whose caller has disconnected.
     pub fn cancel(&mut self, attempt: request::Attempt) {
         self.queue.remove(attempt);
         self.waiting.remove(&attempt);
     }
 
-    /// A request has left its server.
+    /// Records that a request at a server has ended.
     pub fn ended(
         &mut self,
         server: &backend::Server,
@@ -280,7 +285,7 @@
         self.pool.ended(server, outcome, now)
     }
 
-    /// When [`ServiceQueue::dequeue`] has something to do by itself.
+    /// When [`ServiceQueue::dequeue`] must be called even if nothing else happens.
     pub fn next_wake(&self) -> Option<Instant> {
         if !self.displaced.is_empty() {
             return Some(Instant::ZERO);
@@ -298,10 +303,11 @@
         }
     }
 
-    /// A refusal with the time by which the present line will be served, or a
-    /// zone that cannot be reached is tried again.
+    /// A refusal with the time by which the queue will have been served, or by which an
+    /// unreachable zone is probed again.
     ///
-    /// It is spread by half, so that those refused together do not return together.
+    /// Up to half of that time is added, depending on the attempt, so that callers
+    /// refused together do not retry together.
     fn refusal(&self, denial: Denial, request: &QueueRequest, now: Instant) -> Refusal {
         let wait = match denial {
             Denial::ZonesUnreachable(at) => at.since(now),
@@ -316,7 +322,8 @@
     }
 }
 
-/// The three priorities of the queue: the most urgent ranks, the next, all others.
+/// Maps ranks to the three priorities of the queue: the most urgent rank, the next, and
+/// all others.
 fn priority(rank: u8) -> request::Priority {
     match rank {
         0 => request::Priority::Interactive,
@@ -325,12 +332,12 @@
     }
 }
 
-/// How fast requests get places.
+/// The rate at which requests are placed, by their cost.
 #[derive(Clone, Copy, Debug, Default)]
 struct PlacementRate {
     window_ends: Instant,
     cost: Cost,
-    /// The cost of the last full window.
+    /// The cost placed in the last full window.
     previous_cost: Cost,
 }
 
@@ -345,7 +352,7 @@
         self.cost += cost;
     }
 
-    /// The time in which work of `cost` gets places.
+    /// The time in which work of `cost` is placed at the current rate.
     fn time_to_place(&self, cost: Cost, now: Instant) -> Duration {
         let is_current = now < self.window_ends + RATE_WINDOW;
         let rate = if is_current {
@@ -354,7 +361,7 @@
             0
         };
         if rate == 0 {
-            // Nothing is known, so nothing speaks against waiting.
+            // Without a measured rate there is no reason to refuse the request.
             return Duration::ZERO;
         }
         RATE_WINDOW.mul_f64(cost.0 as f64 / rate as f64)
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -1,33 +1,33 @@
-//! This router's share of the repeats that a service may get.
+//! Retry budget: this router's share of the retries that a service may receive.
 
 use std::time::Duration;
 
 use units::time::Instant;
 
-/// What the fleet may repeat at one service.
+/// The retries that all routers together may send to one service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Allowance {
-    /// Repeats for each first arrival.
+    /// Retries per first attempt.
     pub ratio: f64,
-    /// Repeats in one window without any first arrival, over all routers.
+    /// Additional retries per window, over all routers, independent of first attempts.
     pub burst: f64,
-    /// The length of a window, in seconds.
+    /// The length of the window, in seconds.
     pub window_s: u64,
 }
 
-/// How much of the ratio is used.
+/// The fraction of the ratio that is used.
 ///
-/// A first arrival counts for the window in which it happened and its repeat
-/// may fall into the next one, so not all of the ratio can be spent.
+/// A first attempt counts in the window in which it was sent, but its retry may fall
+/// into the next window, so the ratio cannot be used in full.
 const RATIO_USED: f64 = 0.8;
-/// How much of the burst all shares together use: a router that was restarted
-/// begins with a full share, and some are counted late.
+/// The fraction of the burst that the shares of all routers use together: a restarted
+/// router begins with a full share, and some retries are counted late.
 const BURST_USED: f64 = 0.5;
 
-/// A bucket of repeats for one service.
+/// A token bucket for the retries to one service.
 ///
-/// The ratio part fills with this router's own first arrivals and so adds up
-/// over the fleet by itself. The burst is divided by the number of routers.
+/// Each first attempt of this router adds the ratio to the bucket, so that part adds up
+/// over the fleet without coordination. The burst is divided by the number of routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudget {
     allowance: Allowance,
@@ -36,7 +36,7 @@
 }
 
 impl RetryBudget {
-    /// A bucket that holds this router's share of the burst.
+    /// Creates a bucket that holds this router's share of the burst.
     pub fn new(allowance: Allowance, members: usize, now: Instant) -> Self {
         Self {
             allowance,
@@ -45,14 +45,14 @@
         }
     }
 
-    /// A request was sent for the first time.
+    /// Records a first attempt.
     pub fn deposit(&mut self, members: usize) {
         let max_tokens = burst(self.allowance, members).max(1.0);
         let earned = self.allowance.ratio * RATIO_USED;
         self.tokens = (self.tokens + earned).min(max_tokens.max(self.tokens));
     }
 
-    /// Takes one repeat, if there is one left.
+    /// Takes the token for one retry. Returns false if there is none.
     pub fn withdraw(&mut self, members: usize, now: Instant) -> bool {
         self.refill(members, now);
         if self.tokens < 1.0 {
@@ -62,14 +62,15 @@
         true
     }
 
-    /// The burst comes back over a window.
+    /// Refills the share of the burst over time.
     fn refill(&mut self, members: usize, now: Instant) {
         let max_tokens = burst(self.allowance, members);
         let window = Duration::from_secs(self.allowance.window_s.max(1));
         let share = now.since(self.filled_at).as_secs_f64() / window.as_secs_f64();
         self.filled_at = now;
         if self.tokens < max_tokens {
-            // Half of the burst a window: a window may begin with a full bucket.
+            // Only half of the burst per window, since a window may begin with a full
+            // bucket.
             self.tokens = (self.tokens + share * max_tokens * 0.5).min(max_tokens);
         }
     }
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -1,4 +1,5 @@
-//! Routes, keys, services and limits of the configuration in force.
+//! The routing table: routes, API keys, services and limits of the current
+//! configuration.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -8,58 +9,59 @@
 use smallvec::SmallVec;
 use units::{pool, time::Millis, workspace};
 
-/// What may be repeated of a request.
+/// Whether and how a request may be retried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Kind {
-    /// It may run any number of times.
+    /// The request may run any number of times.
     Idempotent,
-    /// It may run once.
+    /// The request may run at most once.
     Once,
-    /// It may run once, and its answer is a series of events.
+    /// The request may run at most once, and its response is an event stream.
     Stream,
-    /// A stream that another server can continue after its last event.
+    /// The response is an event stream that another server can resume after the last
+    /// event.
     Resumable,
 }
 
 impl Kind {
-    /// Whether another server may run the request after one may have run it.
+    /// Whether the request may be sent to another server after it may have run on one.
     pub const fn is_idempotent(self) -> bool {
         matches!(self, Self::Idempotent | Self::Resumable)
     }
 }
 
-/// A service that takes a share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Split {
     /// The service.
     pub pool: pool::Id,
-    /// Its share, relative to the other splits of the route.
+    /// The weight relative to the other splits of the route.
     pub weight: u32,
 }
 
-/// What the configuration says of one route.
+/// The configuration of a route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Route {
-    /// Its name, for logs.
+    /// The name used in logs.
     pub name: String,
-    /// What may be repeated.
+    /// Whether and how requests may be retried.
     pub kind: Kind,
-    /// The longest time until the final answer.
+    /// The timeout for the complete response.
     pub timeout: Millis,
-    /// The time to the first byte that callers hope for.
+    /// The target for the time to first byte.
     pub target: Millis,
-    /// How urgent its requests are; zero is the most urgent.
+    /// The urgency of the requests; zero is the most urgent.
     pub rank: u8,
-    /// The services that run its requests.
+    /// The services that receive the requests.
     pub splits: SmallVec<[Split; 2]>,
-    /// How many servers one request may be sent to.
+    /// The most servers to which one request may be sent.
     pub max_attempts: u32,
-    /// Whether callers need no key.
+    /// Whether callers need no API key.
     pub is_anonymous: bool,
 }
 
 impl Route {
-    /// The service for a request with the hash `hash`, by the weights of the splits.
+    /// Chooses the service of a request by its hash, according to the weights.
     pub fn pool(&self, hash: u64) -> Option<&pool::Id> {
         let total: u64 = self
             .splits
@@ -81,34 +83,35 @@
     }
 }
 
-/// A workspace as the holder of a key.
+/// The workspace that owns an API key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeyOwner {
     /// The workspace.
     pub workspace: workspace::Id,
-    /// How urgent its requests are, if it goes before the route's rank.
+    /// The urgency of the workspace's requests, if it overrides the route's rank.
     pub rank: Option<u8>,
 }
 
-/// What the configuration says of one service.
+/// The configuration of a service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Requests a second that one cold server bears; zero where servers start warm.
+    /// Requests per second that one cold server can handle; zero if servers need no
+    /// slow start.
     pub cold_per_s: f64,
-    /// Prompt tokens that a server's cache holds; zero for a plain service.
+    /// Prompt tokens that fit in a server's cache; zero for a plain service.
     pub cache_tokens: u64,
 }
 
-/// What callers may send, and how long they may take.
+/// Limits on requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// The largest head, in bytes.
+    /// The maximum size of a request head, in bytes.
     pub head_bytes: usize,
-    /// The largest body, in bytes.
+    /// The maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// How long a caller may take to send a head.
+    /// The timeout for receiving a request head.
     pub head_timeout: Millis,
-    /// How long a caller's connection may be idle.
+    /// The idle timeout of a caller's connection.
     pub idle_timeout: Millis,
 }
 
@@ -123,37 +126,37 @@
     }
 }
 
-/// The routes of one host name, by prefix.
+/// The routes of one host, by path prefix.
 type Prefixes = HashMap<String, Arc<Route>>;
 
-/// One version of the configuration, ready for look-ups.
+/// A version of the configuration, indexed for look-ups.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
-    /// The version that operators gave it.
+    /// The version assigned by operators.
     pub version: u64,
     hosts: HashMap<String, Prefixes>,
     keys: HashMap<String, Arc<KeyOwner>>,
     /// The services, by name.
     pub services: BTreeMap<pool::Id, Service>,
-    /// What callers may send.
+    /// The limits for callers.
     pub limits: Limits,
-    /// Whether routes that are not anonymous need a key.
+    /// Whether routes that are not anonymous require an API key.
     pub needs_key: bool,
 }
 
 impl Table {
-    /// Adds a route at `prefix` of `host`; the prefix begins and ends with a slash.
+    /// Adds a route for `prefix` on `host`; the prefix must begin and end with a slash.
     pub fn add_route(&mut self, host: &str, prefix: &str, route: Route) {
         let prefixes = self.hosts.entry(host.to_ascii_lowercase()).or_default();
         prefixes.insert(String::from(prefix), Arc::new(route));
     }
 
-    /// Adds a key and its holder.
+    /// Adds an API key and its owner.
     pub fn add_key(&mut self, key: &str, key_owner: Arc<KeyOwner>) {
         self.keys.insert(String::from(key), key_owner);
     }
 
-    /// The route with the longest prefix that begins `path`.
+    /// Finds the route with the longest prefix of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let prefixes = self.hosts.get(&host.to_ascii_lowercase())?;
         let mut end = path.len();
@@ -166,7 +169,7 @@
         None
     }
 
-    /// The holder of a key.
+    /// The owner of an API key.
     pub fn holder(&self, key: &str) -> Option<&Arc<KeyOwner>> {
         self.keys.get(key)
     }
--- a/crates/gateway/src/slow_start.rs
+++ b/crates/gateway/src/slow_start.rs
@@ -1,46 +1,48 @@
-//! This router's share of the requests that a cold server bears.
+//! Slow start: limits the rate of requests that each router sends to a cold server.
 
 use std::time::Duration;
 
 use units::{backend, host, time::Instant};
 use xxhash_rust::xxh3;
 
-/// A server's bound while it is cold.
+/// The limit on the request rate of a cold server, over all routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RateLimit {
-    /// Requests a second that the server bears.
+    /// The sustained rate, in requests per second.
     pub rate: f64,
-    /// The most requests in any one second, over all routers.
+    /// The most requests in any interval of one second.
     pub max_per_s: f64,
 }
 
-/// How much of the most requests in a second all shares together may use.
+/// The fraction of the per-second maximum that the shares of all routers may use
+/// together.
 ///
-/// The rest covers routers that started and that the others don't know of yet:
-/// with two of three known, shares for these add up to half again the plan.
+/// The rest covers routers that have started and are not yet known to the others: if
+/// only two of three routers are known, the shares add up to one and a half times the
+/// planned rate.
 const LIMIT_USED: f64 = 0.65;
 
-/// The share of one router.
+/// The share of one router in the limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Share {
-    /// The least time between two requests.
+    /// The minimum interval between two requests.
     interval_us: u64,
 }
 
 impl Share {
-    /// The time between two requests of this router.
+    /// The minimum interval between two requests of this router.
     pub const fn interval(self) -> Duration {
         Duration::from_micros(self.interval_us)
     }
 }
 
-/// How many routers may send to one cold server, and how often each.
+/// The number of routers that may send to one cold server, and the share of each.
 ///
-/// `None` when the bound leaves no room for even one router.
+/// `None` if the limit does not permit even one router to send.
 fn plan(limit: RateLimit, members: usize) -> Option<(usize, Share)> {
     let max_per_s = limit.max_per_s * LIMIT_USED;
     for senders in (1..=members).rev() {
-        // In one second a router with gap g sends at most ceil(1 / g) requests.
+        // In one second a router with interval i sends at most ceil(1 / i) requests.
         let each = (limit.rate / senders as f64).max(1.0).ceil();
         if senders as f64 * each <= max_per_s.max(1.0) {
             let interval = (1.0 / each).max(senders as f64 / limit.rate.max(1.0));
@@ -51,12 +53,12 @@
     None
 }
 
-/// The share of `own` in what `server` bears, among `members`.
+/// The share of router `own` in the limit of `server`, among the routers `members`.
 ///
-/// A large fleet would send too much even if each router sent one request a
-/// second. So only as many routers send as fit the bound, those with the
-/// lowest hash with the server. A router that is not among the members, since
-/// it has not registered yet, has no share.
+/// In a large fleet, even one request per second from each router would exceed the
+/// limit. So only as many routers send as the limit permits: those with the lowest
+/// hashes combined with the server. A router that is not among the members because it
+/// has not registered yet has no share.
 pub fn share(
     limit: RateLimit,
     own: &host::Id,
@@ -76,7 +78,7 @@
     (ranked_before.count() < senders).then_some(share)
 }
 
-/// Spaces this router's requests to one cold server.
+/// Paces the requests of this router to one cold server.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Pacer {
     next_at: Instant,
@@ -93,7 +95,7 @@
         self.next_at
     }
 
-    /// Notes that a request is sent.
+    /// Records that a request is sent.
     pub fn record(&mut self, share: Share, now: Instant) {
         self.next_at = now + share.interval();
     }
