--- a/crates/gateway/tests/decisions/connect.rs
+++ b/crates/gateway/tests/decisions/connect.rs
@@ -1,4 +1,4 @@
-//! How long connections to servers may take.
+//! Adaptive connect timeouts.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     Duration::from_millis(count)
 }
 
-/// Times of connections that took `time` each.
+/// Connect times after `count` connections that took `time` each.
 fn measured(time: Duration, count: usize) -> ConnectTimes {
     let mut times = ConnectTimes::default();
     for _ in 0..count {
@@ -21,24 +21,23 @@
     times
 }
 
-/// A zone is cut off in silence. A caller who wants an answer within 100 ms gets
-/// it from the next server only if the connection that hangs is given up well
-/// before.
+/// A zone is partitioned. A caller that needs a response within 100 ms gets it from the
+/// next server only if the hanging connection times out well before.
 #[parameterized(same_zone = { 1 }, across_zones = { 4 }, distant_zones = { 13 })]
 fn a_connect_timeout_leaves_time_for_another_attempt(latency_ms: u64) {
     assert!(measured(ms(latency_ms), 20).timeout() <= ms(60));
 }
 
-/// Nothing is known of a way yet. Given up too early, connections over a long one
-/// would never come about, and its servers count as dead.
+/// Nothing has been measured for the path yet. With a short timeout, connections over a
+/// slow path would always fail, and its servers would be treated as unreachable.
 #[test]
 fn an_unmeasured_zone_gets_the_maximum_timeout() {
     assert_eq!(ConnectTimes::default().timeout(), ms(300));
 }
 
-/// The way to a zone becomes longer than the limit that fitted it before. Every
-/// connection would be given up, none would be measured, and the zone stays
-/// unused for good.
+/// The latency to a zone rises above the timeout that was derived before. If the
+/// timeout stayed, every connection would fail, none would be measured, and the zone
+/// would never be used again.
 #[parameterized(doubled = { 120 }, much_higher = { 250 })]
 fn the_timeout_adapts_to_higher_latency(latency_ms: u64) {
     let mut times = measured(ms(3), 20);
@@ -58,8 +57,8 @@
     assert!(times.timeout() >= ms(latency_ms), "{:?}", times.timeout());
 }
 
-/// Ten requests hang side by side at a zone that was cut off. Taken for ten
-/// reasons to wait longer, they would make each later try late again.
+/// Ten concurrent connections hang at a partitioned zone. If each raised the timeout,
+/// later attempts would be slow again.
 #[test]
 fn concurrent_timeouts_count_once() {
     let mut times = measured(ms(3), 20);
@@ -70,9 +69,9 @@
     assert!(times.timeout() <= ms(120), "{:?}", times.timeout());
 }
 
-/// A router runs out of its share of the processor for a tenth of a second now
-/// and then, and its connections take that much longer. Given up, they would make
-/// sound servers count as out of reach.
+/// A router is throttled by its CPU quota for a tenth of a second now and then, and its
+/// connections take that much longer. Timing out, they would make healthy servers look
+/// unreachable.
 #[test]
 fn jitter_raises_the_timeout() {
     let mut times = measured(ms(3), 20);
@@ -83,8 +82,8 @@
     assert!(times.timeout() >= ms(110), "{:?}", times.timeout());
 }
 
-/// Zones lie at different distances. The limit of the nearest must not hold for
-/// the farthest.
+/// Zones differ in latency. The timeout for the nearest one must not apply to the
+/// farthest.
 #[test]
 fn each_zone_has_its_own_timeout() {
     let mut pool = pool(&[entry("near", "a"), entry("far", "b")]);
@@ -98,7 +97,7 @@
     let other = ["near", "far"].map(crate::world::server);
     let other = other.into_iter().find(|name| *name != server);
     for _ in 0..20 {
-        pool.record_connect_time(&other.clone().expect("the other"), ms(3));
+        pool.record_connect_time(&other.clone().expect("the other server"), ms(3));
     }
     assert_eq!(timeout(&mut pool), (server.clone(), ms(300)));
     for _ in 0..20 {
@@ -107,8 +106,7 @@
     assert_eq!(timeout(&mut pool), (server, ms(50)));
 }
 
-/// After a while in which connections were given up the first one that comes
-/// about counts as before.
+/// After a series of timeouts, the first successful connection resets the timeout.
 #[test]
 fn a_successful_connection_resets_the_backoff() {
     let mut times = measured(ms(3), 20);
--- a/crates/gateway/tests/decisions/copies.rs
+++ b/crates/gateway/tests/decisions/copies.rs
@@ -1,4 +1,4 @@
-//! Where prompts are copied from.
+//! Selection of the server from which a prompt is copied.
 
 use std::time::Duration;
 
@@ -6,8 +6,8 @@
 
 use crate::world::{START, admit, by_score, pool, run, twelve_servers};
 
-/// A server is replaced, and its prompts go to others that would read them
-/// anew, while the one that has read them still runs for a few seconds.
+/// A server is being replaced, and its prompts go to servers that would compute them
+/// again, although the old server still runs for a few seconds.
 #[test]
 fn a_prompt_is_copied_from_a_draining_server() {
     let mut entries = twelve_servers();
@@ -23,10 +23,10 @@
     assert_eq!(place.source, Some(former_first.address));
 }
 
-/// A new server becomes the first of a prompt that other routers sent to the one
-/// that was first before. This router has never sent it anywhere, but knows a
-/// server with a part that many prompts share. Copied from that one, all the
-/// rest would be read anew, and its callers wait for it.
+/// A new server ranks first for a prompt that other routers sent to the former first
+/// server. This router has never sent the prompt, but knows a server with a part that
+/// many prompts share. Copied from that one, the rest would be computed again while
+/// callers wait.
 #[test]
 fn the_former_first_server_is_preferred_to_one_with_a_partial_prefix() {
     let first = run(&mut pool(&twelve_servers()), 7, 0, START).server;
@@ -53,9 +53,9 @@
     assert_eq!(place.source, Some(former_first.address));
 }
 
-/// A server that has just started is the first of a prompt, and has no room. Copied
-/// from that one, which has read nothing yet, the prompt would be read anew,
-/// though the one that was first before still has it.
+/// A server that has just started ranks first for a prompt and is full. It has nothing
+/// cached yet; copied from there, the prompt would be computed again, although the
+/// former first server still has it.
 #[test]
 fn a_prompt_is_not_copied_from_a_newly_started_server() {
     let ranked = by_score(1_007, &twelve_servers());
@@ -74,9 +74,9 @@
     assert_eq!(place.source, before.map(|entry| entry.address));
 }
 
-/// A server leaves that other routers sent a prompt to. This one does not know
-/// of that, but the server was the prompt's first, so it is the likeliest to
-/// have read it.
+/// A server is leaving to which other routers sent a prompt. This router does not know
+/// that, but the server ranks first for the prompt, so it is the most likely one to
+/// have it cached.
 #[test]
 fn a_prompt_is_copied_from_its_draining_first_server() {
     let mut entries = twelve_servers();
@@ -88,7 +88,7 @@
     assert_eq!(place.source, Some(former_first.address));
 }
 
-/// A copy of a few tokens takes longer than reading them.
+/// Copying a few tokens takes longer than computing them.
 #[test]
 fn a_cached_prompt_is_not_copied() {
     let mut pool = pool(&twelve_servers());
@@ -98,9 +98,8 @@
     assert_eq!(second.source, None);
 }
 
-/// A zone is cut off in silence. A server that is told to copy a prompt from
-/// there waits a third of a second until it reads the prompt itself, and so do
-/// its callers.
+/// A zone is partitioned. A server that is to copy a prompt from there waits a third of
+/// a second before it computes the prompt itself, and so do its callers.
 #[test]
 fn a_prompt_is_not_copied_from_an_unreachable_zone() {
     let mut pool = pool(&twelve_servers());
@@ -123,5 +122,5 @@
             );
         }
     }
-    assert!(copied >= 30, "{copied} were copied from other zones");
+    assert!(copied >= 30, "only {copied} prompts were copied");
 }
--- a/crates/gateway/tests/decisions/crashes.rs
+++ b/crates/gateway/tests/decisions/crashes.rs
@@ -1,4 +1,4 @@
-//! Requests that crash servers.
+//! Detection of requests that crash servers.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 const CRASHING: Fingerprint = Fingerprint(7);
 const HARMLESS: Fingerprint = Fingerprint(8);
 
-/// One request crashes a server each second, from `START` on.
+/// Crashes `count` servers with the request, one per second from `START` on.
 fn crash(tracker: &mut CrashTracker, fingerprint: Fingerprint, count: u64) -> Instant {
     let mut now = START;
     for index in 0..count {
@@ -24,9 +24,9 @@
     now
 }
 
-/// A request crashes each server that runs it, and its caller sends it again and
-/// again. Without a count it takes down one server after the other, and with
-/// each all callers that it had.
+/// A request crashes every server that runs it, and its caller retries it repeatedly.
+/// Without a strike count it would take down one server after the other and break all
+/// requests in flight there.
 #[test]
 fn a_request_that_crashed_three_servers_is_refused() {
     let mut tracker = CrashTracker::default();
@@ -37,7 +37,7 @@
     assert!(!tracker.is_refused(HARMLESS, now));
 }
 
-/// Connections are reset while their servers live.
+/// Connections may be reset although the server keeps running.
 #[test]
 fn a_reset_connection_is_not_a_crash() {
     let mut tracker = CrashTracker::default();
@@ -48,7 +48,7 @@
     }
 }
 
-/// A server dies long after a connection to it broke.
+/// The server crashes long after the connection broke.
 #[test]
 fn an_old_connection_failure_does_not_count() {
     let mut tracker = CrashTracker::default();
@@ -59,7 +59,7 @@
     );
 }
 
-/// The innocent one ran beside it once, and runs to its end elsewhere.
+/// A harmless request was in flight during crashes and then completes elsewhere.
 #[test]
 fn a_request_that_completes_is_cleared() {
     let mut tracker = CrashTracker::default();
@@ -69,8 +69,8 @@
     assert!(!tracker.is_refused(HARMLESS, now));
 }
 
-/// The caller sends it to another router each time, so that no router sees more
-/// than one death.
+/// The caller sends the request to a different router each time, so no router sees more
+/// than one crash.
 #[test]
 fn strikes_of_all_routers_add_up() {
     let mut trackers = [
@@ -85,7 +85,7 @@
         now = now + Duration::from_millis(200);
         trackers[index].record_death(&name, 1, now);
         let strikes = trackers[index].strikes_to_send(now);
-        assert_eq!(strikes.len(), index + 1, "earlier ones are passed on");
+        assert_eq!(strikes.len(), index + 1, "earlier strikes are forwarded");
         for tracker in &mut trackers {
             tracker.merge(&strikes, now);
         }
--- a/crates/gateway/tests/decisions/events.rs
+++ b/crates/gateway/tests/decisions/events.rs
@@ -1,4 +1,4 @@
-//! Whole events of streams.
+//! Splitting of event streams into complete events.
 
 use gateway::relay::Splitter;
 use yare::parameterized;
@@ -17,8 +17,8 @@
     (forwarded, splitter)
 }
 
-/// A server stops in the middle of an event, and the stream goes on at another
-/// one. A caller that got the first half would read two halves as one event.
+/// A server stops in the middle of an event, and the stream is resumed at another
+/// server. A caller that received the first half would read two halves as one event.
 #[parameterized(
     in_one_piece = { &["id: 1\ndata: x\n\nid: 2\nda"] },
     split_within_the_delimiter = { &["id: 1\ndata: x\n", "\nid: 2\nda"] },
--- a/crates/gateway/tests/decisions/main.rs
+++ b/crates/gateway/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! What a router decides, without a network.
+//! Tests of a router's decisions, without a network.
 
 mod aggregation;
 mod configurations;
--- a/crates/gateway/tests/decisions/outlier.rs
+++ b/crates/gateway/tests/decisions/outlier.rs
@@ -1,4 +1,4 @@
-//! Servers that fail by what all routers saw.
+//! Outlier detection across routers.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
     pool(&entries)
 }
 
-/// So many whole requests, in the unit in which routers tell of them.
+/// Counts of whole requests, in the units exchanged between routers.
 fn outcomes(failed: u16, completed: u16) -> OutcomeCounts {
     OutcomeCounts {
         failed: failed * 16,
@@ -38,9 +38,9 @@
         .collect()
 }
 
-/// A server says that it is well and fails every request. Eighty routers send
-/// it one request each in some seconds, and each takes the failure for a single
-/// one: for as long as it fails, a twelfth of all callers get nothing.
+/// A server passes its health checks and fails every request. Each of eighty routers
+/// sends it one request in several seconds and sees an isolated failure. Without shared
+/// counts, a twelfth of all callers would get no response as long as the fault lasts.
 #[test]
 fn a_server_that_fails_for_peers_is_ejected() {
     let mut pool = twelve_servers();
@@ -57,9 +57,9 @@
     }
 }
 
-/// A server crashes. Each router finds out by itself that its host refuses
-/// connections, so that for seconds nearly each request in a fleet of hundreds
-/// meets servers that are gone.
+/// A server crashes. If each router had to find out for itself that the host refuses
+/// connections, nearly every request in a fleet of hundreds of routers would be sent to
+/// crashed servers for seconds.
 #[test]
 fn refused_connections_count_as_failures() {
     let refused = |_| {
@@ -79,8 +79,8 @@
     assert_eq!(failing, ["s5"]);
 }
 
-/// A zone is cut off. Counted as failures, connections that hang would keep its
-/// servers out for seconds after the way is back.
+/// During a network partition, connections hang. Counted as failures, they would keep
+/// the servers ejected for seconds after the partition ends.
 #[test]
 fn connection_timeouts_do_not_count_as_failures() {
     let mut pool = twelve_servers();
@@ -89,8 +89,8 @@
     assert!(server.outcomes(START).is_empty());
 }
 
-/// What is too little to say anything of a server, or is no fault of its own.
-/// Left alone for it, it would leave its work to others that are no better.
+/// These failures are too few to be significant, or they affect all servers. Ejecting
+/// the server would shift its load to others that are no better.
 #[parameterized(
     single_failure = { outcomes(1, 0), outcomes(0, 10) },
     two_failures = { outcomes(2, 1), outcomes(0, 10) },
@@ -103,7 +103,7 @@
     assert_eq!(failing, Vec::<String>::new());
 }
 
-/// The own failures and those that others told of count together.
+/// A router's own failures and those reported by peers are added.
 #[test]
 fn own_and_peer_failures_add_up() {
     let mut pool = twelve_servers();
@@ -120,8 +120,8 @@
     assert_eq!(failing, [place.server.as_str()]);
 }
 
-/// A server failed for a moment, and everyone goes on to tell of it. If old
-/// failures counted like new ones, it would be left alone for minutes.
+/// A server failed briefly, and routers continue to report it. Without decay, old
+/// failures would keep it ejected for minutes.
 #[test]
 fn failure_counts_decay() {
     let mut tracker = OutcomeTracker::default();
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request.
+//! Placement of requests on servers.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,9 +17,9 @@
     twelve_servers,
 };
 
-/// Requests that share a prompt come one after the other through two routers
-/// that know nothing of each other. If each chose by its own load, the prompt
-/// would be read on several servers, and callers would wait for each reading.
+/// Requests with a common prompt arrive through two routers that do not know of each
+/// other's requests. If each router chose by its own load, the prompt would be computed
+/// on several servers, and its callers would wait each time.
 #[test]
 fn routers_choose_the_same_server_for_a_prompt() {
     let mut first_router = pool(&twelve_servers());
@@ -31,9 +31,9 @@
     }
 }
 
-/// The first server of a prompt has no room, and its requests come through
-/// routers of different zones. If each took a server near by, each of those would
-/// read the prompt, and all their other callers wait meanwhile.
+/// The first server of a prompt is full, and its requests arrive through routers in
+/// different zones. If each router chose a nearby server, every one of these servers
+/// would compute the prompt, and its other callers would wait meanwhile.
 #[test]
 fn routers_choose_the_same_fallback_server_for_a_prompt() {
     let first_servers =
@@ -48,8 +48,8 @@
     }
 }
 
-/// Routers of different versions that rank servers differently would read each
-/// prompt on two servers.
+/// During a rolling upgrade, routers of different versions run together. If they ranked
+/// servers differently, each prompt would be computed on two servers.
 #[test]
 fn servers_are_chosen_in_score_order() {
     let entries: Vec<_> = (0..40)
@@ -67,7 +67,7 @@
     }
 }
 
-/// Prompts must not all go to one server either.
+/// Guards against placing all prompts on one server.
 #[test]
 fn prompts_are_spread_over_the_servers() {
     let mut pool = pool(&twelve_servers());
@@ -81,8 +81,9 @@
     assert!(counts.values().all(|&count| count <= 45), "{counts:?}");
 }
 
-/// A prompt that many callers send at once would fill its server while the
-/// others idle. Its callers would get their tokens ever more slowly.
+/// Many callers send the same prompt at once. Without the load bound they would fill
+/// its server while the others are idle, and all would receive their tokens more and
+/// more slowly.
 #[test]
 fn a_hot_prompt_stays_within_the_load_bound() {
     let mut pool = pool(&twelve_servers());
@@ -95,9 +96,9 @@
     assert!(most <= bounds().load_multiple * mean + 3.0, "{loads:?}");
 }
 
-/// A zone is taken out, and its servers idle. The rest carries its load, and
-/// the mean over all servers of the service falls below what each of the others
-/// holds: one of these is over the bound sooner than their own mean says.
+/// A zone is taken out of service, and its servers are idle. They lower the mean load
+/// over all servers, so the active ones reach the bound earlier than their own mean
+/// suggests.
 #[test]
 fn draining_servers_count_in_the_mean_load() {
     let mut entries = twelve_servers();
@@ -117,10 +118,9 @@
     }
 }
 
-/// Most servers are out, and the few that are left hold all that the service
-/// has. They are used evenly, and no further than the bound on the mean of all:
-/// beyond it their callers would get their tokens ever more slowly, while those
-/// who ask now are told at once when to come back.
+/// Most servers are out of service, and a few carry all requests. Beyond the bound,
+/// which follows the mean of all servers, callers would receive their tokens more and
+/// more slowly; instead, further requests are refused immediately with a retry time.
 #[test]
 fn remaining_servers_are_loaded_evenly_within_the_bound() {
     let mut entries = twelve_servers();
@@ -139,9 +139,9 @@
     assert!(most - least <= 2.0, "{loads:?}");
 }
 
-/// Several routers choose the same server in the same moment, as each sees
-/// only its own few requests there. Its load passes the bound, though every
-/// router kept to it.
+/// Several routers choose the same server at the same time, since each sees only its
+/// own few requests there. The load would exceed the bound although each router kept to
+/// it.
 #[test]
 fn peer_load_counts_against_the_bound() {
     let mut pool = pool(&twelve_servers());
@@ -152,8 +152,8 @@
     assert_ne!(place.server, first_server);
 }
 
-/// A server that leaves, or whose zone is out, still has its cache, but a
-/// request sent there would be cut when it goes.
+/// A server that is leaving, or whose zone is out of service, still has its cache. A
+/// new request sent there would be cut off when the server stops.
 #[test]
 fn a_draining_server_gets_no_new_requests() {
     let mut entries = twelve_servers();
@@ -169,9 +169,9 @@
     }
 }
 
-/// A server that died refuses connections until its entry is gone, which takes
-/// seconds. Each request that tries it first loses a round trip, or a third of
-/// a second if the server is silent.
+/// A crashed server refuses connections until its entry in the store expires, which
+/// takes seconds. Each request that tries it first loses a round trip, or a third of a
+/// second if connections hang.
 #[test]
 fn an_unreachable_server_is_skipped_temporarily() {
     let mut pool = pool(&twelve_servers());
@@ -182,8 +182,9 @@
     assert_ne!(place.server, first_server);
 }
 
-/// A server that came back after a crash holds nothing and bears little. The
-/// store may say so late, so what could not be reached counts as cold.
+/// A server that returns after a crash has an empty cache and can handle few requests.
+/// The store may report the restart late, so a server is treated as cold after
+/// connection failures.
 #[test]
 fn a_server_is_cold_after_an_outage() {
     let mut pool = pool(&twelve_servers());
@@ -195,9 +196,8 @@
     assert!(returned_server.is_cold(later));
 }
 
-/// A server starts again under its old name. What was remembered of its cache
-/// is wrong from then on, and its callers would wait for a reading that nobody
-/// expected.
+/// A server restarts under the same name. The record of its cache is wrong from then
+/// on, and callers sent there for it would wait for an unexpected prefill.
 #[test]
 fn a_restarted_server_has_an_empty_cache() {
     let mut entries = twelve_servers();
@@ -215,22 +215,22 @@
     assert_eq!(uncached, 11_500);
 }
 
-/// All servers of a service fail at once, such as when a zone is cut off. What
-/// failed lately is still better than a refusal.
+/// All servers of a service become unreachable at once, for example during a network
+/// partition. Trying one of them is better than refusing the request.
 #[test]
 fn unreachable_servers_are_used_as_a_last_resort() {
     let mut pool = pool(&twelve_servers()[..1]);
     for own in 0..10 {
-        // Such a server counts as cold, so that requests come one by one.
+        // The server is treated as cold, so requests are spaced out.
         let now = START + Duration::from_millis(600 * own);
         let place = admit(&mut pool, 7, own, now).expect("a place");
         pool.ended(&place.server, Outcome::Unreachable, now);
     }
 }
 
-/// Eighty-five routers share a plain service whose requests take 30 ms. What they
-/// tell each other of their requests is older than that, so every server looks
-/// full, and callers wait for slots that are free.
+/// Eighty-five routers share a plain service whose requests take 30 ms. The loads they
+/// report to each other are older than that, so every server looks full, and requests
+/// would queue although slots are free.
 #[test]
 fn stale_peer_load_does_not_block_a_plain_service() {
     let mut entries = twelve_servers();
@@ -246,8 +246,8 @@
     assert!(pool.admit(&Demand::default(), &fleet(), START).is_ok());
 }
 
-/// A server that answers slowly for a while, though its load is small, would
-/// keep its prompts and make all their callers late.
+/// A server responds slowly for a while although its load is low. It would keep its
+/// prompts and delay all their callers.
 #[test]
 fn a_slow_server_is_avoided_until_its_lag_decays() {
     let mut pool = pool(&twelve_servers());
@@ -268,9 +268,9 @@
     );
 }
 
-/// The machine stands still for seconds, and meanwhile a server starts anew.
-/// The router wakes with a socket full of requests and knows nothing of it. Sent
-/// at once, they make the server fall over, and all its callers get nothing.
+/// The machine pauses for seconds, and a server restarts meanwhile. The router resumes
+/// with many buffered requests and without knowing of the restart. Sent all at once,
+/// they would overload the cold server and fail.
 #[test]
 fn servers_are_treated_as_cold_after_a_process_pause() {
     let mut pause_watch = pause::Watch::default();
@@ -282,16 +282,16 @@
     assert!(pause > Duration::from_secs(3));
     pool.assume_cold_until(resumed_at + Duration::from_millis(600));
     let placed = (0..200).filter(|&own| admit(&mut pool, own, own, resumed_at).is_ok());
-    assert_eq!(placed.count(), 12, "one at each server");
+    assert_eq!(placed.count(), 12, "one request per server");
     let later_at = resumed_at + Duration::from_millis(700);
     assert_eq!(pause_watch.look(later_at), None);
     let placed = (0..60).filter(|&own| admit(&mut pool, own, own, later_at).is_ok());
     assert_eq!(placed.count(), 60);
 }
 
-/// A zone is cut off in silence, and each connection to one of its servers takes a
-/// third of a second to fail. If every server had to be met for that, nearly all
-/// callers would wait as long, for as long as the zone is away.
+/// A zone is partitioned, and each connection to one of its servers takes a third of a
+/// second to time out. If every server had to fail first, nearly all callers would wait
+/// that long for the whole duration of the partition.
 #[test]
 fn an_unreachable_zone_is_skipped() {
     let mut pool = pool(&twelve_servers());
@@ -310,12 +310,12 @@
     }
     assert!(
         (3..=9).contains(&timeouts),
-        "{timeouts} of 200 in two seconds"
+        "{timeouts} of 200 requests timed out"
     );
 }
 
-/// Two servers of a zone have died, and the others are well. Were the zone left
-/// alone for it, its prompts would be read anew in other zones.
+/// Two servers of a zone have crashed, and the others are healthy. If the whole zone
+/// were avoided, its prompts would be computed again in other zones.
 #[test]
 fn a_zone_with_two_failed_servers_stays_in_use() {
     let mut pool = pool(&twelve_servers());
@@ -339,10 +339,10 @@
     assert!(places.into_iter().any(|name| name == server("s8")));
 }
 
-/// A zone is cut off from the two others, and its callers can only be served
-/// there. What the servers elsewhere hold is not known any more; counted as
-/// nothing, it made the bound on load so small that callers waited for seconds
-/// beside servers with free slots.
+/// A zone is cut off from the two others, and only its own servers can handle its
+/// requests. The load of the other servers is unknown. Counting it as zero lowered the
+/// load bound so far that callers waited for seconds while local servers had free
+/// slots.
 #[parameterized(
     by_timeout = { Outcome::Unreachable },
     by_refused_connections = { Outcome::Refused },
@@ -364,15 +364,18 @@
             pool.ended(&place.server, partition_outcome, now);
         }
     }
-    assert!(placed >= 150, "{placed} of 200 were placed");
+    assert!(placed >= 150, "{placed} of 200 requests were placed");
     let most = loads.values().max().copied().unwrap_or_default();
     let bound = 2.0 * f64::from(placed) / 4.0 + 3.0;
-    assert!(f64::from(most) <= bound, "{most} on one, {bound} allowed");
+    assert!(
+        f64::from(most) <= bound,
+        "a server has {most} requests, the bound is {bound}"
+    );
 }
 
-/// A zone stays cut off in silence for ten seconds. It is tried again now and
-/// then, and each try takes a third of a second to fail. Were all requests that
-/// come meanwhile to try it too, a crowd of callers would wait at each time.
+/// A zone stays partitioned for ten seconds. It is probed from time to time, and each
+/// probe takes a third of a second to fail. If all requests that arrive meanwhile were
+/// sent there too, many callers would wait at each probe.
 #[test]
 fn one_request_at_a_time_probes_a_zone() {
     let mut pool = pool(&twelve_servers());
@@ -391,12 +394,16 @@
             pool.ended(&place.server, Outcome::Completed, now);
         }
     }
-    // Some ten until it is known, and one at each later time: 15. It was 24.
-    assert!(probes <= 20, "{probes} of 1,000 tried it");
+    // About ten until the partition is detected and one per later probe, 15 in total.
+    // It was 24 without the limit to one probe at a time.
+    assert!(
+        probes <= 20,
+        "{probes} of 1,000 requests were sent to the zone"
+    );
 }
 
-/// The zone can be reached again, and the answer that shows it is a long one.
-/// Until its end the zone would be left alone.
+/// The zone is reachable again, and the response that shows it takes long to complete.
+/// If only its end counted, the zone would be avoided until then.
 #[test]
 fn a_zone_is_used_after_the_first_response_byte() {
     let mut pool = pool(&twelve_servers());
@@ -420,8 +427,8 @@
     assert!(in_zone.count() >= 5);
 }
 
-/// A zone that has no server of a service is cut off. Each of its callers would be
-/// kept for as long as four connections hang, and then be refused.
+/// A zone without servers of a service is cut off from the other zones. Each of its
+/// callers would wait for four connect timeouts before being refused.
 #[test]
 fn a_request_without_a_reachable_zone_is_refused_immediately() {
     let entries = [entry("s1", "b"), entry("s2", "b"), entry("s3", "b")];
@@ -430,11 +437,11 @@
         pool.ended(&server(name), Outcome::Unreachable, START);
     }
     let Err(Denial::ZonesUnreachable(at)) = admit(&mut pool, 7, 0, START) else {
-        panic!("not refused");
+        panic!("the request was not refused");
     };
     assert!(START < at && at <= START + Duration::from_secs(1), "{at:?}");
     let place = admit(&mut pool, 7, 1, at);
-    assert!(place.is_ok(), "the zone is tried again: {place:?}");
+    assert!(place.is_ok(), "the zone was not probed: {place:?}");
     let others = admit(&mut pool, 7, 2, at);
     assert!(
         matches!(others, Err(Denial::ZonesUnreachable(_))),
--- a/crates/gateway/tests/decisions/prefixes.rs
+++ b/crates/gateway/tests/decisions/prefixes.rs
@@ -1,4 +1,4 @@
-//! What routers know of prompts that servers have read for others.
+//! Exchange of cached prefixes between routers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -30,7 +30,8 @@
     place.expect("a place")
 }
 
-/// What the pool's router has to tell once the request's first byte has come.
+/// Places a request, and returns the updates its router would send after the first
+/// byte.
 fn run(pool: &mut Pool, topic: u64, own: u64) -> (Place, Vec<CachedPrefix>) {
     let place = admit(pool, topic, own);
     let parts = demand(topic, own).parts;
@@ -45,9 +46,9 @@
     (place, updates.updates(START))
 }
 
-/// The first server of a prompt is replaced. A router that saw the prompt go to
-/// the second one meanwhile goes on there; one that did not sends it to the new
-/// first one, which reads all of it anew while its caller waits.
+/// The first server of a prompt is replaced. A router that saw the prompt sent to the
+/// second server meanwhile continues there. A router that did not would send it to the
+/// new first server, which computes all of it while the caller waits.
 #[test]
 fn a_prompt_goes_to_the_server_that_cached_it_for_a_peer() {
     let first_server = run(&mut pool(&engines()), 7, 0).0.server;
@@ -59,9 +60,9 @@
     assert_eq!(admit(&mut other_router, 7, 2).server, second.server);
 }
 
-/// The first two servers of a prompt come back anew, and the one that has read it
-/// meanwhile has no room. Copied from one that is merely likely to have read it,
-/// it would be read anew in full.
+/// The first two servers of a prompt restart, and the server that has cached it
+/// meanwhile is full. Copied from a server that is only likely to have it, the prompt
+/// would have to be computed in full.
 #[test]
 fn a_prompt_is_copied_from_the_server_that_cached_it_for_a_peer() {
     let mut rest = engines();
@@ -78,8 +79,8 @@
     assert_eq!(place.source, Some(third.address));
 }
 
-/// A server starts anew under its name and address. Its cache is empty, and a
-/// prompt that is sent there since it once was read there is read anew.
+/// A server restarts with the same name and address. Its cache is empty, and a prompt
+/// sent there because of an earlier update would be computed again.
 #[test]
 fn a_restarted_server_has_no_cached_prefixes() {
     let mut entries = engines();
@@ -102,8 +103,8 @@
     }
 }
 
-/// Two hundred prompts are read within a moment. Told of whichever came first,
-/// others would read the long ones anew.
+/// Two hundred prompts are cached within a moment. If updates were sent in order of
+/// arrival, other routers would compute the long prompts again.
 #[test]
 fn the_longest_prefixes_are_sent_first() {
     let mut updates = PrefixUpdates::default();
@@ -116,8 +117,8 @@
     assert!(sent.iter().any(|prefix| prefix.tokens == 1_199));
 }
 
-/// Each read is told by its router twice, and passed on by two routers of each
-/// zone. Were it news each time it is heard, it would go round without end.
+/// Each update is sent twice by its router and forwarded by two routers of each zone.
+/// If every copy were forwarded, it would circulate forever.
 #[test]
 fn an_update_is_forwarded_once() {
     let mut updates = PrefixUpdates::default();
@@ -135,8 +136,8 @@
     assert!((1..=2).contains(&rounds), "{rounds}");
 }
 
-/// Totals over many servers fill a datagram. What servers have read gives way,
-/// since a bound on load hangs on the rest.
+/// Total loads of many servers fill a datagram. Prefix updates are dropped from it
+/// first, since the load bound depends on the loads.
 #[test]
 fn loads_take_precedence_over_prefixes_in_a_datagram() {
     let loads = (0..105).map(|server| Load {
@@ -160,18 +161,20 @@
     };
     let frame = Frame::Total(total);
     assert!(frame.encode().is_err());
-    let Ok(Frame::Total(received)) = Frame::decode(&frame.encode_fitting().expect("it fits"))
+    let Ok(Frame::Total(received)) =
+        Frame::decode(&frame.encode_fitting().expect("the frame fits"))
     else {
-        panic!("another frame");
+        panic!("unexpected frame");
     };
     let gateway::load::Report::Full(loads) = received.loads else {
-        panic!("another report");
+        panic!("unexpected report");
     };
     assert_eq!(loads.len(), 105);
 }
 
-/// A fourth of the servers crash, and hundreds of prompts are read at others in a
-/// second. Told of a few, routers have the rest read at yet another server.
+/// A fourth of the servers crash, and hundreds of prompts are computed on other servers
+/// within a second. If only a few updates were sent, routers would have the rest
+/// computed on yet another server.
 #[test]
 fn a_datagram_is_filled_up_with_prefixes() {
     let mut updates = PrefixUpdates::default();
@@ -188,9 +191,11 @@
         reads: updates.updates(START),
         others: vec![u32::MAX; 6],
     };
-    let bytes = Frame::Total(total).encode_fitting().expect("it fits");
+    let bytes = Frame::Total(total)
+        .encode_fitting()
+        .expect("the frame fits");
     let Ok(Frame::Total(received)) = Frame::decode(&bytes) else {
-        panic!("another frame");
+        panic!("unexpected frame");
     };
     assert!(received.reads.len() >= 50, "{}", received.reads.len());
 }
@@ -199,14 +204,14 @@
     let unused_address = ([127, 0, 0, 1], 1).into();
     Settings {
         host: host("r0"),
-        zone: "a".parse().expect("a name"),
+        zone: "a".parse().expect("a valid name"),
         callers: unused_address,
         readiness: unused_address,
         peers: unused_address,
         introductions: unused_address,
         introducers: Vec::new(),
         metrics: unused_address,
-        anonymous: "anonymous".parse().expect("a name"),
+        anonymous: "anonymous".parse().expect("a valid name"),
         bounds: Bounds { ..bounds() },
         connections: 10,
         body_memory: 1 << 20,
@@ -214,7 +219,7 @@
     }
 }
 
-/// The task of one router that knows the engines, and what it is told.
+/// The dispatch task of one router that knows the engines, and its message channel.
 fn task() -> (Dispatch, mpsc::UnboundedReceiver<Message>) {
     let metrics = Arc::new(Metrics::default());
     let (mut task, _handle, messages) = Dispatch::new(Clock::start(), metrics, settings());
@@ -229,8 +234,8 @@
 
 fn acquire(task: &mut Dispatch) -> Permit {
     let request = AcquireRequest {
-        pool: "llm".parse().expect("a name"),
-        workspace: "w".parse().expect("a name"),
+        pool: "llm".parse().expect("a valid name"),
+        workspace: "w".parse().expect("a valid name"),
         cost: Cost(1),
         rank: 0,
         latest_start: Instant::NEVER,
@@ -240,11 +245,11 @@
     };
     let (reply, mut answer) = oneshot::channel();
     task.handle_message(Message::Acquire(request, reply));
-    let answer = answer.try_recv().expect("an answer at once");
+    let answer = answer.try_recv().expect("an immediate reply");
     answer.expect("a place")
 }
 
-/// What a router tells right after the first byte of a request.
+/// The prefix updates that a router sends right after the first byte of a request.
 fn sent_prefixes() -> Vec<CachedPrefix> {
     let (mut task, mut messages) = task();
     let mut permit = acquire(&mut task);
@@ -255,20 +260,20 @@
     }
     let (reply, mut answer) = oneshot::channel();
     task.handle_message(Message::PeerUpdate(reply));
-    answer.try_recv().expect("an answer at once").prefixes
+    answer.try_recv().expect("an immediate reply").prefixes
 }
 
-/// A server has read a prompt, and its router tells no one. All others learn it
-/// only by sending such requests there themselves.
+/// If a router did not send its prefix updates, the others would learn of a cached
+/// prompt only by sending such requests to the server themselves.
 #[test]
 fn a_prefix_update_is_sent_with_the_loads() {
-    // News is told for a moment only, and the machine may stand still for longer.
+    // An update is sent only for a moment, and the machine may pause for longer.
     let received = (0..10)
         .map(|_| sent_prefixes())
         .find(|received| !received.is_empty());
     let received = received.expect("news");
     let [prefix] = received.as_slice() else {
-        panic!("one read, not {received:?}");
+        panic!("expected one update, got {received:?}");
     };
     assert_eq!(prefix.tokens, 10_000);
 }
--- a/crates/gateway/tests/decisions/queue.rs
+++ b/crates/gateway/tests/decisions/queue.rs
@@ -1,4 +1,4 @@
-//! Requests that wait for a server.
+//! The queue of requests for one service.
 
 use std::{collections::BTreeSet, time::Duration};
 
@@ -32,7 +32,7 @@
     queue.submit(request, &fleet(), now)
 }
 
-/// Asks for places until the first request has to wait; returns how many got one.
+/// Submits requests until one is not placed; returns the number of those placed.
 fn fill(queue: &mut ServiceQueue, workspace_name: &str, now: Instant) -> u64 {
     (1..)
         .find(|&attempt| {
@@ -41,7 +41,7 @@
                 Admission::Placed(_)
             )
         })
-        .expect("it is full in the end")
+        .expect("the server becomes full")
         - 1
 }
 
@@ -53,7 +53,7 @@
         .expect("a server")
         .name()
         .clone();
-    // How the server stands does not matter here.
+    // The standing of the server does not matter here.
     let _ = queue.ended(&server, &workspace(workspace_name), Outcome::Completed, now);
     queue.dequeue(&fleet(), now)
 }
@@ -63,8 +63,8 @@
     placed.map(|(attempt, _)| attempt.0).collect()
 }
 
-/// Requests waited at limits while servers had room, and callers waited 600 ms
-/// for a first byte that was ready in 30.
+/// Requests were queued at limits although servers had free slots, and callers waited
+/// 600 ms for a first byte that was available in 30 ms.
 #[test]
 fn a_request_is_placed_while_slots_are_free() {
     let mut queue = queue();
@@ -84,8 +84,8 @@
     assert!(queue.is_empty());
 }
 
-/// One workspace sends ten times its usual. All slots are always taken, so each
-/// request of a quiet workspace would wait for one.
+/// One workspace sends ten times its usual load. If it could take all slots, each
+/// request of any other workspace would have to wait for one.
 #[test]
 fn a_surge_of_one_workspace_leaves_slots_for_others() {
     let mut queue = queue();
@@ -98,7 +98,7 @@
         if attempt % 2 == 0 {
             end(&mut queue, "loud", now);
         }
-        // Another workspace is active, so that the first one has a share to exceed.
+        // Keeps a second workspace active, so that the first one has a share to exceed.
         if attempt % 50 == 1 {
             let quiet = request(1_000 + attempt, "quiet", 60_000);
             assert!(
@@ -108,7 +108,7 @@
             end(&mut queue, "quiet", now);
         }
     }
-    assert!(!queue.is_empty(), "the surge waits");
+    assert!(!queue.is_empty(), "the surge is not queued");
     let mut quiet = request(2_000, "quiet", 5_000);
     quiet.latest_start = now + Duration::from_secs(1);
     assert!(matches!(
@@ -117,8 +117,8 @@
     ));
 }
 
-/// Two workspaces wait, one with many requests and one with a few. Served in
-/// the order of arrival, the few would wait behind all of the many.
+/// Two workspaces have queued requests, one many and one a few. In order of arrival,
+/// the few would wait behind all of the many.
 #[test]
 fn queued_workspaces_are_served_fairly() {
     let mut queue = queue();
@@ -137,8 +137,8 @@
     assert_eq!(quiet, 3, "{order:?}");
 }
 
-/// A request whose time is up before its turn comes is told so, and not kept
-/// until its caller has given up.
+/// A queued request reaches its latest start. It must be refused then and not be held
+/// until its caller gives up.
 #[test]
 fn a_queued_request_is_refused_at_its_deadline() {
     let mut queue = queue();
@@ -151,13 +151,14 @@
         .iter()
         .filter(|(attempt, _)| attempt.0 == 100)
         .collect();
-    let refusal = refused[0].1.clone().expect_err("it is refused");
+    let refusal = refused[0].1.clone().expect_err("the request is refused");
     assert_eq!(refusal.denial, Denial::Full);
     assert!(refusal.retry_at > later);
 }
 
-/// Places come free slowly, and so many wait that a request would be too late.
-/// It is refused at once, with the time by which those ahead are served.
+/// Slots become free slowly, and the queue is so long that a new request would miss its
+/// deadline. It is refused immediately, with the time by which the queue will have been
+/// served.
 #[test]
 fn a_request_that_would_miss_its_deadline_is_refused_immediately() {
     let mut queue = queue();
@@ -175,14 +176,14 @@
     let mut short_deadline = request(500, "team", 0);
     short_deadline.latest_start = now + Duration::from_secs(1);
     let Admission::Refused(refusal) = submit(&mut queue, short_deadline, now) else {
-        panic!("it must not wait");
+        panic!("the request was not refused");
     };
     let wait = refusal.retry_at.since(now);
     assert!(wait >= Duration::from_secs(1), "{wait:?}");
 }
 
-/// So many wait that there is no room for more. The workspace that has most of
-/// them gives way to one that has none.
+/// The queue is full. The workspace with the most queued requests gives up a place to
+/// one that has none.
 #[test]
 fn a_full_queue_displaces_a_request_of_the_largest_workspace() {
     let mut queue = queue();
@@ -210,8 +211,8 @@
     );
 }
 
-/// All that are refused together come back together, unless they are told
-/// different times.
+/// Callers that are refused together would return together if they got the same retry
+/// time.
 #[test]
 fn retry_times_are_spread() {
     let mut queue = queue();
@@ -221,7 +222,7 @@
         let mut expired = request(attempt * 3 + 1_000, "team", 0);
         expired.latest_start = START;
         let Admission::Refused(refusal) = submit(&mut queue, expired, START) else {
-            panic!("it is too late");
+            panic!("the request was not refused after its latest start");
         };
         retry_times.push(refusal.retry_at);
     }
@@ -230,8 +231,8 @@
     assert!(retry_times.len() > 32, "{}", retry_times.len());
 }
 
-/// All servers are starting, and this router's share of what they bear is used.
-/// The next request waits for its turn instead of being refused.
+/// All servers are cold, and this router has used its slow-start share. The next
+/// request is queued instead of refused.
 #[test]
 fn a_request_is_queued_during_slow_start() {
     let mut entry = entry("s0", "a");
@@ -245,12 +246,12 @@
         submit(&mut queue, request(2, "team", 5_000), START),
         Admission::Queued
     ));
-    let at = queue.next_wake().expect("a time");
+    let at = queue.next_wake().expect("a wake time");
     assert!(at < START + Duration::from_secs(1));
     assert_eq!(placed(&queue.dequeue(&fleet(), at)), [2]);
 }
 
-/// The last server leaves while requests wait for it.
+/// The last server is removed while requests are queued for it.
 #[test]
 fn queued_requests_are_refused_without_servers() {
     let mut queue = queue();
@@ -261,9 +262,9 @@
     assert!(queue.is_empty());
 }
 
-/// A zone without a server of a service is cut off, and its callers come on. Told to
-/// return before the way is tried again, they would be refused once more; told to
-/// return at one moment, they would come as one wave.
+/// A zone without servers of a service is cut off from the other zones, and requests
+/// keep arriving. Callers that retry before the next probe would be refused again; with
+/// equal retry times they would all return at once.
 #[test]
 fn retry_times_of_an_unreachable_zone_follow_its_next_probe() {
     let entries = ["s1", "s2", "s3"].map(|name| entry(name, "b"));
@@ -276,13 +277,17 @@
     for attempt in 0..200 {
         let admission = submit(&mut queue, request(attempt, "team", 800), START);
         let Admission::Refused(refusal) = admission else {
-            panic!("not refused: {admission:?}");
+            panic!("the request was not refused: {admission:?}");
         };
         let Denial::ZonesUnreachable(at) = refusal.denial else {
-            panic!("another denial: {refusal:?}");
+            panic!("unexpected denial: {refusal:?}");
         };
         assert!(refusal.retry_at >= at, "{refusal:?}");
         retry_times.insert(refusal.retry_at);
     }
-    assert!(retry_times.len() > 100, "{} moments", retry_times.len());
+    assert!(
+        retry_times.len() > 100,
+        "{} distinct retry times",
+        retry_times.len()
+    );
 }
--- a/crates/gateway/tests/decisions/retry_budget.rs
+++ b/crates/gateway/tests/decisions/retry_budget.rs
@@ -1,4 +1,4 @@
-//! Shares in the repeats that a service may get.
+//! Shares in the retry budget of a service.
 
 use std::time::Duration;
 
@@ -13,14 +13,14 @@
     window_s: 10,
 };
 
-/// Every server fails every request, and all routers repeat as much as they
-/// may. Without a bound over the fleet, the repeats keep the servers failing.
+/// Every server fails every request, and all routers retry as much as they may. Without
+/// a fleet-wide limit, the retries would keep the servers overloaded.
 #[parameterized(one = { 1 }, six = { 6 }, eighty_five = { 85 })]
 fn retries_of_all_routers_stay_within_the_allowance(routers: usize) {
     let mut budgets: Vec<_> = (0..routers)
         .map(|_| RetryBudget::new(ALLOWANCE, routers, START))
         .collect();
-    // Each second: first arrivals, and repeats of all of them.
+    // First attempts and retries, by second.
     let mut history: Vec<(u32, u32)> = Vec::new();
     for second in 0..40 {
         let now = START + Duration::from_secs(second);
@@ -38,7 +38,13 @@
         let first: u32 = window.iter().map(|(first, _)| first).sum();
         let retried: u32 = window.iter().map(|(_, retried)| retried).sum();
         let limit = ALLOWANCE.ratio * f64::from(first) + ALLOWANCE.burst;
-        assert!(f64::from(retried) <= limit, "{retried} of {limit}");
-        assert!(retried > first / 8, "{retried} of {first}");
+        assert!(
+            f64::from(retried) <= limit,
+            "{retried} retries, limit {limit}"
+        );
+        assert!(
+            retried > first / 8,
+            "only {retried} retries of {first} first attempts"
+        );
     }
 }
--- a/crates/gateway/tests/decisions/route.rs
+++ b/crates/gateway/tests/decisions/route.rs
@@ -1,4 +1,4 @@
-//! Look-ups of routes.
+//! Look-ups in the routing table.
 
 use gateway::route::{Kind, Route, Split, Table};
 use smallvec::smallvec;
@@ -7,7 +7,7 @@
 
 fn route(name: &str) -> Route {
     let split = |pool: &str, weight| Split {
-        pool: pool.parse().expect("a name"),
+        pool: pool.parse().expect("a valid name"),
         weight,
     };
     Route {
--- a/crates/gateway/tests/decisions/slow_start.rs
+++ b/crates/gateway/tests/decisions/slow_start.rs
@@ -1,4 +1,4 @@
-//! Shares in what a cold server bears.
+//! Shares in the slow-start limit of a cold server.
 
 use std::time::Duration;
 
@@ -13,9 +13,9 @@
     max_per_s: 21.5,
 };
 
-/// All routers send to a cold server as often as their shares allow, each from
-/// a moment of its own. A server that gets more than it bears crashes, and
-/// every caller it had is cut off.
+/// All routers send to a cold server as often as their shares permit, with different
+/// offsets. A server that receives more than its limit crashes and breaks all requests
+/// in flight.
 #[parameterized(
     one = { 1, 1 },
     six = { 6, 6 },
@@ -28,7 +28,7 @@
     for target in ["s0", "s1", "s2"] {
         let mut sent: Vec<Instant> = Vec::new();
         for (index, own) in all.iter().enumerate() {
-            // Each of those that are not known counts itself in.
+            // A router that is not known to the others still counts itself.
             let mut known_members: Vec<_> = all[..registered].to_vec();
             if index >= registered {
                 known_members.push(own.clone());
@@ -55,19 +55,25 @@
                 .count()
         };
         let busiest = sent.iter().map(window).max().unwrap_or(0);
-        assert!(busiest as f64 <= LIMIT.max_per_s, "{target}: {busiest}");
-        assert!(busiest >= 5, "{target}: {busiest} leaves the server idle");
+        assert!(
+            busiest as f64 <= LIMIT.max_per_s,
+            "{target}: {busiest} requests in one second"
+        );
+        assert!(
+            busiest >= 5,
+            "{target}: only {busiest} requests in one second"
+        );
     }
 }
 
-/// A router that the others do not know of takes more than was planned for.
+/// A router that the others do not know would exceed the planned rate.
 #[test]
 fn an_unregistered_router_has_no_share() {
     let share = slow_start::share(LIMIT, &host("new"), &members(6), &server("s0"));
     assert_eq!(share, None);
 }
 
-/// Some services bear nothing at all while they are cold.
+/// Some services can handle almost no requests while they are cold.
 #[test]
 fn a_limit_below_one_leaves_a_single_share() {
     let limit = RateLimit {
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -12,22 +12,22 @@
 use units::{backend, chat, host, time::Instant, workspace};
 use xxhash_rust::xxh3;
 
-/// The moment at which tests begin.
+/// The instant at which tests begin.
 pub const START: Instant = Instant::from_millis(1_000);
 
-/// A server's name.
+/// Parses the name of a server.
 pub fn server(name: &str) -> backend::Server {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
-/// A host's name.
+/// Parses the name of a host.
 pub fn host(name: &str) -> host::Id {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
-/// A workspace's name.
+/// Parses the name of a workspace.
 pub fn workspace(name: &str) -> workspace::Id {
-    name.parse().expect("a name")
+    name.parse().expect("a valid name")
 }
 
 /// The routers `r0` to `r(count - 1)`.
@@ -35,19 +35,19 @@
     (0..count).map(|index| host(&format!("r{index}"))).collect()
 }
 
-/// The same as they are registered, all in one zone.
+/// The same routers as registered members, all in one zone.
 pub fn registered(count: usize) -> Vec<Member> {
     let members = members(count).into_iter();
     members
         .map(|host| Member {
             host,
-            zone: "a".parse().expect("a name"),
+            zone: "a".parse().expect("a valid name"),
             address: ([127, 0, 0, 1], 1).into(),
         })
         .collect()
 }
 
-/// This router `r0` among six.
+/// A fleet of six routers, seen from `r0`.
 pub fn fleet() -> Fleet {
     Fleet {
         own: host("r0"),
@@ -60,9 +60,9 @@
     let port = 1000 + name.bytes().map(u16::from).sum::<u16>();
     roster::Entry {
         server: server(name),
-        pool: "llm".parse().expect("a name"),
+        pool: "llm".parse().expect("a valid name"),
         address: ([127, 0, 0, 1], port).into(),
-        zone: zone.parse().expect("a name"),
+        zone: zone.parse().expect("a valid name"),
         slots: 64,
         is_draining: false,
         cold_until: Instant::ZERO,
@@ -71,7 +71,8 @@
     }
 }
 
-/// An engine's service, whose cold servers bear eleven requests a second.
+/// The configuration of an engine service whose cold servers can handle eleven requests
+/// per second.
 pub fn engine() -> route::Service {
     route::Service {
         cold_per_s: 11.0,
@@ -79,7 +80,7 @@
     }
 }
 
-/// Bounds like those of a deployment.
+/// Bounds as in a typical deployment.
 pub fn bounds() -> Bounds {
     Bounds {
         load_multiple: 2.0,
@@ -94,9 +95,9 @@
     pool_of("a", entries)
 }
 
-/// A pool with the servers of `entries`, seen from `zone`.
+/// A pool with the servers of `entries` for a router in `zone`.
 pub fn pool_of(zone: &str, entries: &[roster::Entry]) -> Pool {
-    let mut pool = Pool::new(zone.parse().expect("a name"), bounds());
+    let mut pool = Pool::new(zone.parse().expect("a valid name"), bounds());
     pool.set_service(engine());
     pool.set_servers(entries.iter().map(|entry| (entry, entry.is_draining)));
     pool
@@ -120,12 +121,12 @@
     }
 }
 
-/// Asks for a place for a request of a topic.
+/// Places a request of a topic.
 pub fn admit(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Result<Place, Denial> {
     pool.admit(&demand(topic, own), &fleet(), now)
 }
 
-/// Admits a request and lets its first byte come.
+/// Places a request and records its first byte.
 pub fn run(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Place {
     let place = admit(pool, topic, own, now).expect("a place");
     let server = pool.server_mut(&place.server).expect("the server");
@@ -141,7 +142,7 @@
     named.collect()
 }
 
-/// The servers for the prompts whose longest shared part is `anchor`.
+/// The servers ranked for prompts whose longest shared part is `anchor`.
 pub fn by_score(anchor: u64, entries: &[roster::Entry]) -> Vec<backend::Server> {
     let mut servers: Vec<_> = entries.iter().map(|entry| entry.server.clone()).collect();
     servers.sort_by_cached_key(|server| {
