--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -125,7 +125,7 @@
             self.give_up(core, request);
             return;
         }
-        let request_to_queue = QueueRequest {
+        let queue_request = QueueRequest {
             attempt: request::Attempt(request as u64),
             workspace: self.workspaces[usize::from(arrival.workspace)].clone(),
             cost: Cost(u64::from(arrival.prompt) + u64::from(arrival.output) * OUTPUT_TOKEN),
@@ -133,7 +133,7 @@
             latest_start: now + WAIT,
             demand: demand.clone(),
         };
-        match self.queues[router].submit(request_to_queue, &self.fleets[router], now) {
+        match self.queues[router].submit(queue_request, &self.fleets[router], now) {
             Admission::Placed(place) => self.placed(core, request, place, now),
             Admission::Queued => self.wake(core, router, now),
             Admission::Refused(_) => self.give_up(core, request),
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -266,8 +266,8 @@
             return;
         }
         // Callers that disconnected while queued get no slot.
-        let left = self.pending.extract_if(|_, (_, reply)| reply.is_closed());
-        for (attempt, _) in left {
+        let disconnected = self.pending.extract_if(|_, (_, reply)| reply.is_closed());
+        for (attempt, _) in disconnected {
             queue.cancel(attempt);
         }
         for (attempt, result) in queue.dequeue(&self.fleet, now) {
--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -51,10 +51,10 @@
 
     /// Frees the slot and records the outcome of the request.
     pub fn end(mut self, outcome: Outcome) {
-        self.give_back(outcome);
+        self.release(outcome);
     }
 
-    fn give_back(&mut self, outcome: Outcome) {
+    fn release(&mut self, outcome: Outcome) {
         if let Some(ticket) = self.ticket.take() {
             // The dispatch task runs as long as the process.
             drop(self.sender.send(Message::Ended(ticket, outcome)));
@@ -64,6 +64,6 @@
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.give_back(Outcome::Cancelled);
+        self.release(Outcome::Cancelled);
     }
 }
--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -150,12 +150,12 @@
             Report::Delta { running, outcomes } => (running, outcomes),
         };
         self.outcomes.extend(outcomes);
-        let ended = self.outcomes.iter().map(|(&server, &outcomes)| Load {
+        let idle_loads = self.outcomes.iter().map(|(&server, &outcomes)| Load {
             server,
             running: 0,
             outcomes,
         });
-        let mut loads: BTreeMap<u32, Load> = ended.map(|load| (load.server, load)).collect();
+        let mut loads: BTreeMap<u32, Load> = idle_loads.map(|load| (load.server, load)).collect();
         let mut server: u32 = 0;
         for (step, running) in running {
             // Input from the network may overflow; the saturated hash matches no known
--- a/crates/gateway/src/outlier.rs
+++ b/crates/gateway/src/outlier.rs
@@ -46,8 +46,8 @@
     }
 
     fn failure_ratio(self) -> f64 {
-        let all = f64::from(self.failed) + f64::from(self.completed);
-        f64::from(self.failed) / all.max(1.0)
+        let total = f64::from(self.failed) + f64::from(self.completed);
+        f64::from(self.failed) / total.max(1.0)
     }
 
     /// Whether a server with these outcomes is an outlier, where `others` are the
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -230,7 +230,7 @@
         let is_panicking = self.ejection.is_panicking(now);
         let is_available = |server: &&Server| {
             server.is_reachable(now)
-                && !self.zone_tracker.is_away(server.zone(), now)
+                && !self.zone_tracker.is_in_backoff(server.zone(), now)
                 && (is_panicking || !self.ejection.is_failing(server.name(), now))
         };
         let mut candidates: Vec<&Server> = untried().filter(is_available).collect();
@@ -269,12 +269,12 @@
     /// Trying its servers in turn would cost the request a full connect timeout for
     /// each. The router's own zone is never treated as unreachable.
     fn is_cut_off(&self, server: &Server, now: Instant) -> bool {
-        *server.zone() != self.zone && self.zone_tracker.is_away(server.zone(), now)
+        *server.zone() != self.zone && self.zone_tracker.is_in_backoff(server.zone(), now)
     }
 
     /// The reason why none of `servers` can be tried.
     fn no_candidate<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
-        let retry_times = servers.map(|server| self.zone_tracker.away_until(server.zone()));
+        let retry_times = servers.map(|server| self.zone_tracker.backoff_until(server.zone()));
         let first = retry_times.min();
         first.map_or(Denial::NoServer, |at| Denial::ZonesUnreachable(at.max(now)))
     }
@@ -431,8 +431,8 @@
 
     /// Total slots of the servers that are not leaving.
     pub fn slots(&self) -> u32 {
-        let used = self.servers.values().filter(|server| !server.is_leaving());
-        used.map(Server::slots).sum()
+        let active = self.servers.values().filter(|server| !server.is_leaving());
+        active.map(Server::slots).sum()
     }
 
     /// All servers, ordered by name.
--- a/crates/gateway/src/pool/cost.rs
+++ b/crates/gateway/src/pool/cost.rs
@@ -69,7 +69,7 @@
     }
 
     fn insert(&mut self, rank_key: RankKey) {
-        let position = self.ranked.partition_point(|before| *before < rank_key);
+        let position = self.ranked.partition_point(|other| *other < rank_key);
         if position < RANKED_SERVERS {
             self.ranked.truncate(RANKED_SERVERS - 1);
             self.ranked.insert(position, rank_key);
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -55,9 +55,9 @@
 /// in `admission`.
 const RESERVE_DIVISOR: u32 = 4;
 /// The backoff after a connection failure; doubled with each further failure.
-const BASE_AWAY: Duration = Duration::from_millis(400);
+const BASE_BACKOFF: Duration = Duration::from_millis(400);
 /// Upper limit of the backoff.
-const MAX_AWAY: Duration = Duration::from_millis(3200);
+const MAX_BACKOFF: Duration = Duration::from_millis(3200);
 /// How long a server is treated as cold once the backoff after a connection failure
 /// ends.
 ///
@@ -86,7 +86,7 @@
     peer_prefixes: Warmth,
     pacer: Pacer,
     connect_failures: u32,
-    away_until: Instant,
+    backoff_until: Instant,
     assumed_cold_until: Instant,
     /// When the server is assumed to have cached the prompts for which it ranks first.
     settled_at: Instant,
@@ -117,7 +117,7 @@
             peer_prefixes: Warmth::new(settings),
             pacer: Pacer::default(),
             connect_failures: 0,
-            away_until: Instant::ZERO,
+            backoff_until: Instant::ZERO,
             assumed_cold_until: Instant::ZERO,
             lag_us: 0,
             lag_at: Instant::ZERO,
@@ -245,7 +245,7 @@
 
     /// Whether the server is not in backoff after a connection failure.
     pub fn is_reachable(&self, now: Instant) -> bool {
-        self.away_until <= now
+        self.backoff_until <= now
     }
 
     /// Whether this router's slow-start share permits a request now.
@@ -340,7 +340,7 @@
         }
         match outcome {
             Outcome::Refused | Outcome::Unreachable => self.connect_failed(now),
-            Outcome::Moved => self.away_until = now + MAX_AWAY,
+            Outcome::Moved => self.backoff_until = now + MAX_BACKOFF,
             Outcome::Completed | Outcome::Failed | Outcome::Full => self.connect_failures = 0,
             Outcome::Broken | Outcome::Cancelled => {}
         }
@@ -348,14 +348,14 @@
 
     fn connect_failed(&mut self, now: Instant) {
         // Concurrent requests fail together; they count as one failure.
-        if now < self.away_until {
+        if now < self.backoff_until {
             return;
         }
         let factor = 1_u32.checked_shl(self.connect_failures).unwrap_or(u32::MAX);
-        let away = BASE_AWAY.saturating_mul(factor).min(MAX_AWAY);
+        let backoff = BASE_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
         self.connect_failures = self.connect_failures.saturating_add(1);
-        self.away_until = now + away;
-        self.assumed_cold_until = self.away_until + COLD_AFTER_OUTAGE;
+        self.backoff_until = now + backoff;
+        self.assumed_cold_until = self.backoff_until + COLD_AFTER_OUTAGE;
     }
 }
 
--- a/crates/gateway/src/pool/zone.rs
+++ b/crates/gateway/src/pool/zone.rs
@@ -11,9 +11,9 @@
 /// enough.
 const MIN_FAILURES: u32 = 3;
 /// The backoff for an unreachable zone; doubled each time.
-const BASE_AWAY: Duration = Duration::from_millis(800);
+const BASE_BACKOFF: Duration = Duration::from_millis(800);
 /// Upper limit of the backoff, equal to that of a single server.
-const MAX_AWAY: Duration = Duration::from_millis(3200);
+const MAX_BACKOFF: Duration = Duration::from_millis(3200);
 /// How long a single request probes an unreachable zone before the next probe; longer
 /// than any connect timeout.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(500);
@@ -22,8 +22,8 @@
 struct Record {
     failures: u32,
     /// Number of backoffs since the zone was last reached.
-    ejections: u32,
-    away_until: Instant,
+    backoffs: u32,
+    backoff_until: Instant,
     /// Whether a request is probing the zone while others avoid it.
     is_probing: bool,
 }
@@ -97,7 +97,7 @@
     /// Marks the zone as reachable. Returns whether it was in backoff.
     fn record_reached(&mut self, zone: &availability::Zone) -> bool {
         let record = self.records.remove(zone);
-        record.is_some_and(|record| record.ejections > 0)
+        record.is_some_and(|record| record.backoffs > 0)
     }
 
     /// Records a connection failure at a server that was not in backoff. Returns
@@ -105,14 +105,14 @@
     fn record_failure(&mut self, zone: &availability::Zone, now: Instant) -> bool {
         let record = self.records.entry(zone.clone()).or_default();
         record.failures += 1;
-        let is_already_away = now < record.away_until && !record.is_probing;
-        if record.failures < MIN_FAILURES || is_already_away {
+        let is_waiting = now < record.backoff_until && !record.is_probing;
+        if record.failures < MIN_FAILURES || is_waiting {
             return false;
         }
         record.is_probing = false;
-        let factor = 1_u32.checked_shl(record.ejections).unwrap_or(u32::MAX);
-        record.away_until = now + BASE_AWAY.saturating_mul(factor).min(MAX_AWAY);
-        record.ejections += 1;
+        let factor = 1_u32.checked_shl(record.backoffs).unwrap_or(u32::MAX);
+        record.backoff_until = now + BASE_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
+        record.backoffs += 1;
         true
     }
 
@@ -123,9 +123,9 @@
         let Some(record) = self.records.get_mut(zone) else {
             return;
         };
-        if record.ejections > 0 && now >= record.away_until {
+        if record.backoffs > 0 && now >= record.backoff_until {
             record.is_probing = true;
-            record.away_until = now + PROBE_TIMEOUT;
+            record.backoff_until = now + PROBE_TIMEOUT;
         }
     }
 
@@ -133,17 +133,18 @@
     /// the backoff ended less than a probe ago and the zone has not been reached since.
     pub fn is_unknown(&self, zone: &availability::Zone, now: Instant) -> bool {
         let record = self.records.get(zone);
-        record.is_some_and(|record| record.ejections > 0 && now < record.away_until + PROBE_TIMEOUT)
+        record
+            .is_some_and(|record| record.backoffs > 0 && now < record.backoff_until + PROBE_TIMEOUT)
     }
 
     /// Whether the zone is in backoff.
-    pub fn is_away(&self, zone: &availability::Zone, now: Instant) -> bool {
-        now < self.away_until(zone)
+    pub fn is_in_backoff(&self, zone: &availability::Zone, now: Instant) -> bool {
+        now < self.backoff_until(zone)
     }
 
     /// When the backoff of the zone ends.
-    pub fn away_until(&self, zone: &availability::Zone) -> Instant {
+    pub fn backoff_until(&self, zone: &availability::Zone) -> Instant {
         let record = self.records.get(zone);
-        record.map_or(Instant::ZERO, |record| record.away_until)
+        record.map_or(Instant::ZERO, |record| record.backoff_until)
     }
 }
--- a/crates/gateway/src/slow_start.rs
+++ b/crates/gateway/src/slow_start.rs
@@ -43,9 +43,9 @@
     let max_per_s = limit.max_per_s * LIMIT_USED;
     for senders in (1..=members).rev() {
         // In one second a router with interval i sends at most ceil(1 / i) requests.
-        let each = (limit.rate / senders as f64).max(1.0).ceil();
-        if senders as f64 * each <= max_per_s.max(1.0) {
-            let interval = (1.0 / each).max(senders as f64 / limit.rate.max(1.0));
+        let per_sender = (limit.rate / senders as f64).max(1.0).ceil();
+        if senders as f64 * per_sender <= max_per_s.max(1.0) {
+            let interval = (1.0 / per_sender).max(senders as f64 / limit.rate.max(1.0));
             let interval_us = (interval * 1_000_000.0) as u64 + 1;
             return Some((senders, Share { interval_us }));
         }
--- a/crates/gateway/tests/decisions/copies.rs
+++ b/crates/gateway/tests/decisions/copies.rs
@@ -4,7 +4,7 @@
 
 use gateway::pool::Outcome;
 
-use crate::world::{START, admit, by_score, pool, run, twelve_servers};
+use crate::world::{START, admit, pool, ranked_servers, run, twelve_servers};
 
 /// A server is being replaced, and its prompts go to servers that would compute them
 /// again, although the old server still runs for a few seconds.
@@ -58,7 +58,7 @@
 /// former first server still has it.
 #[test]
 fn a_prompt_is_not_copied_from_a_newly_started_server() {
-    let ranked = by_score(1_007, &twelve_servers());
+    let ranked = ranked_servers(1_007, &twelve_servers());
     let mut entries = twelve_servers();
     for entry in &mut entries {
         if entry.server == ranked[0] {
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -13,7 +13,7 @@
 use yare::parameterized;
 
 use crate::world::{
-    START, admit, bounds, by_score, demand, entry, fleet, pool, pool_of, run, server,
+    START, admit, bounds, demand, entry, fleet, pool, pool_of, ranked_servers, run, server,
     twelve_servers,
 };
 
@@ -57,7 +57,7 @@
         .collect();
     for topic in 0..50 {
         let mut full: Vec<backend::Server> = Vec::new();
-        for expected in by_score(1_000 + topic, &entries).into_iter().take(3) {
+        for expected in ranked_servers(1_000 + topic, &entries).into_iter().take(3) {
             let mut pool = pool(&entries);
             pool.set_peer_load(|name| if full.contains(name) { 20 } else { 1 });
             let place = admit(&mut pool, topic, topic, START).expect("a place");
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -143,7 +143,7 @@
 }
 
 /// The servers ranked for prompts whose longest shared part is `anchor`.
-pub fn by_score(anchor: u64, entries: &[roster::Entry]) -> Vec<backend::Server> {
+pub fn ranked_servers(anchor: u64, entries: &[roster::Entry]) -> Vec<backend::Server> {
     let mut servers: Vec<_> = entries.iter().map(|entry| entry.server.clone()).collect();
     servers.sort_by_cached_key(|server| {
         let hash = xxh3::xxh3_64(server.as_str().as_bytes());
