--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use gateway::{
-    pool::{Demand, Fleet, Outcome, Part, Place, Pool},
+    pool::{Demand, Fleet, Outcome, Part, Placement, Pool},
     queue::{Admission, QueueRequest, ServiceQueue},
     roster, route,
     settings::Bounds,
@@ -140,7 +140,7 @@
         }
     }
 
-    fn placed(&mut self, core: &mut Core<Event>, request: usize, place: Place, now: Instant) {
+    fn placed(&mut self, core: &mut Core<Event>, request: usize, place: Placement, now: Instant) {
         let router = usize::from(core.arrivals[request].router);
         let engine = core.engine(&place.server);
         if let Some(demand) = self.demands.get_mut(&request) {
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -60,7 +60,7 @@
     clock: Clock,
     deadline: Instant,
 ) -> End {
-    let place = permit.place();
+    let place = permit.placement();
     let limit = clock.remaining(deadline.min(place.connect_deadline));
     let opened = Connection::within(place.address, Arc::<Traffic>::default(), limit).await;
     let mut connection = match opened {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -23,7 +23,7 @@
     load,
     metrics::Metrics,
     pause,
-    pool::{Fleet, Outcome, Part, Place, Pool},
+    pool::{Fleet, Outcome, Part, Placement, Pool},
     prefixes::{self, PrefixUpdates},
     queue::{Admission, QueueRequest, ServiceQueue},
     retry_budget::RetryBudget,
@@ -201,8 +201,8 @@
         };
         let attempt = queue_request.attempt;
         match queue.submit(queue_request, &self.fleet, now) {
-            Admission::Placed(place) => {
-                let permit = self.permit(request, place, now);
+            Admission::Placed(placement) => {
+                let permit = self.permit(request, placement, now);
                 send_reply(reply, Ok(permit));
             }
             Admission::Refused(refusal) => send_reply(reply, Err(Refusal::Denied(refusal))),
@@ -228,25 +228,25 @@
             .or_insert_with(retry_budget)
     }
 
-    fn permit(&mut self, request: AcquireRequest, place: Place, now: Instant) -> Permit {
+    fn permit(&mut self, request: AcquireRequest, placement: Placement, now: Instant) -> Permit {
         if !request.is_retry {
             let members = self.fleet.members.len();
             self.retry_budget(&request.pool, now).deposit(members);
         }
         let ticket = Ticket {
             pool: request.pool,
-            server: place.server.clone(),
-            born: place.born,
-            uncached: place.uncached,
+            server: placement.server.clone(),
+            born: placement.born,
+            uncached: placement.uncached,
             parts: request.demand.parts,
             workspace: request.workspace,
             fingerprint: request.fingerprint,
             sent_at: now,
             connected_at: None,
-            connect_deadline: place.connect_deadline,
+            connect_deadline: placement.connect_deadline,
             has_first_byte: false,
         };
-        Permit::new(ticket, place, self.sender.clone())
+        Permit::new(ticket, placement, self.sender.clone())
     }
 
     fn dequeue_all(&mut self) {
@@ -275,7 +275,7 @@
                 continue;
             };
             let result = match result {
-                Ok(place) => Ok(self.permit(request, place, now)),
+                Ok(placement) => Ok(self.permit(request, placement, now)),
                 Err(refusal) => Err(Refusal::Denied(refusal)),
             };
             send_reply(reply, result);
--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -4,30 +4,34 @@
 use units::time::Instant;
 
 use super::{Message, Ticket};
-use crate::pool::{Outcome, Place};
+use crate::pool::{Outcome, Placement};
 
 /// A slot at a backend server. If it is dropped without an outcome, the request counts
 /// as cancelled.
 #[derive(Debug)]
 pub struct Permit {
     ticket: Option<Ticket>,
-    place: Place,
+    placement: Placement,
     sender: mpsc::UnboundedSender<Message>,
 }
 
 impl Permit {
     /// Creates the permit for the request of `ticket`, which is sent to `place`.
-    pub fn new(ticket: Ticket, place: Place, sender: mpsc::UnboundedSender<Message>) -> Self {
+    pub fn new(
+        ticket: Ticket,
+        placement: Placement,
+        sender: mpsc::UnboundedSender<Message>,
+    ) -> Self {
         Self {
             ticket: Some(ticket),
-            place,
+            placement,
             sender,
         }
     }
 
     /// The chosen server and the state the choice was based on.
-    pub fn place(&self) -> &Place {
-        &self.place
+    pub fn placement(&self) -> &Placement {
+        &self.placement
     }
 
     /// Records that the connection to the server was established.
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -59,7 +59,7 @@
 
 /// The server chosen for a request, and the state the choice was based on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
+pub struct Placement {
     /// The name of the server.
     pub server: backend::Server,
     /// Its availability zone.
@@ -195,7 +195,12 @@
     /// # Errors
     ///
     /// Returns the reason if no server can take the request now.
-    pub fn admit(&mut self, demand: &Demand, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
+    pub fn admit(
+        &mut self,
+        demand: &Demand,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Placement, Denial> {
         let choice = self.choose(demand, fleet, now)?;
         let share = self.slow_start_share(&choice, fleet, now);
         let source = self.source(&choice, demand, now);
@@ -204,7 +209,7 @@
         let uncached = Cost(server.uncached(&demand.parts, now));
         server.admit(uncached, share, now);
         self.zone_tracker.record_choice(server.zone(), now);
-        Ok(Place {
+        Ok(Placement {
             connect_deadline: now + self.zone_tracker.connect_timeout(server.zone()),
             zone: server.zone().clone(),
             address: server.address(),
@@ -343,8 +348,8 @@
         let active = self.servers.values().filter(|server| !server.is_leaving());
         let ranking = cost::Ranking::new(&demand.parts, active);
         let cost = |server: &&Server| {
-            let place = ranking.as_ref().map(|ranking| ranking.position(server));
-            cost::time_us(server, &self.zone, &demand.parts, place, now)
+            let position = ranking.as_ref().map(|ranking| ranking.position(server));
+            cost::time_us(server, &self.zone, &demand.parts, position, now)
         };
         let best = candidates.iter().min_by_key(|server| cost(server))?;
         Some(best.name().clone())
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -6,7 +6,7 @@
 use admission::{Queue, Shares, Standing, Ticket, Waiting};
 use units::{backend, cost::Cost, request, time::Instant, workspace};
 
-use crate::pool::{self, Demand, Denial, Fleet, Outcome, Place, Pool};
+use crate::pool::{self, Demand, Denial, Fleet, Outcome, Placement, Pool};
 
 /// The most requests that one router queues for one service.
 ///
@@ -56,7 +56,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Admission {
     /// The request is sent to a server now.
-    Placed(Place),
+    Placed(Placement),
     /// The request is queued; [`ServiceQueue::dequeue`] returns its result.
     Queued,
     /// The request is refused.
@@ -64,7 +64,7 @@
 }
 
 /// The result of a queued request.
-pub type Dequeued = (request::Attempt, Result<Place, Refusal>);
+pub type Dequeued = (request::Attempt, Result<Placement, Refusal>);
 
 /// The servers of one service and the queue of requests for them.
 ///
@@ -126,7 +126,7 @@
         self.shares.expire(now);
         self.shares.seen(&request.workspace, 1, &self.settings, now);
         let denial = match self.try_place(&request, fleet, now) {
-            Ok(place) => return Admission::Placed(place),
+            Ok(placement) => return Admission::Placed(placement),
             Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
                 return Admission::Refused(self.refusal(denial, &request, now));
             }
@@ -149,13 +149,13 @@
         request: &QueueRequest,
         fleet: &Fleet,
         now: Instant,
-    ) -> Result<Place, Denial> {
+    ) -> Result<Placement, Denial> {
         if self.queue.len_of(&request.workspace) > 0 {
             return Err(Denial::Full);
         }
-        let place = self.place(request, fleet, now)?;
+        let placement = self.place(request, fleet, now)?;
         self.queue.charge(&request.workspace, request.cost);
-        Ok(place)
+        Ok(placement)
     }
 
     fn place(
@@ -163,17 +163,17 @@
         request: &QueueRequest,
         fleet: &Fleet,
         now: Instant,
-    ) -> Result<Place, Denial> {
+    ) -> Result<Placement, Denial> {
         let slot_share = self.pool.slots() / u32::try_from(fleet.members.len().max(1)).unwrap_or(1);
         let mut demand = request.demand.clone();
         demand.leaves_reserve =
             self.shares
                 .is_over(&request.workspace, slot_share, &self.settings, now);
-        let place = self.pool.admit(&demand, fleet, now)?;
+        let placement = self.pool.admit(&demand, fleet, now)?;
         self.shares
             .began(&request.workspace, 1, &self.settings, now);
         self.rate.record(request.cost, now);
-        Ok(place)
+        Ok(placement)
     }
 
     /// Whether the request would wait beyond its latest start.
@@ -242,10 +242,10 @@
         for attempt in heads {
             let request = self.waiting.get(&attempt)?.clone();
             match self.place(&request, fleet, now) {
-                Ok(place) => {
+                Ok(placement) => {
                     self.queue.serve(attempt);
                     self.waiting.remove(&attempt);
-                    return Some((attempt, Ok(place)));
+                    return Some((attempt, Ok(placement)));
                 }
                 Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
                     self.queue.remove(attempt);
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -219,7 +219,7 @@
                 info,
                 "stream_resumed",
                 request = self.exchange.plan().head.id,
-                server = permit.place().server,
+                server = permit.placement().server,
                 after = last.as_deref().unwrap_or("none"),
                 reason = reason
             );
@@ -244,7 +244,7 @@
         let now = context.clock.now();
         let plan = self.exchange.plan();
         let waited = self.first_byte_at.unwrap_or(now).since(plan.arrived);
-        let place = self.permit.as_ref().map(Permit::place);
+        let place = self.permit.as_ref().map(Permit::placement);
         logging::event!(
             info,
             "request_done",
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -18,7 +18,7 @@
 use crate::{
     attempt::{self, Answer, End},
     dispatch::{self, AcquireRequest, Message, Permit},
-    pool::{Demand, Denial, Outcome, Place},
+    pool::{Demand, Denial, Outcome, Placement},
     protocol::{Attempt, Head, Protocol},
     route::{KeyOwner, Route},
 };
@@ -186,7 +186,7 @@
                 Ok(permit) => permit,
                 Err(refusal) => return self.failure.take().ok_or(refusal),
             };
-            let place = permit.place().clone();
+            let place = permit.placement().clone();
             let end = self.attempt(permit, last_event).await;
             self.log_attempt(&place, &end);
             self.plan.demand.tried.push(place.server);
@@ -199,7 +199,7 @@
     }
 
     async fn attempt(&self, permit: Permit, last_event: Option<&str>) -> End {
-        let place = permit.place().clone();
+        let place = permit.placement().clone();
         let now = self.context.clock.now();
         let remaining = self.plan.deadline.since(now);
         let attempt = Attempt {
@@ -381,7 +381,7 @@
         Step::Refuse(self.refusal(code, message))
     }
 
-    fn log_attempt(&self, place: &Place, end: &End) {
+    fn log_attempt(&self, place: &Placement, end: &End) {
         let (outcome, reason) = match end {
             End::Answered(answer) if answer.is_failure => ("failed", answer.head.status.as_str()),
             End::Answered(_) => {
--- a/crates/gateway/tests/decisions/connect.rs
+++ b/crates/gateway/tests/decisions/connect.rs
@@ -88,9 +88,12 @@
 fn each_zone_has_its_own_timeout() {
     let mut pool = pool(&[entry("near", "a"), entry("far", "b")]);
     let timeout = |pool: &mut gateway::pool::Pool| {
-        let place = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
-        pool.ended(&place.server, Outcome::Completed, START);
-        (place.server.clone(), place.connect_deadline.since(START))
+        let placement = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
+        pool.ended(&placement.server, Outcome::Completed, START);
+        (
+            placement.server.clone(),
+            placement.connect_deadline.since(START),
+        )
     };
     let (server, unmeasured) = timeout(&mut pool);
     assert_eq!(unmeasured, ms(300));
--- a/crates/gateway/tests/decisions/copies.rs
+++ b/crates/gateway/tests/decisions/copies.rs
@@ -18,9 +18,9 @@
         entry.is_draining = entry.server == former_first.server;
     }
     pool.set_servers(entries.iter().map(|entry| (entry, entry.is_draining)));
-    let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_ne!(place.server, former_first.server);
-    assert_eq!(place.source, Some(former_first.address));
+    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    assert_ne!(placement.server, former_first.server);
+    assert_eq!(placement.source, Some(former_first.address));
 }
 
 /// A new server ranks first for a prompt that other routers sent to the former first
@@ -37,20 +37,20 @@
     let former_first = run(&mut pool(&before), 7, 0, START);
     let mut pool = pool(&twelve_servers());
     let other_topics = (100..130).filter(|&topic| {
-        let place = run(
+        let placement = run(
             &mut crate::world::pool(&twelve_servers()),
             topic,
             topic,
             START,
         );
-        place.server != first && place.server != former_first.server
+        placement.server != first && placement.server != former_first.server
     });
     for topic in other_topics.take(4) {
         run(&mut pool, topic, topic, START);
     }
-    let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_eq!(place.server, first);
-    assert_eq!(place.source, Some(former_first.address));
+    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    assert_eq!(placement.server, first);
+    assert_eq!(placement.source, Some(former_first.address));
 }
 
 /// A server that has just started ranks first for a prompt and is full. It has nothing
@@ -68,10 +68,10 @@
     let mut pool = pool(&entries);
     pool.set_peer_load(|name| if ranked[..2].contains(name) { 20 } else { 1 });
     let now = START + Duration::from_secs(2);
-    let place = admit(&mut pool, 7, 0, now).expect("a place");
-    assert_eq!(place.server, ranked[2]);
+    let placement = admit(&mut pool, 7, 0, now).expect("a place");
+    assert_eq!(placement.server, ranked[2]);
     let before = entries.iter().find(|entry| entry.server == ranked[1]);
-    assert_eq!(place.source, before.map(|entry| entry.address));
+    assert_eq!(placement.source, before.map(|entry| entry.address));
 }
 
 /// A server is leaving to which other routers sent a prompt. This router does not know
@@ -84,8 +84,8 @@
     for entry in &mut entries {
         entry.is_draining = entry.server == former_first.server;
     }
-    let place = admit(&mut pool(&entries), 7, 1, START).expect("a place");
-    assert_eq!(place.source, Some(former_first.address));
+    let placement = admit(&mut pool(&entries), 7, 1, START).expect("a place");
+    assert_eq!(placement.source, Some(former_first.address));
 }
 
 /// Copying a few tokens takes longer than computing them.
@@ -112,9 +112,9 @@
     }
     let mut copied = 0;
     for topic in 0..40 {
-        let place = admit(&mut pool, topic, topic, START).expect("a place");
-        pool.ended(&place.server, Outcome::Completed, START);
-        if let Some(source) = place.source {
+        let placement = admit(&mut pool, topic, topic, START).expect("a place");
+        pool.ended(&placement.server, Outcome::Completed, START);
+        if let Some(source) = placement.source {
             copied += 1;
             assert!(
                 unreachable.iter().all(|entry| entry.address != source),
--- a/crates/gateway/tests/decisions/outlier.rs
+++ b/crates/gateway/tests/decisions/outlier.rs
@@ -52,8 +52,8 @@
     assert_eq!(failing, ["s5"]);
     assert_eq!(pool.standing(&server("s5"), START), Standing::Ejected);
     for own in 0..40 {
-        let place = pool.admit(&demand(own, own), &fleet(), START);
-        assert_ne!(place.expect("a place").server, server("s5"));
+        let placement = pool.admit(&demand(own, own), &fleet(), START);
+        assert_ne!(placement.expect("a place").server, server("s5"));
     }
 }
 
@@ -107,17 +107,17 @@
 #[test]
 fn own_and_peer_failures_add_up() {
     let mut pool = twelve_servers();
-    let place = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
-    pool.ended(&place.server, Outcome::Failed, START);
+    let placement = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
+    pool.ended(&placement.server, Outcome::Failed, START);
     let failing = detected_outliers(&mut pool, |index| {
-        let is_failing = place.server == server(&format!("s{index}"));
+        let is_failing = placement.server == server(&format!("s{index}"));
         if is_failing {
             outcomes(3, 0)
         } else {
             outcomes(0, 10)
         }
     });
-    assert_eq!(failing, [place.server.as_str()]);
+    assert_eq!(failing, [placement.server.as_str()]);
 }
 
 /// A server failed briefly, and routers continue to report it. Without decay, old
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -60,8 +60,8 @@
         for expected in ranked_servers(1_000 + topic, &entries).into_iter().take(3) {
             let mut pool = pool(&entries);
             pool.set_peer_load(|name| if full.contains(name) { 20 } else { 1 });
-            let place = admit(&mut pool, topic, topic, START).expect("a place");
-            assert_eq!(place.server, expected, "topic {topic}, full {full:?}");
+            let placement = admit(&mut pool, topic, topic, START).expect("a place");
+            assert_eq!(placement.server, expected, "topic {topic}, full {full:?}");
             full.push(expected);
         }
     }
@@ -73,9 +73,9 @@
     let mut pool = pool(&twelve_servers());
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
     for topic in 0..240 {
-        let place = run(&mut pool, topic, topic, START);
-        pool.ended(&place.server, Outcome::Completed, START);
-        *counts.entry(place.server).or_default() += 1;
+        let placement = run(&mut pool, topic, topic, START);
+        pool.ended(&placement.server, Outcome::Completed, START);
+        *counts.entry(placement.server).or_default() += 1;
     }
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|&count| count <= 45), "{counts:?}");
@@ -148,8 +148,8 @@
     let first_server = run(&mut pool, 7, 0, START).server;
     pool.ended(&first_server, Outcome::Completed, START);
     pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
-    let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_ne!(place.server, first_server);
+    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    assert_ne!(placement.server, first_server);
 }
 
 /// A server that is leaving, or whose zone is out of service, still has its cache. A
@@ -163,7 +163,7 @@
     let mut pool = pool(&entries);
     for own in 0..20 {
         match admit(&mut pool, own, own, START) {
-            Ok(place) => assert_eq!(place.server, server("s3")),
+            Ok(placement) => assert_eq!(placement.server, server("s3")),
             Err(denial) => assert_eq!(denial, Denial::Full),
         }
     }
@@ -178,8 +178,8 @@
     let first_server = run(&mut pool, 7, 0, START).server;
     pool.ended(&first_server, Outcome::Unreachable, START);
     let soon = START + Duration::from_millis(300);
-    let place = admit(&mut pool, 7, 1, soon).expect("a place");
-    assert_ne!(place.server, first_server);
+    let placement = admit(&mut pool, 7, 1, soon).expect("a place");
+    assert_ne!(placement.server, first_server);
 }
 
 /// A server that returns after a crash has an empty cache and can handle few requests.
@@ -223,8 +223,8 @@
     for own in 0..10 {
         // The server is treated as cold, so requests are spaced out.
         let now = START + Duration::from_millis(600 * own);
-        let place = admit(&mut pool, 7, own, now).expect("a place");
-        pool.ended(&place.server, Outcome::Unreachable, now);
+        let placement = admit(&mut pool, 7, own, now).expect("a place");
+        pool.ended(&placement.server, Outcome::Unreachable, now);
     }
 }
 
@@ -298,15 +298,15 @@
     let mut timeouts = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        let is_unreachable = ["s2", "s5", "s8", "s11"].contains(&place.server.as_str());
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let is_unreachable = ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str());
         timeouts += u32::from(is_unreachable);
         let outcome = if is_unreachable {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
-        pool.ended(&place.server, outcome, now);
+        pool.ended(&placement.server, outcome, now);
     }
     assert!(
         (3..=9).contains(&timeouts),
@@ -321,22 +321,22 @@
     let mut pool = pool(&twelve_servers());
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        let has_failed = ["s2", "s5"].contains(&place.server.as_str());
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let has_failed = ["s2", "s5"].contains(&placement.server.as_str());
         let outcome = if has_failed {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
-        pool.ended(&place.server, outcome, now);
+        pool.ended(&placement.server, outcome, now);
     }
     let last = START + Duration::from_secs(2);
-    let places = (1000..1100).filter_map(|own| {
-        let place = admit(&mut pool, own, own, last).ok()?;
-        pool.ended(&place.server, Outcome::Completed, last);
-        Some(place.server)
+    let placements = (1000..1100).filter_map(|own| {
+        let placement = admit(&mut pool, own, own, last).ok()?;
+        pool.ended(&placement.server, Outcome::Completed, last);
+        Some(placement.server)
     });
-    assert!(places.into_iter().any(|name| name == server("s8")));
+    assert!(placements.into_iter().any(|name| name == server("s8")));
 }
 
 /// A zone is cut off from the two others, and only its own servers can handle its
@@ -353,15 +353,15 @@
     let mut placed = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(5 * own);
-        let Ok(place) = admit(&mut pool, own, own, now) else {
+        let Ok(placement) = admit(&mut pool, own, own, now) else {
             continue;
         };
-        let is_local = ["s0", "s3", "s6", "s9"].contains(&place.server.as_str());
+        let is_local = ["s0", "s3", "s6", "s9"].contains(&placement.server.as_str());
         if is_local {
             placed += 1;
-            *loads.entry(place.server).or_default() += 1;
+            *loads.entry(placement.server).or_default() += 1;
         } else {
-            pool.ended(&place.server, partition_outcome, now);
+            pool.ended(&placement.server, partition_outcome, now);
         }
     }
     assert!(placed >= 150, "{placed} of 200 requests were placed");
@@ -386,12 +386,12 @@
         while let Some((_, server)) = pending_connections.pop_front_if(|(at, _)| *at <= now) {
             pool.ended(&server, Outcome::Unreachable, now);
         }
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        if ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()) {
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        if ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()) {
             probes += 1;
-            pending_connections.push_back((now + Duration::from_millis(300), place.server));
+            pending_connections.push_back((now + Duration::from_millis(300), placement.server));
         } else {
-            pool.ended(&place.server, Outcome::Completed, now);
+            pool.ended(&placement.server, Outcome::Completed, now);
         }
     }
     // About ten until the partition is detected and one per later probe, 15 in total.
@@ -412,18 +412,19 @@
     }
     let later = START + Duration::from_secs(1);
     let mut probed = 0;
-    let mut places = Vec::new();
+    let mut placements = Vec::new();
     for own in 0..60 {
-        let place = admit(&mut pool, own, own, later).expect("a place");
-        probed += usize::from(["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
-        places.push(place);
+        let placement = admit(&mut pool, own, own, later).expect("a place");
+        probed += usize::from(["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()));
+        placements.push(placement);
     }
     assert_eq!(probed, 1);
-    for place in places {
-        pool.record_response(&place.server);
+    for placement in placements {
+        pool.record_response(&placement.server);
     }
-    let places = (100..160).filter_map(|own| admit(&mut pool, own, own, later).ok());
-    let in_zone = places.filter(|place| ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
+    let placements = (100..160).filter_map(|own| admit(&mut pool, own, own, later).ok());
+    let in_zone = placements
+        .filter(|placement| ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()));
     assert!(in_zone.count() >= 5);
 }
 
@@ -440,8 +441,8 @@
         panic!("the request was not refused");
     };
     assert!(START < at && at <= START + Duration::from_secs(1), "{at:?}");
-    let place = admit(&mut pool, 7, 1, at);
-    assert!(place.is_ok(), "the zone was not probed: {place:?}");
+    let placement = admit(&mut pool, 7, 1, at);
+    assert!(placement.is_ok(), "the zone was not probed: {placement:?}");
     let others = admit(&mut pool, 7, 2, at);
     assert!(
         matches!(others, Err(Denial::ZonesUnreachable(_))),
--- a/crates/gateway/tests/decisions/prefixes.rs
+++ b/crates/gateway/tests/decisions/prefixes.rs
@@ -9,7 +9,7 @@
     metrics::Metrics,
     outlier::OutcomeCounts,
     peers::{Frame, Total},
-    pool::{Outcome, Part, Place, Pool},
+    pool::{Outcome, Part, Placement, Pool},
     prefixes::{self, CachedPrefix, PrefixUpdates},
     roster,
     settings::{Bounds, Settings},
@@ -25,25 +25,25 @@
     named.collect()
 }
 
-fn admit(pool: &mut Pool, topic: u64, own: u64) -> Place {
-    let place = pool.admit(&demand(topic, own), &fleet(), START);
-    place.expect("a place")
+fn admit(pool: &mut Pool, topic: u64, own: u64) -> Placement {
+    let placement = pool.admit(&demand(topic, own), &fleet(), START);
+    placement.expect("a place")
 }
 
 /// Places a request, and returns the updates its router would send after the first
 /// byte.
-fn run(pool: &mut Pool, topic: u64, own: u64) -> (Place, Vec<CachedPrefix>) {
-    let place = admit(pool, topic, own);
+fn run(pool: &mut Pool, topic: u64, own: u64) -> (Placement, Vec<CachedPrefix>) {
+    let placement = admit(pool, topic, own);
     let parts = demand(topic, own).parts;
-    let server = pool.server_mut(&place.server).expect("the server");
+    let server = pool.server_mut(&placement.server).expect("the server");
     let mut updates = PrefixUpdates::default();
     let part = prefixes::shared_part(&parts).expect("a shared part");
     if !server.has_cached(part, START) {
         updates.record(server.hash(), part, START);
     }
-    server.end_prefill(place.uncached);
+    server.end_prefill(placement.uncached);
     server.record_cached(&parts, START);
-    (place, updates.updates(START))
+    (placement, updates.updates(START))
 }
 
 /// The first server of a prompt is replaced. A router that saw the prompt sent to the
@@ -74,9 +74,9 @@
     let mut local_router = pool(&engines());
     local_router.add_peer_prefixes(&received, START);
     local_router.set_peer_load(|name| if *name == third.server { 40 } else { 1 });
-    let place = admit(&mut local_router, 7, 2);
-    assert_ne!(place.server, third.server);
-    assert_eq!(place.source, Some(third.address));
+    let placement = admit(&mut local_router, 7, 2);
+    assert_ne!(placement.server, third.server);
+    assert_eq!(placement.source, Some(third.address));
 }
 
 /// A server restarts with the same name and address. Its cache is empty, and a prompt
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 
 use gateway::{
-    pool::{Demand, Denial, Fleet, Part, Place, Pool},
+    pool::{Demand, Denial, Fleet, Part, Placement, Pool},
     roster, route,
     settings::Bounds,
     source::Member,
@@ -122,17 +122,17 @@
 }
 
 /// Places a request of a topic.
-pub fn admit(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Result<Place, Denial> {
+pub fn admit(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Result<Placement, Denial> {
     pool.admit(&demand(topic, own), &fleet(), now)
 }
 
 /// Places a request and records its first byte.
-pub fn run(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Place {
-    let place = admit(pool, topic, own, now).expect("a place");
-    let server = pool.server_mut(&place.server).expect("the server");
-    server.end_prefill(place.uncached);
+pub fn run(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Placement {
+    let placement = admit(pool, topic, own, now).expect("a place");
+    let server = pool.server_mut(&placement.server).expect("the server");
+    server.end_prefill(placement.uncached);
     server.record_cached(&demand(topic, own).parts, now);
-    place
+    placement
 }
 
 /// Twelve servers in three zones.
