--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -16,7 +16,7 @@
 }
 
 impl Permit {
-    /// Creates the permit for the request of `ticket`, which is sent to `place`.
+    /// Creates the permit for the request of `ticket`, which is sent to `placement`.
     pub fn new(
         ticket: Ticket,
         placement: Placement,
