--- /dev/null
+++ b/crates/gateway/src/crashes.rs
@@ -0,0 +1,133 @@
+//! Detection of requests that crash servers.
+
+use std::time::Duration;
+
+use recovery::{Crash, Standing, Strike, Suspects};
+use units::{backend, request::Fingerprint, time::Instant};
+
+/// How long after a connection broke a crash of its server may be confirmed.
+///
+/// A crashed server refuses connections immediately, and its entry in the store changes
+/// within a few heartbeats of about a second.
+const CONFIRM_WITHIN: Duration = Duration::from_secs(6);
+/// How long a strike is sent to other routers: several gossip rounds.
+const GOSSIP_FOR: Duration = Duration::from_secs(3);
+/// The most strikes in one datagram.
+const MAX_STRIKES_PER_DATAGRAM: usize = 8;
+/// The number of crashes after which a request is refused by all routers.
+///
+/// A crash breaks all requests in flight at the server, not only the one that caused
+/// it. A harmless request may be hit twice within a bad minute.
+const STRIKE_LIMIT: usize = 3;
+
+/// A request whose connection broke and which may have crashed the server.
+#[derive(Clone, Debug)]
+struct BrokenRequest {
+    fingerprint: Fingerprint,
+    server: backend::Server,
+    born: u64,
+    began_at: Instant,
+    expires_at: Instant,
+}
+
+/// Tracks requests that are suspected of crashing servers.
+///
+/// A broken connection alone is weak evidence, since connections are reset for many
+/// reasons. It counts once the server refuses connections or restarts.
+#[derive(Debug)]
+pub struct CrashTracker {
+    suspects: Suspects,
+    broken: Vec<BrokenRequest>,
+    recent_strikes: Vec<(Strike, Instant)>,
+}
+
+impl Default for CrashTracker {
+    fn default() -> Self {
+        let settings = recovery::Settings {
+            refuse_at_strikes: STRIKE_LIMIT,
+            ..recovery::Settings::default()
+        };
+        Self {
+            suspects: Suspects::new(settings),
+            broken: Vec::new(),
+            recent_strikes: Vec::new(),
+        }
+    }
+}
+
+impl CrashTracker {
+    /// Whether a request is refused because it is suspected of having crashed several
+    /// servers.
+    pub fn is_refused(&self, fingerprint: Fingerprint, now: Instant) -> bool {
+        matches!(
+            self.suspects.standing(fingerprint, now),
+            Standing::Refused(_)
+        )
+    }
+
+    /// Records that the connection to a server broke during a request that was sent at
+    /// `began_at`.
+    pub fn record_broken(
+        &mut self,
+        fingerprint: Fingerprint,
+        server: &backend::Server,
+        born: u64,
+        began_at: Instant,
+        now: Instant,
+    ) {
+        self.broken.retain(|request| now < request.expires_at);
+        self.broken.push(BrokenRequest {
+            fingerprint,
+            server: server.clone(),
+            born,
+            began_at,
+            expires_at: now + CONFIRM_WITHIN,
+        });
+    }
+
+    /// Records that a request completed, which clears it of suspicion.
+    pub fn record_completed(&mut self, fingerprint: Fingerprint) {
+        self.suspects.record_completion(fingerprint);
+    }
+
+    /// Records that the incarnation `born` of a server has ended. Returns the number of
+    /// requests that get a strike for it.
+    pub fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) -> usize {
+        let matches = |request: &BrokenRequest| request.server == *server && request.born == born;
+        let (matching, rest): (Vec<_>, Vec<_>) = self.broken.drain(..).partition(matches);
+        self.broken = rest;
+        let crash = Crash::new(server, born);
+        let mut count = 0;
+        for request in matching.iter().filter(|request| now < request.expires_at) {
+            let strike = Strike {
+                fingerprint: request.fingerprint,
+                crash,
+            };
+            if let Some(strike) = self.suspects.record_crash(strike, request.began_at, now) {
+                self.recent_strikes.push((strike, now + GOSSIP_FOR));
+                count += 1;
+            }
+        }
+        count
+    }
+
+    /// Merges strikes received from another router.
+    pub fn merge(&mut self, strikes: &[Strike], now: Instant) {
+        for &strike in strikes {
+            if self.suspects.apply_strike(strike, now) {
+                self.recent_strikes.push((strike, now + GOSSIP_FOR));
+            }
+        }
+    }
+
+    /// The strikes to send to other routers.
+    pub fn strikes_to_send(&mut self, now: Instant) -> Vec<Strike> {
+        self.recent_strikes.retain(|&(_, until)| now < until);
+        let latest = self
+            .recent_strikes
+            .iter()
+            .rev()
+            .take(MAX_STRIKES_PER_DATAGRAM);
+        latest.map(|&(strike, _)| strike).collect()
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/dispatch/peers.rs
@@ -0,0 +1,90 @@
+//! The loads of other routers, and the state sent to them.
+
+use std::collections::HashMap;
+
+use units::{host, time::Instant};
+
+use super::{Dispatch, Load};
+use crate::{load, outlier::OutcomeCounts, pool::Standing, prefixes::CachedPrefix};
+
+impl Dispatch {
+    /// Stores the loads reported by another router.
+    ///
+    /// In a large fleet, aggregated loads replace them, and most routers report none
+    /// here. Summing up thousands of servers for each of forty datagrams per second
+    /// would cost more CPU time than the requests themselves.
+    pub(super) fn set_peer_loads(&mut self, host: host::Id, loads: Vec<load::Load>, now: Instant) {
+        let has_changed = !loads.is_empty()
+            || self
+                .peer_loads
+                .get(&host)
+                .is_some_and(|old| !old.is_empty());
+        self.peer_loads.insert(host, loads);
+        if now < self.aggregate_until {
+            return;
+        }
+        // The aggregators have stopped sending; their last sums must not stay in
+        // effect.
+        let has_expired = !self.aggregate.is_empty();
+        self.aggregate.clear();
+        if has_changed || has_expired {
+            self.sum_peers();
+        }
+    }
+
+    /// Sums up the loads of other routers and runs outlier detection on the result.
+    pub(super) fn sum_peers(&mut self) {
+        let now = self.clock.now();
+        let mut sums: HashMap<u32, (u32, OutcomeCounts)> = HashMap::new();
+        let is_current = now < self.aggregate_until;
+        let individual = self.peer_loads.values().flatten().filter(|_| !is_current);
+        let aggregated = self.aggregate.iter().filter(|_| is_current);
+        for load in individual.chain(aggregated) {
+            let (running, outcomes) = sums.entry(load.server).or_default();
+            *running += u32::from(load.running);
+            *outcomes = *outcomes + load.outcomes;
+        }
+        for (name, queue) in &mut self.queues {
+            let pool = queue.pool_mut();
+            pool.set_peer_state(|hash| sums.get(&hash).copied().unwrap_or_default());
+            for (server, outcomes) in pool.detect_outliers(now) {
+                self.metrics.stands(Standing::Ejected);
+                logging::event!(
+                    info,
+                    "server_judged",
+                    server = server,
+                    pool = name,
+                    standing = Standing::Ejected,
+                    failed_sixteenths = outcomes.failed,
+                    completed_sixteenths = outcomes.completed
+                );
+            }
+        }
+        self.dequeue_all();
+    }
+
+    /// Adds prefixes that servers have cached for requests of other routers.
+    pub(super) fn add_peer_prefixes(&mut self, prefixes: &[CachedPrefix], now: Instant) {
+        logging::event!(debug, "reads_heard", count = prefixes.len());
+        for queue in self.queues.values_mut() {
+            queue.pool_mut().add_peer_prefixes(prefixes, now);
+        }
+    }
+
+    /// The loads that this router reports to others.
+    pub(super) fn loads(&self) -> Vec<Load> {
+        let now = self.clock.now();
+        let servers = self
+            .queues
+            .values()
+            .flat_map(|queue| queue.pool().servers());
+        let loads = servers.map(|server| Load {
+            server: server.name().clone(),
+            running: server.running(),
+            outcomes: server.outcomes(now),
+        });
+        loads
+            .filter(|load| load.running > 0 || !load.outcomes.is_empty())
+            .collect()
+    }
+}
--- a/crates/gateway/src/dispatch/permit.rs
+++ b/crates/gateway/src/dispatch/permit.rs
@@ -1,68 +1,73 @@
-//! The right to have one request at one backend server.
+//! A permit to send one request to one backend server.
 
 use tokio::sync::mpsc;
 use units::time::Instant;
 
 use super::{Message, Ticket};
-use crate::pool::{Outcome, Place};
+use crate::pool::{Outcome, Placement};
 
-/// A place at a backend server. Dropped without an outcome, it counts as cancelled.
+/// A slot at a backend server. If it is dropped without an outcome, the request counts
+/// as cancelled.
 #[derive(Debug)]
 pub struct Permit {
     ticket: Option<Ticket>,
-    place: Place,
-    handle: mpsc::UnboundedSender<Message>,
+    placement: Placement,
+    sender: mpsc::UnboundedSender<Message>,
 }
 
 impl Permit {
-    /// The permit for `ticket`, whose request goes to `place`.
-    pub fn new(ticket: Ticket, place: Place, handle: mpsc::UnboundedSender<Message>) -> Self {
+    /// Creates the permit for the request of `ticket`, which is sent to `placement`.
+    pub fn new(
+        ticket: Ticket,
+        placement: Placement,
+        sender: mpsc::UnboundedSender<Message>,
+    ) -> Self {
         Self {
             ticket: Some(ticket),
-            place,
-            handle,
+            placement,
+            sender,
         }
     }
 
-    /// Where the request goes, and why.
-    pub fn place(&self) -> &Place {
-        &self.place
+    /// The chosen server and the state the choice was based on.
+    pub fn placement(&self) -> &Placement {
+        &self.placement
     }
 
-    /// The connection to the server came about.
+    /// Records that the connection to the server was established.
     pub fn connected(&mut self, now: Instant) {
         if let Some(ticket) = &mut self.ticket {
             ticket.connected_at = Some(now);
         }
     }
 
-    /// The first byte of the answer has come.
+    /// Records that the first byte of the response has arrived.
     pub fn first_byte(&mut self) {
         let Some(ticket) = &mut self.ticket else {
             return;
         };
-        if !ticket.is_read {
-            ticket.is_read = true;
-            // The task ends only with the process.
-            drop(self.handle.send(Message::FirstByte(ticket.clone())));
+        if !ticket.has_first_byte {
+            ticket.has_first_byte = true;
+            // The dispatch task runs as long as the process.
+            drop(self.sender.send(Message::FirstByte(ticket.clone())));
         }
     }
 
-    /// Gives the place back.
+    /// Frees the slot and records the outcome of the request.
     pub fn end(mut self, outcome: Outcome) {
-        self.give_back(outcome);
+        self.release(outcome);
     }
 
-    fn give_back(&mut self, outcome: Outcome) {
+    fn release(&mut self, outcome: Outcome) {
         if let Some(ticket) = self.ticket.take() {
-            // The task ends only with the process.
-            drop(self.handle.send(Message::Ended(ticket, outcome)));
+            // The dispatch task runs as long as the process.
+            drop(self.sender.send(Message::Ended(ticket, outcome)));
         }
     }
 }
 
 impl Drop for Permit {
     fn drop(&mut self) {
-        self.give_back(Outcome::Cancelled);
+        self.release(Outcome::Cancelled);
     }
 }
--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -60,7 +60,7 @@
             zone: sum.zone,
             routers: sum.routers,
             loads: self.zone_reporter.next(&sum.loads, now),
-            reads: self.zone_reads.news(now),
+            reads: self.zone_reads.updates(now),
         };
         let own_zone = self.inputs.own.zone.clone();
         for zone in zones.into_iter().filter(|zone| **zone != own_zone) {
@@ -72,7 +72,7 @@
 
     async fn send_total(&mut self, routers: u16, total: &[Load], now: Instant) {
         let loads = self.fleet_reporter.next(total, now);
-        let reads = self.fleet_reads.news(now);
+        let reads = self.fleet_reads.updates(now);
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
         let same_zone: Vec<&Member> = members
@@ -101,7 +101,7 @@
             return;
         };
         let hash = sums::hash(member.host.as_str());
-        let loads = self.peer_loads.entry(hash).or_default().take(report);
+        let loads = self.peer_loads.entry(hash).or_default().apply(report);
         self.sums
             .record_router(member.host, loads, self.clock.now());
     }
@@ -116,7 +116,7 @@
         for aggregators in self.aggregators.values_mut() {
             aggregators.sum_received(hash, now);
         }
-        let loads = self.peer_loads.entry(hash).or_default().take(loads);
+        let loads = self.peer_loads.entry(hash).or_default().apply(loads);
         let sum = ZoneSum {
             zone,
             routers,
@@ -141,7 +141,7 @@
             .sum_received(total.aggregator, now);
         self.relay_total(&total).await;
         self.apply_reads(total.reads);
-        let loads = self.fleet_loads.take(total.loads);
+        let loads = self.fleet_loads.apply(total.loads);
         let (known_routers, expires_at) = self.fleet_routers;
         if now < expires_at && sums::is_partial(total.routers, known_routers) {
             return;
@@ -171,6 +171,6 @@
 
     fn publish_loads(&self, total: &[Load]) {
         let others = sums::subtract(total, &self.own_loads);
-        self.notify_dispatch(dispatch::Message::Others(others));
+        self.notify_dispatch(dispatch::Message::Aggregate(others));
     }
 }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -7,7 +7,7 @@
 use crate::{
     dispatch,
     load::{self, Load, Report},
-    reads::Read,
+    prefixes::CachedPrefix,
     source::Topic,
 };
 
@@ -70,7 +70,7 @@
     /// Requests that servers recently died of.
     pub strikes: Vec<recovery::Strike>,
     /// Prompts that servers have just read.
-    pub reads: Vec<Read>,
+    pub reads: Vec<CachedPrefix>,
 }
 
 /// The content of a datagram.
@@ -83,7 +83,7 @@
         /// The loads.
         loads: Report,
         /// Prompts that servers have just read for the sender.
-        reads: Vec<Read>,
+        reads: Vec<CachedPrefix>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
     ZoneSum {
@@ -94,7 +94,7 @@
         /// The summed loads.
         loads: Report,
         /// Prompts that servers have just read for these routers.
-        reads: Vec<Read>,
+        reads: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
     FleetTotal(FleetTotal),
@@ -110,7 +110,7 @@
     /// The summed loads.
     pub loads: Report,
     /// Prompts that servers have just read, anywhere in the fleet.
-    pub reads: Vec<Read>,
+    pub reads: Vec<CachedPrefix>,
     /// The hashes of the routers to which the receiver relays the total.
     pub relay_to: Vec<u32>,
 }
@@ -146,7 +146,7 @@
     }
 
     /// Adds the loads and the prompts that servers have read.
-    pub fn with_loads(self, loads: Report, reads: Vec<Read>) -> Self {
+    pub fn with_loads(self, loads: Report, reads: Vec<CachedPrefix>) -> Self {
         Self {
             loads: Some(loads),
             reads,
@@ -160,7 +160,7 @@
     let loads = all.iter().map(|load| Load {
         server: Load::hash(&load.server),
         running: u16::try_from(load.running).unwrap_or(u16::MAX),
-        ends: load.ends,
+        outcomes: load.outcomes,
     });
     load::busiest(loads.collect(), MAX_SERVERS)
 }
@@ -182,7 +182,7 @@
         }
     }
 
-    fn reads_mut(&mut self) -> &mut Vec<Read> {
+    fn reads_mut(&mut self) -> &mut Vec<CachedPrefix> {
         match self {
             Self::Digest(Digest { reads, .. })
             | Self::Loads { reads, .. }
--- a/crates/gateway/src/peers/sums.rs
+++ b/crates/gateway/src/peers/sums.rs
@@ -10,8 +10,8 @@
 use xxhash_rust::xxh3;
 
 use crate::{
-    evidence::Ends,
     load::{Load, busiest},
+    outlier::OutcomeCounts,
 };
 
 /// How long the loads of a router or zone are counted after they were received: three
@@ -107,13 +107,13 @@
             running: load
                 .running
                 .saturating_sub(part.map_or(0, |part| part.running)),
-            ends: load
-                .ends
-                .without(part.map_or(Ends::default(), |part| part.ends)),
+            outcomes: load
+                .outcomes
+                .saturating_sub(part.map_or(OutcomeCounts::default(), |part| part.outcomes)),
         }
     });
     others
-        .filter(|load| load.running > 0 || !load.ends.is_empty())
+        .filter(|load| load.running > 0 || !load.outcomes.is_empty())
         .collect()
 }
 
@@ -132,10 +132,10 @@
         let sum = sums.entry(load.server).or_insert(Load {
             server: load.server,
             running: 0,
-            ends: Ends::default(),
+            outcomes: OutcomeCounts::default(),
         });
         sum.running = sum.running.saturating_add(load.running);
-        sum.ends = sum.ends + load.ends;
+        sum.outcomes = sum.outcomes + load.outcomes;
     }
     busiest(sums.into_values().collect(), MAX_SERVERS)
 }
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -20,8 +20,8 @@
     clock::Clock,
     dispatch,
     follow::Event,
-    load::{Heard, Load, Teller},
-    reads::{Read, Reads},
+    load::{Load, ReportDecoder, ReportEncoder},
+    prefixes::{CachedPrefix, PrefixUpdates},
     replica::Replica,
     source::{Member, Source, Topic},
 };
@@ -52,20 +52,20 @@
     pub(super) aggregators: BTreeMap<availability::Zone, Aggregators>,
     /// The loads last received from each peer, or the zone sum if it is an aggregator of
     /// another zone, by the hash of its host name.
-    pub(super) peer_loads: BTreeMap<u32, Heard>,
+    pub(super) peer_loads: BTreeMap<u32, ReportDecoder>,
     /// The fleet total last received from an aggregator of this router's zone.
-    pub(super) fleet_loads: Heard,
+    pub(super) fleet_loads: ReportDecoder,
     /// The number of routers that the last accepted total covers, and when that count
     /// expires.
     pub(super) fleet_routers: (u16, Instant),
-    load_reporter: Teller,
-    pub(super) zone_reporter: Teller,
-    pub(super) fleet_reporter: Teller,
+    load_reporter: ReportEncoder,
+    pub(super) zone_reporter: ReportEncoder,
+    pub(super) fleet_reporter: ReportEncoder,
     /// Prompts that servers have read for routers of this zone, to be relayed if this
     /// router is an aggregator.
-    pub(super) zone_reads: Reads,
+    pub(super) zone_reads: PrefixUpdates,
     /// Prompts that servers have read for any router of the fleet, to be relayed likewise.
-    pub(super) fleet_reads: Reads,
+    pub(super) fleet_reads: PrefixUpdates,
     watchers: Watchers,
     socket: UdpSocket,
     pub(super) inputs: Inputs,
@@ -112,13 +112,13 @@
             own_loads: Vec::new(),
             aggregators: BTreeMap::new(),
             peer_loads: BTreeMap::new(),
-            fleet_loads: Heard::default(),
+            fleet_loads: ReportDecoder::default(),
             fleet_routers: (0, Instant::ZERO),
-            load_reporter: Teller::default(),
-            zone_reporter: Teller::default(),
-            fleet_reporter: Teller::default(),
-            zone_reads: Reads::default(),
-            fleet_reads: Reads::default(),
+            load_reporter: ReportEncoder::default(),
+            zone_reporter: ReportEncoder::default(),
+            fleet_reporter: ReportEncoder::default(),
+            zone_reads: PrefixUpdates::default(),
+            fleet_reads: PrefixUpdates::default(),
             watchers: Watchers::new(&inputs.own.host, boot.0),
             socket,
             inputs,
@@ -263,7 +263,7 @@
         let digest = if self.is_large() {
             digest
         } else {
-            digest.with_loads(report.clone(), state.reads.clone())
+            digest.with_loads(report.clone(), state.prefixes.clone())
         };
         for member in self.targets(count) {
             self.send_to(&Frame::Digest(digest.clone()), &member).await;
@@ -271,10 +271,10 @@
         if !self.is_large() {
             return;
         }
-        self.queue_reads(&state.reads, now);
+        self.queue_reads(&state.prefixes, now);
         let frame = Frame::Loads {
             loads: report,
-            reads: state.reads,
+            reads: state.prefixes,
         };
         for member in self.own_aggregators() {
             self.send_to(&frame, &member).await;
@@ -317,9 +317,9 @@
             .fold(0, |checksum, replica| checksum ^ replica.checksum())
     }
 
-    async fn local_state(&self) -> dispatch::News {
+    async fn local_state(&self) -> dispatch::PeerUpdate {
         let (reply, answer) = oneshot::channel();
-        self.notify_dispatch(dispatch::Message::News(reply));
+        self.notify_dispatch(dispatch::Message::PeerUpdate(reply));
         // The dispatch task lives as long as the process.
         answer.await.unwrap_or_default()
     }
@@ -364,7 +364,7 @@
             }) => {
                 let tag = opened.tag;
                 self.receive_sum(tag, zone, routers, loads);
-                self.fleet_reads.pass_on(&reads, now);
+                self.fleet_reads.forward(&reads, now);
                 self.apply_reads(reads);
             }
             Ok(Frame::FleetTotal(total)) => self.receive_total(total).await,
@@ -393,16 +393,16 @@
 
     /// Queues prompts read for routers of this zone, to be relayed to the zone and the
     /// fleet.
-    fn queue_reads(&mut self, reads: &[Read], now: Instant) {
-        self.zone_reads.pass_on(reads, now);
-        self.fleet_reads.pass_on(reads, now);
+    fn queue_reads(&mut self, reads: &[CachedPrefix], now: Instant) {
+        self.zone_reads.forward(reads, now);
+        self.fleet_reads.forward(reads, now);
     }
 
     /// Passes prompts that servers read for other routers on to the task that selects
     /// servers.
-    pub(super) fn apply_reads(&self, reads: Vec<Read>) {
+    pub(super) fn apply_reads(&self, reads: Vec<CachedPrefix>) {
         if !reads.is_empty() {
-            self.notify_dispatch(dispatch::Message::Reads(reads));
+            self.notify_dispatch(dispatch::Message::CachedPrefixes(reads));
         }
     }
 
@@ -447,7 +447,7 @@
             return has_update;
         };
         let hash = sums::hash(digest.host.as_str());
-        let loads = self.peer_loads.entry(hash).or_default().take(report);
+        let loads = self.peer_loads.entry(hash).or_default().apply(report);
         self.sums
             .record_router(digest.host.clone(), loads.clone(), now);
         self.notify_dispatch(dispatch::Message::Peer(digest.host, loads));
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -1,9 +1,9 @@
-//! Which backend server of one service takes a request.
+//! Placement: chooses the backend server of a service that receives a request.
 
 pub mod connect;
 mod copies;
 mod cost;
-mod others;
+mod peers;
 
 mod server;
 mod zone;
@@ -16,12 +16,12 @@
 
 pub use server::{Outcome, Server};
 
-use crate::{fence, roster, route, settings::Bounds};
+use crate::{roster, route, settings::Bounds, slow_start};
 
-/// One part of a prompt; parts that requests share have the same key.
+/// One part of a prompt; requests with a common prefix have parts with the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Part {
-    /// What names it.
+    /// The key that identifies the part.
     pub key: chat::Key,
     /// Its length, in tokens.
     pub tokens: u32,
@@ -37,62 +37,64 @@
 /// The parts of a prompt, in order.
 pub type Parts = SmallVec<[Part; 4]>;
 
-/// What placement needs to know of a request.
+/// The properties of a request that placement depends on.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Demand {
     /// The prompt; empty for a plain service.
     pub parts: Parts,
-    /// Servers that had the request before.
+    /// Servers to which earlier attempts of the request were sent.
     pub tried: SmallVec<[backend::Server; 2]>,
-    /// Whether a part of each server's slots is kept free for others.
-    pub is_modest: bool,
+    /// Whether the request must leave some slots of each server to other workspaces.
+    pub leaves_reserve: bool,
 }
 
-/// The routers that share bounds.
+/// The routers that share the limits of a service.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fleet {
     /// This router.
     pub own: host::Id,
-    /// All routers that are registered, this one included once it is.
+    /// All registered routers, including this one once it has registered.
     pub members: Vec<host::Id>,
 }
 
-/// Where a request goes.
+/// The server chosen for a request, and the state the choice was based on.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Place {
-    /// The server.
+pub struct Placement {
+    /// The name of the server.
     pub server: backend::Server,
     /// Its availability zone.
     pub zone: availability::Zone,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddr,
-    /// The start of the server that the request is meant for.
+    /// The incarnation of the server for which the request is meant.
     pub born: u64,
-    /// Prompt tokens that the server has not read, as far as known.
-    pub unread: Cost,
-    /// A server that may have read more of the prompt.
+    /// Prompt tokens that are not known to be in the server's cache.
+    pub uncached: Cost,
+    /// A server from which more of the prompt's cache may be copied.
     pub source: Option<SocketAddr>,
-    /// Requests of all routers at the server, as far as known, this one included.
+    /// Requests in flight at the server from all routers, including this one; peers'
+    /// counts may be stale.
     pub load: u32,
-    /// The most requests that the server may hold now.
+    /// The load bound of the server at the time of placement.
     pub bound: f64,
-    /// When a connection to it has to have come about.
-    pub connect_by: Instant,
+    /// The deadline for establishing the connection to the server.
+    pub connect_deadline: Instant,
 }
 
-/// What is believed of a server.
+/// The state of a server as this router sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It takes requests.
+    /// The server receives requests.
     Sound,
-    /// It refused a connection, and is left alone for a while.
+    /// The last connection attempt failed; the server receives no requests during the
+    /// backoff.
     Away,
-    /// It failed too often, and is left alone for a while.
+    /// Outlier detection ejected the server for a time.
     Ejected,
 }
 
 impl Standing {
-    /// Its name in logs and metrics.
+    /// The name used in logs and metrics.
     pub const fn name(self) -> &'static str {
         match self {
             Self::Sound => "sound",
@@ -108,22 +110,26 @@
     }
 }
 
-/// Why no server takes a request now.
+/// The reason why no server can take a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// No server of the service is known, or all have been tried.
-    Empty,
-    /// All are in zones that cannot be reached; the first of these is tried again then.
-    Away(Instant),
-    /// All are at their limit.
+    /// The service has no known server, or all of them have been tried.
+    NoServer,
+    /// All servers are in unreachable zones; the first of these zones is probed at this
+    /// instant.
+    ZonesUnreachable(Instant),
+    /// All servers are at their load bound or have no free slot.
     Full,
-    /// Those that have room are cold and have had their share; one opens then.
-    Cold(Instant),
+    /// The servers with free slots are cold and this router's slow-start share is used
+    /// up; the next request may be sent at this instant.
+    SlowStart(Instant),
 }
 
-/// How much of the room above the mean is used, since peers' loads are late.
-const BOUND_USED: f64 = 0.75;
-/// Requests above the multiple of the mean that the deployment allows.
+/// The fraction of the headroom above the mean load that this router uses. The rest
+/// covers the delay with which peers report their loads.
+const BOUND_HEADROOM_USED: f64 = 0.75;
+/// Requests that a server may hold in addition to the configured multiple of the mean
+/// load.
 const BOUND_EXTRA: f64 = 3.0;
 
 /// The servers of one service.
@@ -134,14 +140,14 @@
     service: route::Service,
     servers: BTreeMap<backend::Server, Server>,
     ejection: OutlierDetector,
-    ways: zone::Ways,
+    zone_tracker: zone::ZoneTracker,
 }
 
 impl Pool {
-    /// A pool without servers, seen from `zone`.
+    /// Creates a pool without servers for a router in `zone`.
     pub fn new(zone: availability::Zone, bounds: Bounds) -> Self {
         let settings = recovery::Settings {
-            base_ejection_time: EJECTION,
+            base_ejection_time: BASE_EJECTION,
             max_ejection_time: MAX_EJECTION,
             ..recovery::Settings::default()
         };
@@ -154,21 +160,22 @@
             },
             servers: BTreeMap::new(),
             ejection: OutlierDetector::new(settings),
-            ways: zone::Ways::default(),
+            zone_tracker: zone::ZoneTracker::default(),
         }
     }
 
-    /// Takes over what the configuration says of the service.
+    /// Applies the configuration of the service.
     pub fn set_service(&mut self, service: route::Service) {
         self.service = service;
     }
 
-    /// Takes over new bounds.
+    /// Applies new bounds.
     pub fn set_bounds(&mut self, bounds: Bounds) {
         self.bounds = bounds;
     }
 
-    /// Sets the registered servers, each with whether it gets nothing new.
+    /// Replaces the registered servers. Each entry carries a flag that says whether the
+    /// server is leaving and must get no new requests.
     pub fn set_servers<'a>(&mut self, entries: impl Iterator<Item = (&'a roster::Entry, bool)>) {
         let mut old = std::mem::take(&mut self.servers);
         for (entry, is_leaving) in entries {
@@ -183,27 +190,32 @@
         self.ejection.set_servers(zones);
     }
 
-    /// Chooses a server and counts the request there.
+    /// Chooses a server for a request and counts the request as in flight there.
     ///
     /// # Errors
     ///
-    /// Why there is none.
-    pub fn admit(&mut self, demand: &Demand, fleet: &Fleet, now: Instant) -> Result<Place, Denial> {
+    /// Returns the reason if no server can take the request now.
+    pub fn admit(
+        &mut self,
+        demand: &Demand,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Placement, Denial> {
         let choice = self.choose(demand, fleet, now)?;
-        let share = self.cold_share(&choice, fleet, now);
+        let share = self.slow_start_share(&choice, fleet, now);
         let source = self.source(&choice, demand, now);
         let bound = self.bound(now);
-        let server = self.servers.get_mut(&choice).ok_or(Denial::Empty)?;
-        let unread = Cost(server.unread(&demand.parts, now));
-        server.admit(unread, share, now);
-        self.ways.chosen(server.zone(), now);
-        Ok(Place {
-            connect_by: now + self.ways.connect_limit(server.zone()),
+        let server = self.servers.get_mut(&choice).ok_or(Denial::NoServer)?;
+        let uncached = Cost(server.uncached(&demand.parts, now));
+        server.admit(uncached, share, now);
+        self.zone_tracker.record_choice(server.zone(), now);
+        Ok(Placement {
+            connect_deadline: now + self.zone_tracker.connect_timeout(server.zone()),
             zone: server.zone().clone(),
             address: server.address(),
             born: server.born(),
             server: choice,
-            unread,
+            uncached,
             source,
             load: server.load(),
             bound,
@@ -221,158 +233,170 @@
             servers.filter(|server| !demand.tried.contains(server.name()))
         };
         let is_panicking = self.ejection.is_in_panic_mode(now);
-        let sound = |server: &&Server| {
+        let is_available = |server: &&Server| {
             server.is_reachable(now)
-                && !self.ways.is_away(server.zone(), now)
+                && !self.zone_tracker.is_in_backoff(server.zone(), now)
                 && (is_panicking || !self.ejection.is_failing(server.name(), now))
         };
-        let mut candidates: Vec<&Server> = untried().filter(sound).collect();
+        let mut candidates: Vec<&Server> = untried().filter(is_available).collect();
         if candidates.is_empty() {
-            // What failed lately is still better than a refusal.
-            let near = untried().filter(|server| !self.is_cut_off(server, now));
-            candidates = near.collect();
+            // A server that failed recently is preferable to refusing the request.
+            let reachable = untried().filter(|server| !self.is_cut_off(server, now));
+            candidates = reachable.collect();
         }
         if candidates.is_empty() {
-            return Err(self.nobody(untried(), now));
+            return Err(self.no_candidate(untried(), now));
         }
         let bound = self.bound(now);
-        // Requests of a plain service are over before others hear of them. Counted,
-        // they would keep requests waiting for slots that are free. A server that
-        // is full says so.
-        let counts_others = self.service.cache_tokens > 0;
+        // Requests to a plain service complete before peers report them. Counting the
+        // reported ones would queue requests although slots are free. A server that is
+        // full rejects the request itself.
+        let counts_peers = self.service.cache_tokens > 0;
         candidates.retain(|server| {
-            server.has_room(demand.is_modest, counts_others)
+            server.has_room(demand.leaves_reserve, counts_peers)
                 && f64::from(server.load() + 1) <= bound
         });
         if candidates.is_empty() {
             return Err(Denial::Full);
         }
-        let opens_at = candidates
+        let slow_start_ready_at = candidates
             .iter()
-            .filter(|server| self.is_fenced(server, fleet, now))
-            .map(|server| server.opens_at())
+            .filter(|server| self.is_slow_start_limited(server, fleet, now))
+            .map(|server| server.slow_start_ready_at())
             .min();
-        candidates.retain(|server| !self.is_fenced(server, fleet, now));
+        candidates.retain(|server| !self.is_slow_start_limited(server, fleet, now));
         let best = self.cheapest(&candidates, demand, now);
-        best.ok_or(Denial::Cold(opens_at.unwrap_or(now)))
+        best.ok_or(Denial::SlowStart(slow_start_ready_at.unwrap_or(now)))
     }
 
-    /// Whether a server is in a zone that cannot be reached.
+    /// Whether a server is in a remote zone that is unreachable.
     ///
-    /// One after the other, each of its servers would keep a request for as long as
-    /// a connection may take. The router's own zone is never taken for cut off.
+    /// Trying its servers in turn would cost the request a full connect timeout for
+    /// each. The router's own zone is never treated as unreachable.
     fn is_cut_off(&self, server: &Server, now: Instant) -> bool {
-        *server.zone() != self.zone && self.ways.is_away(server.zone(), now)
+        *server.zone() != self.zone && self.zone_tracker.is_in_backoff(server.zone(), now)
     }
 
-    /// Why none of `servers` may be tried.
-    fn nobody<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
-        let returns = servers.map(|server| self.ways.away_until(server.zone()));
-        let first = returns.min();
-        first.map_or(Denial::Empty, |at| Denial::Away(at.max(now)))
+    /// The reason why none of `servers` can be tried.
+    fn no_candidate<'a>(&self, servers: impl Iterator<Item = &'a Server>, now: Instant) -> Denial {
+        let retry_times = servers.map(|server| self.zone_tracker.backoff_until(server.zone()));
+        let first = retry_times.min();
+        first.map_or(Denial::NoServer, |at| Denial::ZonesUnreachable(at.max(now)))
     }
 
-    /// The most requests that one server may hold at `now`.
+    /// The load bound at `now`: the most requests that one server may hold.
     ///
-    /// The mean is that of all servers of the service, also of those that get
-    /// nothing new. When few are left, requests wait although these have slots:
-    /// the bound has no exception for that.
+    /// The mean covers all servers of the service, including those that are draining.
+    /// If only a few servers remain active, requests queue although these have free
+    /// slots; the bound makes no exception.
     ///
-    /// Servers of zones that cannot be reached do not count. Their loads are not
-    /// known then, and taken for none they would make callers of a zone that was
-    /// cut off wait beside free slots.
+    /// Servers in unreachable zones are left out. Their load is unknown, and counting
+    /// it as zero would lower the bound so far that requests in a partitioned zone
+    /// queue while slots are free.
     pub fn bound(&self, now: Instant) -> f64 {
-        let is_known = |server: &&Server| !self.ways.is_unknown(server.zone(), now);
-        let all = if self.servers.values().any(|server| is_known(&server)) {
-            mean(self.servers.values().filter(is_known))
+        let has_known_load = |server: &&Server| !self.zone_tracker.is_unknown(server.zone(), now);
+        let mean_load = if self.servers.values().any(|server| has_known_load(&server)) {
+            mean(self.servers.values().filter(has_known_load))
         } else {
             mean(self.servers.values())
         };
-        let above = (self.bounds.load_multiple - 1.0) * all + BOUND_EXTRA;
-        all + above * BOUND_USED
+        let headroom = (self.bounds.load_multiple - 1.0) * mean_load + BOUND_EXTRA;
+        mean_load + headroom * BOUND_HEADROOM_USED
     }
 
-    fn cold_bound(&self) -> fence::Bound {
+    fn slow_start_limit(&self) -> slow_start::RateLimit {
         let rate = self.service.cold_per_s;
-        fence::Bound {
+        slow_start::RateLimit {
             rate,
-            most: rate * self.bounds.cold_multiple + self.bounds.cold_extra,
+            max_per_s: rate * self.bounds.cold_multiple + self.bounds.cold_extra,
         }
     }
 
-    fn cold_share(
+    fn slow_start_share(
         &self,
         server: &backend::Server,
         fleet: &Fleet,
         now: Instant,
-    ) -> Option<fence::Share> {
+    ) -> Option<slow_start::Share> {
         let is_cold = self.servers.get(server)?.is_cold(now);
         if !is_cold || self.service.cold_per_s <= 0.0 {
             return None;
         }
-        fence::share(self.cold_bound(), &fleet.own, &fleet.members, server)
+        slow_start::share(self.slow_start_limit(), &fleet.own, &fleet.members, server)
     }
 
-    fn is_fenced(&self, server: &Server, fleet: &Fleet, now: Instant) -> bool {
+    fn is_slow_start_limited(&self, server: &Server, fleet: &Fleet, now: Instant) -> bool {
         if !server.is_cold(now) || self.service.cold_per_s <= 0.0 {
             return false;
         }
-        let share = fence::share(self.cold_bound(), &fleet.own, &fleet.members, server.name());
-        share.is_none() || !server.is_open(now)
+        let share = slow_start::share(
+            self.slow_start_limit(),
+            &fleet.own,
+            &fleet.members,
+            server.name(),
+        );
+        share.is_none() || !server.is_slow_start_ready(now)
     }
 
-    /// The candidate with the least expected time to the first byte.
+    /// The candidate with the lowest expected time to first byte.
     fn cheapest(
         &self,
         candidates: &[&Server],
         demand: &Demand,
         now: Instant,
     ) -> Option<backend::Server> {
-        let staying = self.servers.values().filter(|server| !server.is_leaving());
-        let order = cost::Order::new(&demand.parts, staying);
+        let active = self.servers.values().filter(|server| !server.is_leaving());
+        let ranking = cost::Ranking::new(&demand.parts, active);
         let cost = |server: &&Server| {
-            let place = order.as_ref().map(|order| order.place(server));
-            cost::time_us(server, &self.zone, &demand.parts, place, now)
+            let position = ranking.as_ref().map(|ranking| ranking.position(server));
+            cost::time_us(server, &self.zone, &demand.parts, position, now)
         };
         let best = candidates.iter().min_by_key(|server| cost(server))?;
         Some(best.name().clone())
     }
 
-    /// Until then every server may have turned cold, or started anew, unnoticed.
-    pub fn doubt(&mut self, until: Instant) {
+    /// Treats all servers as cold until `until`, since any of them may have restarted
+    /// unnoticed.
+    pub fn assume_cold_until(&mut self, until: Instant) {
         for server in self.servers.values_mut() {
-            server.doubt(until);
+            server.assume_cold_until(until);
         }
     }
 
-    /// A server that this router has sent a request to.
+    /// The server with this name, for recording events of this router's requests.
     pub fn server_mut(&mut self, name: &backend::Server) -> Option<&mut Server> {
         self.servers.get_mut(name)
     }
 
-    /// A connection to `server` came about.
-    pub fn connected(&mut self, name: &backend::Server, time: Duration) {
+    /// Records how long it took to connect to `server`.
+    pub fn record_connect_time(&mut self, name: &backend::Server, time: Duration) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.connected(server.zone(), time);
+            self.zone_tracker.record_connect_time(server.zone(), time);
         }
     }
 
-    /// A connection to `server` was given up at its limit.
-    pub fn timed_out(&mut self, name: &backend::Server, begun_at: Instant, now: Instant) {
+    /// Records that connecting to `server` timed out.
+    pub fn record_connect_timeout(
+        &mut self,
+        name: &backend::Server,
+        begun_at: Instant,
+        now: Instant,
+    ) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.timed_out(server.zone(), begun_at, now);
+            self.zone_tracker
+                .record_connect_timeout(server.zone(), begun_at, now);
         }
     }
 
-    /// The answer of `server` has begun.
-    pub fn answered(&mut self, name: &backend::Server) {
+    /// Records that a response from `server` has begun.
+    pub fn record_response(&mut self, name: &backend::Server) {
         if let Some(server) = self.servers.get(name) {
-            self.ways.answered(server);
+            self.zone_tracker.record_response(server);
         }
     }
 
-    /// The request at `server` has ended. Returns how the server stands with
-    /// that, if it was different before.
+    /// Records that a request at `server` has ended. Returns the new standing of the
+    /// server if it changed.
     pub fn ended(
         &mut self,
         name: &backend::Server,
@@ -383,7 +407,8 @@
         match outcome {
             Outcome::Completed => self.ejection.record_success(name, now),
             Outcome::Failed | Outcome::Broken => self.ejection.record_failure(name, now),
-            // What all routers saw decides on these; a cut would eject whole zones.
+            // These are left to the fleet-wide outlier detection. Counting them here
+            // would eject whole zones during a network partition.
             Outcome::Refused
             | Outcome::Unreachable
             | Outcome::Moved
@@ -391,14 +416,14 @@
             | Outcome::Cancelled => {}
         }
         if let Some(server) = self.servers.get_mut(name) {
-            self.ways.note(server, outcome, now);
+            self.zone_tracker.record_outcome(server, outcome, now);
             server.ended(outcome, now);
         }
         let after = self.standing(name, now);
         (after != before).then_some(after)
     }
 
-    /// What is believed of a server.
+    /// The current state of a server.
     pub fn standing(&self, name: &backend::Server, now: Instant) -> Standing {
         if self.ejection.is_ejected(name, now) {
             return Standing::Ejected;
@@ -409,19 +434,19 @@
         }
     }
 
-    /// Slots of the servers that get work.
+    /// Total slots of the servers that are not leaving.
     pub fn slots(&self) -> u32 {
-        let used = self.servers.values().filter(|server| !server.is_leaving());
-        used.map(Server::slots).sum()
+        let active = self.servers.values().filter(|server| !server.is_leaving());
+        active.map(Server::slots).sum()
     }
 
-    /// The servers, by name.
+    /// All servers, ordered by name.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.values()
     }
 }
 
-/// The mean load of some servers; zero if there are none.
+/// The mean load of the servers; zero if there are none.
 fn mean<'a>(servers: impl Iterator<Item = &'a Server>) -> f64 {
     let (count, load) = servers.fold((0_u32, 0), |(count, load), server| {
         (count + 1, load + server.load())
@@ -429,7 +454,8 @@
     f64::from(load) / f64::from(count.max(1))
 }
 
-/// How long a first ejection lasts: a few of the shortest faults that were seen (4 to 6 s).
-const EJECTION: Duration = Duration::from_millis(1500);
-/// How long the longest ejection lasts.
+/// Duration of the first ejection: a fraction of the shortest faults observed (4 to 6
+/// s).
+const BASE_EJECTION: Duration = Duration::from_millis(1500);
+/// Upper limit of the ejection time.
 const MAX_EJECTION: Duration = Duration::from_secs(6);
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -1,4 +1,4 @@
-//! What a router knows of one backend server.
+//! The state of one backend server as this router sees it.
 
 use std::{fmt, net::SocketAddr, time::Duration};
 
@@ -8,31 +8,31 @@
 
 use super::Part;
 use crate::{
-    evidence::{Ends, Tally},
-    fence::{Fence, Share},
     load::Load,
-    reads::{self, Read},
+    outlier::{OutcomeCounts, OutcomeTracker},
+    prefixes::{self, CachedPrefix},
     roster,
+    slow_start::{Pacer, Share},
 };
 
-/// How a request at a server ended.
+/// The outcome of a request at a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered in full.
+    /// The response was complete.
     Completed,
-    /// The server failed it.
+    /// The server responded with a failure.
     Failed,
-    /// The server broke off in the middle of it.
+    /// The connection broke while the server was processing the request.
     Broken,
-    /// Its host refused the connection, so nothing was sent and nothing runs there.
+    /// The host refused the connection: nothing was sent, and no server runs there.
     Refused,
-    /// No connection came about, so nothing was sent.
+    /// No connection was established, so nothing was sent.
     Unreachable,
-    /// Another server has the address.
+    /// The address belongs to another server now.
     Moved,
-    /// The server said that it is full and did not run it.
+    /// The server rejected the request because it is full; it did not run it.
     Full,
-    /// The caller left, or the time was up.
+    /// The caller disconnected or the deadline passed.
     Cancelled,
 }
 
@@ -51,87 +51,88 @@
     }
 }
 
-/// One part in this many of a server's slots is kept for workspaces that use
-/// less than their share; as in `admission`.
-const KEPT_SLOTS: u32 = 4;
-/// How long a server that could not be reached gets nothing; doubled with each further time.
-const AWAY: Duration = Duration::from_millis(400);
-/// The longest such time.
-const MAX_AWAY: Duration = Duration::from_millis(3200);
-/// How long a server that could not be reached counts as cold once it answers again.
+/// One slot in this many is reserved for workspaces that use less than their share, as
+/// in `admission`.
+const RESERVE_DIVISOR: u32 = 4;
+/// The backoff after a connection failure; doubled with each further failure.
+const BASE_BACKOFF: Duration = Duration::from_millis(400);
+/// Upper limit of the backoff.
+const MAX_BACKOFF: Duration = Duration::from_millis(3200);
+/// How long a server is treated as cold once the backoff after a connection failure
+/// ends.
 ///
-/// It may have started anew, and the store may say so later than the server
-/// takes requests, or not at all while it is away.
-const DOUBT: Duration = Duration::from_secs(3);
-/// How long a server that is no longer cold takes to meet most of the prompts
-/// that it is the first for. Prompts come again within seconds.
-const SETTLING: Duration = Duration::from_secs(10);
-/// How fast the excess of the time to the first byte is forgotten, as a half-life.
+/// The server may have restarted. The store may report that only after the server
+/// accepts requests, or not at all during the outage.
+const COLD_AFTER_OUTAGE: Duration = Duration::from_secs(3);
+/// How long a server that is no longer cold takes to receive most of the prompts for
+/// which it ranks first. Prompts recur within seconds.
+const SETTLE_TIME: Duration = Duration::from_secs(10);
+/// Half-life of the measured lag, the time to first byte in excess of the expected one.
 const LAG_HALF_LIFE: Duration = Duration::from_secs(2);
-/// The weight of one sample, as a divisor.
-const LAG_WEIGHT: u64 = 3;
+/// The weight of a new lag sample is one divided by this number.
+const LAG_SAMPLE_DIVISOR: u64 = 3;
 
-/// One backend server and this router's work there.
+/// A backend server and this router's requests there.
 #[derive(Debug)]
 pub struct Server {
     entry: roster::Entry,
     name_hash: u64,
     is_leaving: bool,
     running: u32,
-    elsewhere: u32,
-    pending: Cost,
-    warmth: CacheIndex,
-    /// What it has read for other routers, by the hashes of the parts.
-    told: CacheIndex,
-    fence: Fence,
-    misses: u32,
-    away_until: Instant,
-    doubtful_until: Instant,
-    /// When it is taken to have read the prompts that it is the first for.
-    settles_at: Instant,
+    peer_load: u32,
+    pending_prefill: Cost,
+    own_prefixes: CacheIndex,
+    /// Prompt parts cached for peers' requests, by the hashes of their keys.
+    peer_prefixes: CacheIndex,
+    pacer: Pacer,
+    connect_failures: u32,
+    backoff_until: Instant,
+    assumed_cold_until: Instant,
+    /// When the server is assumed to have cached the prompts for which it ranks first.
+    settled_at: Instant,
     lag_us: u64,
     lag_at: Instant,
-    tally: Tally,
-    ends_elsewhere: Ends,
+    outcomes: OutcomeTracker,
+    peer_outcomes: OutcomeCounts,
 }
 
 impl Server {
-    /// A server without work.
+    /// Creates a server without requests.
     pub fn new(entry: roster::Entry) -> Self {
         let settings = placement::Settings {
-            max_chats_per_server: MAX_PARTS,
+            max_chats_per_server: MAX_PREFIX_PARTS,
             min_cached_tokens: 1,
-            cache_ttl: WARM_FOR,
+            cache_ttl: CACHED_FOR,
             ..placement::Settings::default()
         };
         Self {
-            settles_at: settles_at(entry.cold_until),
+            settled_at: settled_at(entry.cold_until),
             name_hash: xxh3::xxh3_64(entry.server.as_str().as_bytes()),
             entry,
             is_leaving: false,
             running: 0,
-            elsewhere: 0,
-            pending: Cost(0),
-            warmth: CacheIndex::new(settings.clone()),
-            told: CacheIndex::new(settings),
-            fence: Fence::default(),
-            misses: 0,
-            away_until: Instant::ZERO,
-            doubtful_until: Instant::ZERO,
+            peer_load: 0,
+            pending_prefill: Cost(0),
+            own_prefixes: CacheIndex::new(settings.clone()),
+            peer_prefixes: CacheIndex::new(settings),
+            pacer: Pacer::default(),
+            connect_failures: 0,
+            backoff_until: Instant::ZERO,
+            assumed_cold_until: Instant::ZERO,
             lag_us: 0,
             lag_at: Instant::ZERO,
-            tally: Tally::default(),
-            ends_elsewhere: Ends::default(),
+            outcomes: OutcomeTracker::default(),
+            peer_outcomes: OutcomeCounts::default(),
         }
     }
 
-    /// Takes over what the store says of it.
+    /// Applies a new entry of the store.
     pub fn update(&mut self, entry: &roster::Entry, is_leaving: bool) {
         if entry.born != self.entry.born || entry.address != self.entry.address {
-            // A new start knows nothing of before.
+            // A restarted server has lost its cache and all other state.
             *self = Self {
                 running: self.running,
-                fence: self.fence,
+                pacer: self.pacer,
                 ..Self::new(entry.clone())
             };
         }
@@ -139,133 +140,135 @@
         self.is_leaving = is_leaving;
     }
 
-    /// Whether it gets nothing new: it drains, or its zone is out.
+    /// Whether the server must get no new requests because it is draining or its zone
+    /// is out of service.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
 
-    /// Its name.
+    /// The name of the server.
     pub fn name(&self) -> &backend::Server {
         &self.entry.server
     }
 
-    /// The hash of its name.
+    /// The full hash of the server's name.
     pub fn name_hash(&self) -> u64 {
         self.name_hash
     }
 
-    /// What stands for its name between routers.
+    /// The short hash that identifies the server in messages between routers.
     pub fn hash(&self) -> u32 {
-        Load::short(self.name_hash)
+        Load::short_hash(self.name_hash)
     }
 
-    /// Its availability zone.
+    /// The availability zone of the server.
     pub fn zone(&self) -> &availability::Zone {
         &self.entry.zone
     }
 
-    /// Where it listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.entry.address
     }
 
-    /// Tells its starts apart.
+    /// The incarnation of the server, which changes with each restart.
     pub fn born(&self) -> u64 {
         self.entry.born
     }
 
-    /// Requests of this router that are in flight.
+    /// Requests of this router in flight.
     pub fn running(&self) -> u32 {
         self.running
     }
 
-    /// Requests of all routers that are in flight, as far as known.
+    /// Requests of all routers in flight; peers' counts may be stale.
     pub fn load(&self) -> u32 {
-        self.running + self.elsewhere
+        self.running + self.peer_load
     }
 
-    /// Sets the requests of other routers.
-    pub fn set_elsewhere(&mut self, load: u32) {
-        self.elsewhere = load;
+    /// Sets the number of requests that peers have in flight.
+    pub fn set_peer_load(&mut self, load: u32) {
+        self.peer_load = load;
     }
 
-    /// How this router's requests lately ended there.
-    pub fn ends(&self, now: Instant) -> Ends {
-        self.tally.ends(now)
+    /// Recent outcomes of this router's requests.
+    pub fn outcomes(&self, now: Instant) -> OutcomeCounts {
+        self.outcomes.counts(now)
     }
 
-    /// How the requests of all routers lately ended there, as far as known.
-    pub fn all_ends(&self, now: Instant) -> Ends {
-        self.ends(now) + self.ends_elsewhere
+    /// Recent outcomes of the requests of all routers, as far as reported.
+    pub fn total_outcomes(&self, now: Instant) -> OutcomeCounts {
+        self.outcomes(now) + self.peer_outcomes
     }
 
-    /// Sets how those of other routers ended.
-    pub fn set_ends_elsewhere(&mut self, ends: Ends) {
-        self.ends_elsewhere = ends;
+    /// Sets the recent outcomes of peers' requests.
+    pub fn set_peer_outcomes(&mut self, outcomes: OutcomeCounts) {
+        self.peer_outcomes = outcomes;
     }
 
-    /// How many requests it runs at once.
+    /// The number of requests that the server runs concurrently.
     pub fn slots(&self) -> u32 {
         self.entry.slots
     }
 
-    /// Whether a slot is free, besides those kept for others if `is_modest`.
-    /// Requests of other routers take slots only if `counts_others`.
-    pub fn has_room(&self, is_modest: bool, counts_others: bool) -> bool {
-        let taken = if counts_others {
+    /// Whether a slot is free, not counting the reserved ones if `leaves_reserve`.
+    /// Requests of peers occupy slots only if `counts_peers`.
+    pub fn has_room(&self, leaves_reserve: bool, counts_peers: bool) -> bool {
+        let used = if counts_peers {
             self.load()
         } else {
             self.running
         };
-        let kept = if is_modest {
-            self.entry.slots / KEPT_SLOTS
+        let reserved = if leaves_reserve {
+            self.entry.slots / RESERVE_DIVISOR
         } else {
             0
         };
-        taken + kept < self.entry.slots
+        used + reserved < self.entry.slots
     }
 
-    /// Whether it is cold, or may have started anew.
+    /// Whether the server is cold or may have restarted unnoticed.
     pub fn is_cold(&self, now: Instant) -> bool {
-        now < self.entry.cold_until.max(self.doubtful_until)
+        now < self.entry.cold_until.max(self.assumed_cold_until)
     }
 
-    /// Whether it has run for long enough to have read the prompts that it is the
-    /// first for.
+    /// Whether the server has run long enough to have cached the prompts for which it
+    /// ranks first.
     pub fn is_settled(&self, now: Instant) -> bool {
-        now >= self.settles_at && !self.is_cold(now)
+        now >= self.settled_at && !self.is_cold(now)
     }
 
-    /// Until then it counts as cold.
-    pub fn doubt(&mut self, until: Instant) {
-        self.doubtful_until = self.doubtful_until.max(until);
+    /// Treats the server as cold until `until`.
+    pub fn assume_cold_until(&mut self, until: Instant) {
+        self.assumed_cold_until = self.assumed_cold_until.max(until);
     }
 
-    /// Whether connections to it came about lately.
+    /// Whether the server is not in backoff after a connection failure.
     pub fn is_reachable(&self, now: Instant) -> bool {
-        self.away_until <= now
+        self.backoff_until <= now
     }
 
-    /// Whether this router's share lets a request through while it is cold.
-    pub fn is_open(&self, now: Instant) -> bool {
-        self.fence.is_open(now)
+    /// Whether this router's slow-start share permits a request now.
+    pub fn is_slow_start_ready(&self, now: Instant) -> bool {
+        self.pacer.is_ready(now)
     }
 
-    /// When its share lets the next one through.
-    pub fn opens_at(&self) -> Instant {
-        self.fence.opens_at()
+    /// When this router's slow-start share permits the next request.
+    pub fn slow_start_ready_at(&self) -> Instant {
+        self.pacer.ready_at()
     }
 
-    /// Prompt tokens of requests that wait for their first byte.
-    pub fn pending(&self) -> Cost {
-        self.pending
+    /// Uncached prompt tokens of requests that have not received their first byte.
+    pub fn pending_prefill(&self) -> Cost {
+        self.pending_prefill
     }
 
-    /// Prompt tokens that it would have to read.
+    /// The number of prompt tokens that the server would have to prefill.
     ///
-    /// A part that is cached saves its reading only if all parts before it are cached too.
-    pub fn unread(&self, parts: &[Part], now: Instant) -> u64 {
-        let last = parts.iter().rposition(|part| self.has_read(part, now));
+    /// A cached part is usable only together with all parts before it, so these are
+    /// assumed to be cached too.
+    pub fn uncached(&self, parts: &[Part], now: Instant) -> u64 {
+        let last = parts.iter().rposition(|part| self.has_cached(part, now));
         let cached = last.map_or(0, |last| last + 1);
         parts[cached..]
             .iter()
@@ -273,7 +276,8 @@
             .sum()
     }
 
-    /// How much longer it lately took to the first byte than its load explains.
+    /// The recent time to first byte in excess of what the load explains, in
+    /// microseconds.
     pub fn lag_us(&self, now: Instant) -> u64 {
         let age = now.since(self.lag_at).as_micros();
         let halvings = age / LAG_HALF_LIFE.as_micros();
@@ -282,87 +286,88 @@
     }
 
     /// Counts a request that is about to be sent.
-    pub fn admit(&mut self, unread: Cost, share: Option<Share>, now: Instant) {
+    pub fn admit(&mut self, uncached: Cost, share: Option<Share>, now: Instant) {
         self.running += 1;
-        self.pending += unread;
+        self.pending_prefill += uncached;
         if let Some(share) = share {
-            self.fence.pass(share, now);
+            self.pacer.record(share, now);
         }
     }
 
-    /// The request's first byte has come, or never will.
-    pub fn read(&mut self, unread: Cost) {
-        self.pending -= unread;
+    /// Removes the prefill of a request that has received its first byte or has ended
+    /// without one.
+    pub fn end_prefill(&mut self, uncached: Cost) {
+        self.pending_prefill -= uncached;
     }
 
-    /// The first byte came after `waited`, where `expected` was explained by the prompt.
-    pub fn sample(&mut self, waited: Duration, expected: Duration, now: Instant) {
+    /// Records a time to first byte of `waited`, of which the prompt explains
+    /// `expected`.
+    pub fn record_first_byte(&mut self, waited: Duration, expected: Duration, now: Instant) {
         let excess = waited.saturating_sub(expected).as_micros();
         let excess = u64::try_from(excess).unwrap_or(u64::MAX);
-        let before = self.lag_us(now);
-        self.lag_us = before - before / LAG_WEIGHT + excess / LAG_WEIGHT;
+        let previous_us = self.lag_us(now);
+        self.lag_us = previous_us - previous_us / LAG_SAMPLE_DIVISOR + excess / LAG_SAMPLE_DIVISOR;
         self.lag_at = now;
     }
 
-    /// Whether it is known to have read a part, for any router.
-    pub fn has_read(&self, part: &Part, now: Instant) -> bool {
-        let hash = chat::Key(u64::from(reads::hash(part.key)));
-        self.warmth.cached_tokens(part.key, now).is_some()
-            || self.told.cached_tokens(hash, now).is_some()
+    /// Whether a part is known to be cached for a request of any router.
+    pub fn has_cached(&self, part: &Part, now: Instant) -> bool {
+        let hash = chat::Key(u64::from(prefixes::hash(part.key)));
+        self.own_prefixes.cached_tokens(part.key, now).is_some()
+            || self.peer_prefixes.cached_tokens(hash, now).is_some()
     }
 
-    /// It has read a part for another router.
-    pub fn heard(&mut self, read: Read, now: Instant) {
-        let hash = chat::Key(u64::from(read.part));
-        self.told.record_served(hash, read.tokens, now);
+    /// Records a prefix that the server has cached for a peer's request.
+    pub fn record_peer_prefix(&mut self, prefix: CachedPrefix, now: Instant) {
+        let hash = chat::Key(u64::from(prefix.part));
+        self.peer_prefixes.record_served(hash, prefix.tokens, now);
     }
 
-    /// The parts of a prompt that it has read by now.
-    pub fn remember(&mut self, parts: &[Part], now: Instant) {
+    /// Records that the server has cached these parts of a prompt.
+    pub fn record_cached(&mut self, parts: &[Part], now: Instant) {
         for part in parts {
-            self.warmth.record_served(part.key, part.tokens, now);
+            self.own_prefixes.record_served(part.key, part.tokens, now);
         }
     }
 
-    /// One of this router's requests has ended.
+    /// Records the end of one of this router's requests.
     pub fn ended(&mut self, outcome: Outcome, now: Instant) {
         self.running = self.running.saturating_sub(1);
         match outcome {
-            Outcome::Completed => self.tally.note(false, now),
-            Outcome::Failed | Outcome::Broken | Outcome::Refused => self.tally.note(true, now),
+            Outcome::Completed => self.outcomes.record(false, now),
+            Outcome::Failed | Outcome::Broken | Outcome::Refused => self.outcomes.record(true, now),
             Outcome::Unreachable | Outcome::Moved | Outcome::Full | Outcome::Cancelled => {}
         }
         match outcome {
-            Outcome::Refused | Outcome::Unreachable => self.missed(now),
-            Outcome::Moved => self.away_until = now + MAX_AWAY,
-            Outcome::Completed | Outcome::Failed | Outcome::Full => self.misses = 0,
+            Outcome::Refused | Outcome::Unreachable => self.connect_failed(now),
+            Outcome::Moved => self.backoff_until = now + MAX_BACKOFF,
+            Outcome::Completed | Outcome::Failed | Outcome::Full => self.connect_failures = 0,
             Outcome::Broken | Outcome::Cancelled => {}
         }
     }
 
-    fn missed(&mut self, now: Instant) {
-        // Requests that were sent side by side fail side by side, which says no
-        // more than one of them.
-        if now < self.away_until {
+    fn connect_failed(&mut self, now: Instant) {
+        // Concurrent requests fail together; they count as one failure.
+        if now < self.backoff_until {
             return;
         }
-        let factor = 1_u32.checked_shl(self.misses).unwrap_or(u32::MAX);
-        let away = AWAY.saturating_mul(factor).min(MAX_AWAY);
-        self.misses = self.misses.saturating_add(1);
-        self.away_until = now + away;
-        self.doubtful_until = self.away_until + DOUBT;
+        let factor = 1_u32.checked_shl(self.connect_failures).unwrap_or(u32::MAX);
+        let backoff = BASE_BACKOFF.saturating_mul(factor).min(MAX_BACKOFF);
+        self.connect_failures = self.connect_failures.saturating_add(1);
+        self.backoff_until = now + backoff;
+        self.assumed_cold_until = self.backoff_until + COLD_AFTER_OUTAGE;
     }
 }
 
-/// When a server that is cold until then, or not at all, has settled.
-fn settles_at(cold_until: Instant) -> Instant {
+/// When a server settles that is cold until `cold_until`; zero if it was not cold.
+fn settled_at(cold_until: Instant) -> Instant {
     if cold_until == Instant::ZERO {
         return Instant::ZERO;
     }
-    cold_until + SETTLING
+    cold_until + SETTLE_TIME
 }
 
-/// How many parts of prompts are remembered for one server; 200 bytes each.
-const MAX_PARTS: usize = 512;
-/// How long a part counts as cached after its last use.
-const WARM_FOR: Duration = Duration::from_secs(600);
+/// The number of prompt parts recorded for each server, at 200 bytes each.
+const MAX_PREFIX_PARTS: usize = 512;
+/// How long a part is assumed to stay cached after its last use.
+const CACHED_FOR: Duration = Duration::from_secs(600);
--- /dev/null
+++ b/crates/gateway/src/queue.rs
@@ -0,0 +1,372 @@
+//! The queue of requests that wait for a server of one service, served fairly across
+//! workspaces.
+
+use std::{collections::HashMap, time::Duration};
+
+use admission::{Queue, Shares, Standing, Ticket, Waiting};
+use units::{backend, cost::Cost, request, time::Instant, workspace};
+
+use crate::pool::{self, Demand, Denial, Fleet, Outcome, Placement, Pool};
+
+/// The most requests that one router queues for one service.
+///
+/// At a hundred requests per second this is more than two seconds of work, longer than
+/// most callers wait for a first byte.
+const MAX_QUEUED: usize = 256;
+/// How many workspaces are considered when a slot becomes free.
+const MAX_HEADS: usize = 16;
+/// The window over which the rate of placements is measured.
+const RATE_WINDOW: Duration = Duration::from_secs(1);
+/// The shortest time after which a refused caller may retry: about the duration of a
+/// short response.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// The longest such time: overloads of all servers last for seconds.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
+/// The delay added per rank below the most urgent, in the order among requests of one
+/// workspace.
+const RANK_STEP: Duration = Duration::from_millis(200);
+
+/// A request for a slot at a server.
+#[derive(Clone, Debug)]
+pub struct QueueRequest {
+    /// Identifies the request in the queue.
+    pub attempt: request::Attempt,
+    /// The workspace to which the request is charged.
+    pub workspace: workspace::Id,
+    /// The estimated work of the request.
+    pub cost: Cost,
+    /// The urgency of the request; zero is the most urgent.
+    pub rank: u8,
+    /// The latest instant at which the request may start.
+    pub latest_start: Instant,
+    /// The properties of the request that placement depends on.
+    pub demand: Demand,
+}
+
+/// A refused request: the reason, and when its caller may retry.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Refusal {
+    /// Why no server could take the request.
+    pub denial: Denial,
+    /// When the caller may retry.
+    pub retry_at: Instant,
+}
+
+/// The result of submitting a request.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Admission {
+    /// The request is sent to a server now.
+    Placed(Placement),
+    /// The request is queued; [`ServiceQueue::dequeue`] returns its result.
+    Queued,
+    /// The request is refused.
+    Refused(Refusal),
+}
+
+/// The result of a queued request.
+pub type Dequeued = (request::Attempt, Result<Placement, Refusal>);
+
+/// The servers of one service and the queue of requests for them.
+///
+/// As long as servers have free slots, requests are not queued. When all are full, the
+/// workspace that has been served least is next. A workspace that exceeds its share
+/// leaves some slots free; otherwise a surge of one workspace would delay every request
+/// of all others.
+#[derive(Debug)]
+pub struct ServiceQueue {
+    pool: Pool,
+    queue: Queue,
+    shares: Shares,
+    settings: admission::Settings,
+    waiting: HashMap<request::Attempt, QueueRequest>,
+    rate: PlacementRate,
+    slow_start_at: Option<Instant>,
+    /// Results of requests that were displaced from a full queue and not yet returned.
+    displaced: Vec<Dequeued>,
+}
+
+impl ServiceQueue {
+    /// Creates an empty queue for the servers of `pool`.
+    pub fn new(pool: Pool) -> Self {
+        Self {
+            pool,
+            queue: Queue::default(),
+            shares: Shares::default(),
+            settings: admission::Settings::default(),
+            waiting: HashMap::new(),
+            rate: PlacementRate::default(),
+            slow_start_at: None,
+            displaced: Vec::new(),
+        }
+    }
+
+    /// The servers.
+    pub fn pool(&self) -> &Pool {
+        &self.pool
+    }
+
+    /// Mutable access to the servers. [`ServiceQueue::dequeue`] must be called after
+    /// changes.
+    pub fn pool_mut(&mut self) -> &mut Pool {
+        &mut self.pool
+    }
+
+    /// The number of queued requests.
+    pub fn len(&self) -> usize {
+        self.waiting.len()
+    }
+
+    /// Whether no request is queued and no result is waiting to be returned.
+    pub fn is_empty(&self) -> bool {
+        self.waiting.is_empty() && self.displaced.is_empty()
+    }
+
+    /// Submits a request: places it, queues it or refuses it.
+    pub fn submit(&mut self, request: QueueRequest, fleet: &Fleet, now: Instant) -> Admission {
+        self.shares.expire(now);
+        self.shares
+            .offered(&request.workspace, 1, &self.settings, now);
+        let denial = match self.try_place(&request, fleet, now) {
+            Ok(placement) => return Admission::Placed(placement),
+            Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
+                return Admission::Refused(self.refusal(denial, &request, now));
+            }
+            Err(denial) => denial,
+        };
+        if self.would_miss_deadline(&request, now) || !self.make_room(&request, now) {
+            return Admission::Refused(self.refusal(denial, &request, now));
+        }
+        self.note_slow_start(denial);
+        self.push(request, now);
+        Admission::Queued
+    }
+
+    /// Places a request immediately unless its workspace has queued requests.
+    ///
+    /// Queued requests of other workspaces could not use the last slot that became
+    /// free. A slot that is free now is therefore reserved from them.
+    fn try_place(
+        &mut self,
+        request: &QueueRequest,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Placement, Denial> {
+        if self.queue.len_of(&request.workspace) > 0 {
+            return Err(Denial::Full);
+        }
+        let placement = self.place(request, fleet, now)?;
+        self.queue.charge(&request.workspace, request.cost);
+        Ok(placement)
+    }
+
+    fn place(
+        &mut self,
+        request: &QueueRequest,
+        fleet: &Fleet,
+        now: Instant,
+    ) -> Result<Placement, Denial> {
+        let slot_share = self.pool.slots() / u32::try_from(fleet.members.len().max(1)).unwrap_or(1);
+        let mut demand = request.demand.clone();
+        demand.leaves_reserve =
+            self.shares
+                .is_over_share(&request.workspace, slot_share, &self.settings, now);
+        let placement = self.pool.admit(&demand, fleet, now)?;
+        self.shares
+            .admitted(&request.workspace, 1, &self.settings, now);
+        self.rate.record(request.cost, now);
+        Ok(placement)
+    }
+
+    /// Whether the request would wait beyond its latest start.
+    fn would_miss_deadline(&self, request: &QueueRequest, now: Instant) -> bool {
+        if now >= request.latest_start {
+            return true;
+        }
+        now + self.expected_wait(request, now) > request.latest_start
+    }
+
+    /// Makes room for one more request in the queue by displacing one of the workspace
+    /// with the most queued requests. Returns false if that is the request's own
+    /// workspace.
+    fn make_room(&mut self, request: &QueueRequest, now: Instant) -> bool {
+        if self.queue.len() < MAX_QUEUED {
+            return true;
+        }
+        let Some(last) = self.queue.pop_from_longest(&request.workspace) else {
+            return false;
+        };
+        let refused = self.refuse(last.ticket.attempt, Denial::Full, now);
+        self.displaced.extend(refused);
+        true
+    }
+
+    /// The expected wait of the request, by the recent rate of placements.
+    fn expected_wait(&self, request: &QueueRequest, now: Instant) -> Duration {
+        let ahead = self
+            .queue
+            .cost_ahead(&request.workspace, priority(request.rank));
+        self.rate.time_to_place(ahead, now)
+    }
+
+    fn push(&mut self, request: QueueRequest, now: Instant) {
+        let ticket = Ticket {
+            attempt: request.attempt,
+            workspace: request.workspace.clone(),
+            cost: request.cost,
+            priority: priority(request.rank),
+            standing: Standing::Clear,
+            deadline: request.latest_start,
+        };
+        let waiting = Waiting {
+            ticket,
+            latest_start: request.latest_start,
+        };
+        self.queue.push(waiting, RANK_STEP, now);
+        self.waiting.insert(request.attempt, request);
+    }
+
+    /// Places queued requests at servers with free slots, and refuses those that have
+    /// reached their latest start.
+    pub fn dequeue(&mut self, fleet: &Fleet, now: Instant) -> Vec<Dequeued> {
+        let mut dequeued = std::mem::take(&mut self.displaced);
+        self.slow_start_at = None;
+        while let Some(expired) = self.queue.pop_expired(now) {
+            dequeued.extend(self.refuse(expired.ticket.attempt, Denial::Full, now));
+        }
+        while let Some(next) = self.dequeue_one(fleet, now) {
+            dequeued.push(next);
+        }
+        dequeued
+    }
+
+    fn dequeue_one(&mut self, fleet: &Fleet, now: Instant) -> Option<Dequeued> {
+        let heads: Vec<_> = self.queue.heads().take(MAX_HEADS).collect();
+        let heads: Vec<_> = heads.iter().map(|head| head.ticket.attempt).collect();
+        for attempt in heads {
+            let request = self.waiting.get(&attempt)?.clone();
+            match self.place(&request, fleet, now) {
+                Ok(placement) => {
+                    self.queue.serve(attempt);
+                    self.waiting.remove(&attempt);
+                    return Some((attempt, Ok(placement)));
+                }
+                Err(denial @ (Denial::NoServer | Denial::ZonesUnreachable(_))) => {
+                    self.queue.remove(attempt);
+                    return self.refuse(attempt, denial, now);
+                }
+                Err(denial) => self.note_slow_start(denial),
+            }
+        }
+        None
+    }
+
+    fn refuse(
+        &mut self,
+        attempt: request::Attempt,
+        denial: Denial,
+        now: Instant,
+    ) -> Option<Dequeued> {
+        let request = self.waiting.remove(&attempt)?;
+        Some((attempt, Err(self.refusal(denial, &request, now))))
+    }
+
+    /// Removes a request whose caller has disconnected.
+    pub fn cancel(&mut self, attempt: request::Attempt) {
+        self.queue.remove(attempt);
+        self.waiting.remove(&attempt);
+    }
+
+    /// Records that a request at a server has ended.
+    pub fn ended(
+        &mut self,
+        server: &backend::Server,
+        workspace: &workspace::Id,
+        outcome: Outcome,
+        now: Instant,
+    ) -> Option<pool::Standing> {
+        self.shares.finished(workspace, 1, &self.settings, now);
+        self.pool.ended(server, outcome, now)
+    }
+
+    /// When [`ServiceQueue::dequeue`] must be called even if nothing else happens.
+    pub fn next_wake(&self) -> Option<Instant> {
+        if !self.displaced.is_empty() {
+            return Some(Instant::ZERO);
+        }
+        if self.waiting.is_empty() {
+            return None;
+        }
+        let expiry = self.queue.next_expiry();
+        expiry.into_iter().chain(self.slow_start_at).min()
+    }
+
+    fn note_slow_start(&mut self, denial: Denial) {
+        if let Denial::SlowStart(at) = denial {
+            self.slow_start_at = Some(self.slow_start_at.map_or(at, |known| known.min(at)));
+        }
+    }
+
+    /// A refusal with the time by which the queue will have been served, or by which an
+    /// unreachable zone is probed again.
+    ///
+    /// Up to half of that time is added, depending on the attempt, so that callers
+    /// refused together do not retry together.
+    fn refusal(&self, denial: Denial, request: &QueueRequest, now: Instant) -> Refusal {
+        let wait = match denial {
+            Denial::ZonesUnreachable(at) => at.since(now),
+            _ => self.rate.time_to_place(self.queue.cost(), now),
+        };
+        let wait = wait.clamp(MIN_RETRY_DELAY, MAX_RETRY_DELAY);
+        let spread = f64::from(request.attempt.0 as u8) / f64::from(u8::MAX);
+        Refusal {
+            denial,
+            retry_at: now + wait.mul_f64(1.0 + spread / 2.0),
+        }
+    }
+}
+
+/// Maps ranks to the three priorities of the queue: the most urgent rank, the next, and
+/// all others.
+fn priority(rank: u8) -> request::Priority {
+    match rank {
+        0 => request::Priority::Interactive,
+        1 => request::Priority::Normal,
+        _ => request::Priority::Batch,
+    }
+}
+
+/// The rate at which requests are placed, by their cost.
+#[derive(Clone, Copy, Debug, Default)]
+struct PlacementRate {
+    window_ends: Instant,
+    cost: Cost,
+    /// The cost placed in the last full window.
+    previous_cost: Cost,
+}
+
+impl PlacementRate {
+    fn record(&mut self, cost: Cost, now: Instant) {
+        if now >= self.window_ends {
+            let is_next = now < self.window_ends + RATE_WINDOW;
+            self.previous_cost = if is_next { self.cost } else { Cost(0) };
+            self.cost = Cost(0);
+            self.window_ends = now + RATE_WINDOW;
+        }
+        self.cost += cost;
+    }
+
+    /// The time in which work of `cost` is placed at the current rate.
+    fn time_to_place(&self, cost: Cost, now: Instant) -> Duration {
+        let is_current = now < self.window_ends + RATE_WINDOW;
+        let rate = if is_current {
+            self.previous_cost.0.max(self.cost.0)
+        } else {
+            0
+        };
+        if rate == 0 {
+            // Without a measured rate there is no reason to refuse the request.
+            return Duration::ZERO;
+        }
+        RATE_WINDOW.mul_f64(cost.0 as f64 / rate as f64)
+    }
+}
--- a/crates/gateway/tests/decisions/aggregation.rs
+++ b/crates/gateway/tests/decisions/aggregation.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeSet, time::Duration};
 
 use gateway::{
-    evidence::Ends,
-    load::{Heard, Load, Report, Teller},
+    load::{Load, Report, ReportDecoder, ReportEncoder},
+    outlier::OutcomeCounts,
     peers::{AGGREGATORS, Aggregators, FleetTotal, Frame, LoadSums, ZoneSum, relays, sums},
     source::Member,
 };
@@ -17,7 +17,7 @@
     Load {
         server,
         running,
-        ends: Ends::default(),
+        outcomes: OutcomeCounts::default(),
     }
 }
 
@@ -67,14 +67,14 @@
     let frame = Frame::ZoneSum {
         zone: sum.zone,
         routers: sum.routers,
-        loads: Teller::default().next(&sum.loads, START),
+        loads: ReportEncoder::default().next(&sum.loads, START),
         reads: Vec::new(),
     };
     assert!(frame.encode().is_ok());
     let total = FleetTotal {
         aggregator: u32::MAX,
         routers: u16::MAX,
-        loads: Teller::default().next(&aggregator.fleet_total(&sum, START), START),
+        loads: ReportEncoder::default().next(&aggregator.fleet_total(&sum, START), START),
         reads: Vec::new(),
         relay_to: vec![u32::MAX; 10],
     };
@@ -87,7 +87,7 @@
 #[test]
 fn failures_of_all_routers_are_summed() {
     let with_failures = |failed| Load {
-        ends: Ends {
+        outcomes: OutcomeCounts {
             failed,
             completed: 0,
         },
@@ -124,7 +124,7 @@
 
 fn ended(server: u32, failed: u16, completed: u16) -> Load {
     Load {
-        ends: Ends { failed, completed },
+        outcomes: OutcomeCounts { failed, completed },
         ..load(server, 1)
     }
 }
@@ -134,33 +134,36 @@
 /// the server.
 #[test]
 fn new_failures_are_reported_at_once() {
-    let mut reporter = Teller::default();
-    let mut received = Heard::default();
+    let mut reporter = ReportEncoder::default();
+    let mut received = ReportDecoder::default();
     let before = [ended(1, 0, 160), ended(2, 0, 160)];
-    assert_eq!(received.take(reporter.next(&before, START)), before);
+    assert_eq!(received.apply(reporter.next(&before, START)), before);
     let first_round = START + Duration::from_millis(200);
     let failing = [ended(1, 16, 150), ended(2, 0, 150)];
     let change = reporter.next(&failing, first_round);
-    assert_eq!(received.take(change), [ended(1, 16, 150), ended(2, 0, 160)]);
+    assert_eq!(
+        received.apply(change),
+        [ended(1, 16, 150), ended(2, 0, 160)]
+    );
     let next = first_round + Duration::from_millis(200);
-    let Report::Change { ends, .. } = reporter.next(&failing, next) else {
+    let Report::Delta { outcomes, .. } = reporter.next(&failing, next) else {
         panic!("a full report before its time");
     };
-    assert_eq!(ends, [], "the failure was already reported");
+    assert_eq!(outcomes, [], "the failure was already reported");
 }
 
 /// Guards against lasting effects of lost datagrams: one that reported a failure, and one
 /// that reported that a server has no more requests, are both lost.
 #[test]
 fn a_full_report_recovers_from_lost_ones() {
-    let mut reporter = Teller::default();
-    let mut received = Heard::default();
-    received.take(reporter.next(&[load(1, 3)], START));
+    let mut reporter = ReportEncoder::default();
+    let mut received = ReportDecoder::default();
+    received.apply(reporter.next(&[load(1, 3)], START));
     let lost = reporter.next(&[ended(2, 32, 0)], START + Duration::from_millis(200));
     drop(lost);
     let now = [ended(2, 32, 0)];
     let whole = reporter.next(&now, START + Duration::from_secs(2));
-    assert_eq!(received.take(whole), now);
+    assert_eq!(received.apply(whole), now);
 }
 
 proptest! {
@@ -173,9 +176,9 @@
         running in proptest::collection::btree_map(0_u32..1 << 24, 1_u16..500, 0..80),
     ) {
         let loads: Vec<_> = running.into_iter().map(|(server, running)| load(server, running)).collect();
-        let mut reporter = Teller::default();
-        let mut received = Heard::default();
-        received.take(reporter.next(&[], START));
+        let mut reporter = ReportEncoder::default();
+        let mut received = ReportDecoder::default();
+        received.apply(reporter.next(&[], START));
         let report = reporter.next(&loads, START);
         let frame = Frame::Loads {
             loads: report,
@@ -184,7 +187,7 @@
         let Ok(Frame::Loads { loads: report, .. }) = Frame::decode(&frame.encode().expect("the frame fits one datagram")) else {
             panic!("decoded as another kind of frame");
         };
-        prop_assert_eq!(received.take(report), loads);
+        prop_assert_eq!(received.apply(report), loads);
     }
 }
 
--- /dev/null
+++ b/crates/gateway/tests/decisions/crashes.rs
@@ -0,0 +1,99 @@
+//! Detection of requests that crash servers.
+
+use std::time::Duration;
+
+use gateway::crashes::CrashTracker;
+use units::{request::Fingerprint, time::Instant};
+
+use crate::world::{START, server};
+
+const CRASHING: Fingerprint = Fingerprint(7);
+const HARMLESS: Fingerprint = Fingerprint(8);
+
+/// Crashes `count` servers with the request, one per second from `START` on.
+fn crash(tracker: &mut CrashTracker, fingerprint: Fingerprint, count: u64) -> Instant {
+    let mut now = START;
+    for index in 0..count {
+        let name = server(&format!("s{index}"));
+        let began_at = now;
+        now = now + Duration::from_millis(500);
+        tracker.record_broken(fingerprint, &name, 1, began_at, now);
+        tracker.record_death(&name, 1, now);
+        now = now + Duration::from_millis(500);
+    }
+    now
+}
+
+/// A request crashes every server that runs it, and its caller retries it repeatedly.
+/// Without a strike count it would take down one server after the other and break all
+/// requests in flight there.
+#[test]
+fn a_request_that_crashed_three_servers_is_refused() {
+    let mut tracker = CrashTracker::default();
+    let now = crash(&mut tracker, CRASHING, 2);
+    assert!(!tracker.is_refused(CRASHING, now));
+    let now = crash(&mut tracker, CRASHING, 3);
+    assert!(tracker.is_refused(CRASHING, now));
+    assert!(!tracker.is_refused(HARMLESS, now));
+}
+
+/// Connections may be reset although the server keeps running.
+#[test]
+fn a_reset_connection_is_not_a_crash() {
+    let mut tracker = CrashTracker::default();
+    for index in 0..10 {
+        let now = START + Duration::from_secs(index);
+        tracker.record_broken(HARMLESS, &server("s0"), 1, now, now);
+        assert!(!tracker.is_refused(HARMLESS, now));
+    }
+}
+
+/// The server crashes long after the connection broke.
+#[test]
+fn an_old_connection_failure_does_not_count() {
+    let mut tracker = CrashTracker::default();
+    tracker.record_broken(HARMLESS, &server("s0"), 1, START, START);
+    assert_eq!(
+        tracker.record_death(&server("s0"), 1, START + Duration::from_secs(7)),
+        0
+    );
+}
+
+/// A harmless request was in flight during crashes and then completes elsewhere.
+#[test]
+fn a_request_that_completes_is_cleared() {
+    let mut tracker = CrashTracker::default();
+    crash(&mut tracker, HARMLESS, 2);
+    tracker.record_completed(HARMLESS);
+    let now = crash(&mut tracker, HARMLESS, 2);
+    assert!(!tracker.is_refused(HARMLESS, now));
+}
+
+/// The caller sends the request to a different router each time, so no router sees more
+/// than one crash.
+#[test]
+fn strikes_of_all_routers_add_up() {
+    let mut trackers = [
+        CrashTracker::default(),
+        CrashTracker::default(),
+        CrashTracker::default(),
+    ];
+    let mut now = START;
+    for index in 0..3 {
+        let name = server(&format!("s{index}"));
+        trackers[index].record_broken(CRASHING, &name, 1, now, now + Duration::from_millis(100));
+        now = now + Duration::from_millis(200);
+        trackers[index].record_death(&name, 1, now);
+        let strikes = trackers[index].strikes_to_send(now);
+        assert_eq!(strikes.len(), index + 1, "earlier strikes are forwarded");
+        for tracker in &mut trackers {
+            tracker.merge(&strikes, now);
+        }
+        now = now + Duration::from_millis(200);
+    }
+    assert!(
+        trackers
+            .iter()
+            .all(|tracker| tracker.is_refused(CRASHING, now))
+    );
+}
--- a/crates/gateway/tests/decisions/explore.rs
+++ b/crates/gateway/tests/decisions/explore.rs
@@ -8,9 +8,9 @@
 
 use bytes::Bytes;
 use gateway::{
-    budget::{Allowance, Budget},
-    fence::{self, Bound, Fence},
     replica::Replica,
+    retry_budget::{Allowance, RetryBudget},
+    slow_start::{self, Pacer, RateLimit},
     source::{Batch, Row},
 };
 use units::{backend, host, time::Instant};
@@ -81,7 +81,7 @@
     /// The number of registrations that each router knows; router 0 registers
     /// first.
     known: [usize; 2],
-    fences: [Fence; 2],
+    pacers: [Pacer; 2],
     restarts: [u8; 2],
     /// The number of requests sent to the server in each of the last steps.
     sent: VecDeque<u8>,
@@ -102,7 +102,7 @@
             Event::Restart if router == 1 && self.restarts[router] < 1 => {
                 self.restarts[router] += 1;
                 self.known[router] = 0;
-                self.fences[router] = Fence::default();
+                self.pacers[router] = Pacer::default();
             }
             Event::Restart => {}
         }
@@ -112,17 +112,17 @@
         let now = self.now();
         let known: Vec<host::Id> = members(self.known[router]);
         let own = host(&format!("r{router}"));
-        let share = fence::share(BOUND, &own, &known, &server_led_by_router_1());
-        if let Some(share) = share.filter(|_| self.fences[router].is_open(now)) {
-            self.fences[router].pass(share, now);
+        let share = slow_start::share(LIMIT, &own, &known, &server_led_by_router_1());
+        if let Some(share) = share.filter(|_| self.pacers[router].is_ready(now)) {
+            self.pacers[router].record(share, now);
             *self.sent.back_mut().expect("an entry for the current step") += 1;
         }
     }
 
     fn key(&self) -> impl Hash + Eq + use<> {
         let waits = self
-            .fences
-            .map(|fence| fence.opens_at().since(self.now()).as_micros());
+            .pacers
+            .map(|pacer| pacer.ready_at().since(self.now()).as_micros());
         (
             self.step,
             self.known,
@@ -136,13 +136,14 @@
 /// A server for which router 1 ranks before router 0, which registers first. Until router 1
 /// knows its own registration, only the missing registration keeps it from sending as well.
 fn server_led_by_router_1() -> backend::Server {
-    let one_only = Bound {
+    let one_only = RateLimit {
         rate: 1.0,
-        most: 1.0,
+        max_per_s: 1.0,
     };
     let names = (0..100).map(|index| server(&format!("s{index}")));
-    let is_first =
-        |name: &backend::Server| fence::share(one_only, &host("r1"), &members(2), name).is_some();
+    let is_first = |name: &backend::Server| {
+        slow_start::share(one_only, &host("r1"), &members(2), name).is_some()
+    };
     names
         .into_iter()
         .find(is_first)
@@ -150,9 +151,9 @@
 }
 
 /// The slow-start limit of a cold server.
-const BOUND: Bound = Bound {
+const LIMIT: RateLimit = RateLimit {
     rate: 11.0,
-    most: 11.0 * 1.5 + 5.0,
+    max_per_s: 11.0 * 1.5 + 5.0,
 };
 
 /// Guards against overload of a cold server by two routers that share its slow-start limit.
@@ -164,7 +165,7 @@
     let start = ColdStart {
         step: 0,
         known: [0, 0],
-        fences: [Fence::default(); 2],
+        pacers: [Pacer::default(); 2],
         restarts: [0, 0],
         sent: VecDeque::from([0; SECOND]),
     };
@@ -181,7 +182,7 @@
     };
     let states = explore(start, ColdStart::key, next, |state| {
         let sent: u32 = state.sent.iter().copied().map(u32::from).sum();
-        assert!(f64::from(sent) <= BOUND.most, "{state:?}");
+        assert!(f64::from(sent) <= LIMIT.max_per_s, "{state:?}");
     });
     assert!(states > 10_000, "{states}");
 }
@@ -189,7 +190,7 @@
 #[derive(Clone, Debug)]
 struct Retries {
     step: u32,
-    budgets: [Budget; 2],
+    budgets: [RetryBudget; 2],
     /// First attempts and retries so far.
     arrivals: u32,
     retries: u32,
@@ -210,7 +211,7 @@
 fn two_routers_never_exceed_the_retry_budget() {
     let start = Retries {
         step: 0,
-        budgets: [0, 1].map(|_| Budget::new(ALLOWANCE, 2, START)),
+        budgets: [0, 1].map(|_| RetryBudget::new(ALLOWANCE, 2, START)),
         arrivals: 0,
         retries: 0,
         restarts: 0,
@@ -227,13 +228,13 @@
                 let now = START + Duration::from_millis(u64::from(state.step) * 100);
                 match event {
                     0 => {
-                        state.budgets[router].first_arrival(2);
+                        state.budgets[router].deposit(2);
                         state.arrivals += 1;
                     }
-                    1 => state.retries += u32::from(state.budgets[router].take(2, now)),
+                    1 => state.retries += u32::from(state.budgets[router].withdraw(2, now)),
                     _ if state.restarts == 0 => {
                         state.restarts = 1;
-                        state.budgets[router] = Budget::new(ALLOWANCE, 2, now);
+                        state.budgets[router] = RetryBudget::new(ALLOWANCE, 2, now);
                     }
                     _ => {}
                 }
--- a/crates/gateway/tests/decisions/main.rs
+++ b/crates/gateway/tests/decisions/main.rs
@@ -1,24 +1,24 @@
-//! What a router decides, without a network.
+//! Tests of a router's decisions, without a network.
 
 mod aggregation;
-mod budget;
 mod configurations;
 mod connect;
 mod copies;
-mod deaths;
+mod crashes;
 mod events;
-mod evidence;
 mod explore;
-mod fence;
+mod outlier;
 mod peers;
 mod placing;
+mod prefixes;
 mod propagation;
-mod reads;
+mod queue;
 mod replica;
 mod replicas;
+mod retry_budget;
 mod roster;
 mod route;
+mod slow_start;
 mod value;
 mod versions;
-mod waiting;
 mod world;
--- a/crates/gateway/tests/decisions/peers.rs
+++ b/crates/gateway/tests/decisions/peers.rs
@@ -9,8 +9,8 @@
 
 use gateway::{
     dispatch,
-    evidence::Ends,
-    load::Teller,
+    load::ReportEncoder,
+    outlier::OutcomeCounts,
     peers::{
         Digest, Directory, Frame, Part, PeerTable, Versions, WATCHERS, Watcher, Watchers,
         gossip_targets, loads as digest_loads,
@@ -396,7 +396,7 @@
         .map(|index| dispatch::Load {
             server: server(&format!("i-{index:016x}")),
             running: 300,
-            ends: Ends {
+            outcomes: OutcomeCounts {
                 failed: 300,
                 completed: 30_000,
             },
@@ -409,7 +409,7 @@
         watchers,
         Vec::new(),
     );
-    let report = Teller::default().next(&digest_loads(&loads), START);
+    let report = ReportEncoder::default().next(&digest_loads(&loads), START);
     let frame = Frame::Digest(digest.with_loads(report, Vec::new()));
     let bytes = frame.encode().expect("the frame fits one datagram");
     assert_eq!(Frame::decode(&bytes), Ok(frame));
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -1,4 +1,4 @@
-//! Which server gets a request.
+//! Placement of requests on servers.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -13,77 +13,80 @@
 use yare::parameterized;
 
 use crate::world::{
-    START, admit, bounds, by_score, demand, dozen, entry, fleet, pool, pool_of, run, server,
+    START, admit, bounds, demand, entry, fleet, pool, pool_of, ranked_servers, run, server,
+    twelve_servers,
 };
 
-/// Requests that share a prompt come one after the other through two routers
-/// that know nothing of each other. If each chose by its own load, the prompt
-/// would be read on several servers, and callers would wait for each reading.
+/// Requests with a common prompt arrive through two routers that do not know of each
+/// other's requests. If each router chose by its own load, the prompt would be computed
+/// on several servers, and its callers would wait each time.
 #[test]
-fn two_routers_agree_on_a_prompt() {
-    let mut here = pool(&dozen());
-    let mut there = pool(&dozen());
+fn routers_choose_the_same_server_for_a_prompt() {
+    let mut first_router = pool(&twelve_servers());
+    let mut second_router = pool(&twelve_servers());
     for topic in 0..50 {
-        let one = run(&mut here, topic, topic, START);
-        let other = run(&mut there, topic, topic + 1_000, START);
-        assert_eq!(one.server, other.server, "topic {topic}");
+        let first_place = run(&mut first_router, topic, topic, START);
+        let second_place = run(&mut second_router, topic, topic + 1_000, START);
+        assert_eq!(first_place.server, second_place.server, "topic {topic}");
     }
 }
 
-/// The first server of a prompt has no room, and its requests come through
-/// routers of different zones. If each took a server near by, each of those would
-/// read the prompt, and all their other callers wait meanwhile.
+/// The first server of a prompt is full, and its requests arrive through routers in
+/// different zones. If each router chose a nearby server, every one of these servers
+/// would compute the prompt, and its other callers would wait meanwhile.
 #[test]
-fn two_routers_agree_on_the_next_server_of_a_prompt() {
-    let homes = (0..50).map(|topic| run(&mut pool(&dozen()), topic, topic, START).server);
-    for (topic, home) in homes.enumerate() {
-        let next = |zone: &str| {
-            let mut pool = pool_of(zone, &dozen());
-            pool.set_elsewhere(|name| if *name == home { 20 } else { 1 });
+fn routers_choose_the_same_fallback_server_for_a_prompt() {
+    let first_servers =
+        (0..50).map(|topic| run(&mut pool(&twelve_servers()), topic, topic, START).server);
+    for (topic, first_server) in first_servers.enumerate() {
+        let fallback_server = |zone: &str| {
+            let mut pool = pool_of(zone, &twelve_servers());
+            pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
             run(&mut pool, topic as u64, 0, START).server
         };
-        assert_eq!(next("a"), next("b"), "topic {topic}");
+        assert_eq!(fallback_server("a"), fallback_server("b"), "topic {topic}");
     }
 }
 
-/// Routers of different versions that rank servers differently would read each
-/// prompt on two servers.
+/// During a rolling upgrade, routers of different versions run together. If they ranked
+/// servers differently, each prompt would be computed on two servers.
 #[test]
-fn requests_take_the_servers_of_a_prompt_in_order_of_their_scores() {
+fn servers_are_chosen_in_score_order() {
     let entries: Vec<_> = (0..40)
         .map(|index| entry(&format!("s{index}"), "a"))
         .collect();
     for topic in 0..50 {
         let mut full: Vec<backend::Server> = Vec::new();
-        for expected in by_score(1_000 + topic, &entries).into_iter().take(3) {
+        for expected in ranked_servers(1_000 + topic, &entries).into_iter().take(3) {
             let mut pool = pool(&entries);
-            pool.set_elsewhere(|name| if full.contains(name) { 20 } else { 1 });
-            let place = admit(&mut pool, topic, topic, START).expect("a place");
-            assert_eq!(place.server, expected, "topic {topic}, full {full:?}");
+            pool.set_peer_load(|name| if full.contains(name) { 20 } else { 1 });
+            let placement = admit(&mut pool, topic, topic, START).expect("a place");
+            assert_eq!(placement.server, expected, "topic {topic}, full {full:?}");
             full.push(expected);
         }
     }
 }
 
-/// Prompts must not all go to one server either.
+/// Guards against placing all prompts on one server.
 #[test]
-fn prompts_spread_over_the_servers() {
-    let mut pool = pool(&dozen());
+fn prompts_are_spread_over_the_servers() {
+    let mut pool = pool(&twelve_servers());
     let mut counts: BTreeMap<_, u32> = BTreeMap::new();
     for topic in 0..240 {
-        let place = run(&mut pool, topic, topic, START);
-        pool.ended(&place.server, Outcome::Completed, START);
-        *counts.entry(place.server).or_default() += 1;
+        let placement = run(&mut pool, topic, topic, START);
+        pool.ended(&placement.server, Outcome::Completed, START);
+        *counts.entry(placement.server).or_default() += 1;
     }
     assert_eq!(counts.len(), 12);
     assert!(counts.values().all(|&count| count <= 45), "{counts:?}");
 }
 
-/// A prompt that many callers send at once would fill its server while the
-/// others idle. Its callers would get their tokens ever more slowly.
+/// Many callers send the same prompt at once. Without the load bound they would fill
+/// its server while the others are idle, and all would receive their tokens more and
+/// more slowly.
 #[test]
-fn a_hot_prompt_stays_within_the_bound() {
-    let mut pool = pool(&dozen());
+fn a_hot_prompt_stays_within_the_load_bound() {
+    let mut pool = pool(&twelve_servers());
     for own in 0..240 {
         run(&mut pool, 7, own, START);
     }
@@ -93,12 +96,12 @@
     assert!(most <= bounds().load_multiple * mean + 3.0, "{loads:?}");
 }
 
-/// A zone is taken out, and its servers idle. The rest carries its load, and
-/// the mean over all servers of the service falls below what each of the others
-/// holds: one of these is over the bound sooner than their own mean says.
+/// A zone is taken out of service, and its servers are idle. They lower the mean load
+/// over all servers, so the active ones reach the bound earlier than their own mean
+/// suggests.
 #[test]
-fn servers_that_are_out_count_in_the_mean() {
-    let mut entries = dozen();
+fn draining_servers_count_in_the_mean_load() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.is_draining = entry.zone.as_str() == "b";
     }
@@ -115,13 +118,12 @@
     }
 }
 
-/// Most servers are out, and the few that are left hold all that the service
-/// has. They are used evenly, and no further than the bound on the mean of all:
-/// beyond it their callers would get their tokens ever more slowly, while those
-/// who ask now are told at once when to come back.
+/// Most servers are out of service, and a few carry all requests. Beyond the bound,
+/// which follows the mean of all servers, callers would receive their tokens more and
+/// more slowly; instead, further requests are refused immediately with a retry time.
 #[test]
-fn few_servers_that_are_left_are_used_evenly_and_within_the_bound() {
-    let mut entries = dozen();
+fn remaining_servers_are_loaded_evenly_within_the_bound() {
+    let mut entries = twelve_servers();
     for (index, entry) in entries.iter_mut().enumerate() {
         entry.is_draining = index >= 4;
     }
@@ -137,101 +139,101 @@
     assert!(most - least <= 2.0, "{loads:?}");
 }
 
-/// Several routers choose the same server in the same moment, as each sees
-/// only its own few requests there. Its load passes the bound, though every
-/// router kept to it.
+/// Several routers choose the same server at the same time, since each sees only its
+/// own few requests there. The load would exceed the bound although each router kept to
+/// it.
 #[test]
-fn requests_of_other_routers_count_against_the_bound() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Completed, START);
-    pool.set_elsewhere(|name| if *name == home { 20 } else { 1 });
-    let place = admit(&mut pool, 7, 1, START).expect("a place");
-    assert_ne!(place.server, home);
+fn peer_load_counts_against_the_bound() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Completed, START);
+    pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
+    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    assert_ne!(placement.server, first_server);
 }
 
-/// A server that leaves, or whose zone is out, still has its cache, but a
-/// request sent there would be cut when it goes.
+/// A server that is leaving, or whose zone is out of service, still has its cache. A
+/// new request sent there would be cut off when the server stops.
 #[test]
-fn a_leaving_server_gets_nothing_new() {
-    let mut entries = dozen();
+fn a_draining_server_gets_no_new_requests() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.is_draining = entry.server != server("s3");
     }
     let mut pool = pool(&entries);
     for own in 0..20 {
         match admit(&mut pool, own, own, START) {
-            Ok(place) => assert_eq!(place.server, server("s3")),
+            Ok(placement) => assert_eq!(placement.server, server("s3")),
             Err(denial) => assert_eq!(denial, Denial::Full),
         }
     }
 }
 
-/// A server that died refuses connections until its entry is gone, which takes
-/// seconds. Each request that tries it first loses a round trip, or a third of
-/// a second if the server is silent.
+/// A crashed server refuses connections until its entry in the store expires, which
+/// takes seconds. Each request that tries it first loses a round trip, or a third of a
+/// second if connections hang.
 #[test]
-fn a_server_that_refuses_connections_is_left_alone_for_a_while() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Unreachable, START);
+fn an_unreachable_server_is_skipped_temporarily() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Unreachable, START);
     let soon = START + Duration::from_millis(300);
-    let place = admit(&mut pool, 7, 1, soon).expect("a place");
-    assert_ne!(place.server, home);
+    let placement = admit(&mut pool, 7, 1, soon).expect("a place");
+    assert_ne!(placement.server, first_server);
 }
 
-/// A server that came back after a crash holds nothing and bears little. The
-/// store may say so late, so what could not be reached counts as cold.
+/// A server that returns after a crash has an empty cache and can handle few requests.
+/// The store may report the restart late, so a server is treated as cold after
+/// connection failures.
 #[test]
-fn a_server_that_comes_back_counts_as_cold() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Unreachable, START);
+fn a_server_is_cold_after_an_outage() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Unreachable, START);
     let later = START + Duration::from_millis(500);
-    let back = pool.server_mut(&home).expect("the server");
-    assert!(back.is_reachable(later));
-    assert!(back.is_cold(later));
+    let returned_server = pool.server_mut(&first_server).expect("the server");
+    assert!(returned_server.is_reachable(later));
+    assert!(returned_server.is_cold(later));
 }
 
-/// A server starts again under its old name. What was remembered of its cache
-/// is wrong from then on, and its callers would wait for a reading that nobody
-/// expected.
+/// A server restarts under the same name. The record of its cache is wrong from then
+/// on, and callers sent there for it would wait for an unexpected prefill.
 #[test]
-fn a_new_start_of_a_server_knows_nothing() {
-    let mut entries = dozen();
+fn a_restarted_server_has_an_empty_cache() {
+    let mut entries = twelve_servers();
     let mut pool = pool(&entries);
-    let home = run(&mut pool, 7, 0, START).server;
+    let first_server = run(&mut pool, 7, 0, START).server;
     for entry in &mut entries {
-        entry.born += u64::from(entry.server == home);
+        entry.born += u64::from(entry.server == first_server);
     }
     pool.set_servers(entries.iter().map(|entry| (entry, false)));
     let parts = demand(7, 0).parts;
-    let unread = pool
-        .server_mut(&home)
+    let uncached = pool
+        .server_mut(&first_server)
         .expect("the server")
-        .unread(&parts, START);
-    assert_eq!(unread, 11_500);
+        .uncached(&parts, START);
+    assert_eq!(uncached, 11_500);
 }
 
-/// All servers of a service fail at once, such as when a zone is cut off. What
-/// failed lately is still better than a refusal.
+/// All servers of a service become unreachable at once, for example during a network
+/// partition. Trying one of them is better than refusing the request.
 #[test]
-fn failing_servers_are_used_when_there_is_no_other() {
-    let mut pool = pool(&dozen()[..1]);
+fn unreachable_servers_are_used_as_a_last_resort() {
+    let mut pool = pool(&twelve_servers()[..1]);
     for own in 0..10 {
-        // Such a server counts as cold, so that requests come one by one.
+        // The server is treated as cold, so requests are spaced out.
         let now = START + Duration::from_millis(600 * own);
-        let place = admit(&mut pool, 7, own, now).expect("a place");
-        pool.ended(&place.server, Outcome::Unreachable, now);
+        let placement = admit(&mut pool, 7, own, now).expect("a place");
+        pool.ended(&placement.server, Outcome::Unreachable, now);
     }
 }
 
-/// Eighty-five routers share a plain service whose requests take 30 ms. What they
-/// tell each other of their requests is older than that, so every server looks
-/// full, and callers wait for slots that are free.
+/// Eighty-five routers share a plain service whose requests take 30 ms. The loads they
+/// report to each other are older than that, so every server looks full, and requests
+/// would queue although slots are free.
 #[test]
-fn short_requests_do_not_wait_for_old_loads() {
-    let mut entries = dozen();
+fn stale_peer_load_does_not_block_a_plain_service() {
+    let mut entries = twelve_servers();
     for entry in &mut entries {
         entry.slots = 6;
     }
@@ -240,190 +242,210 @@
         cold_per_s: 0.0,
         cache_tokens: 0,
     });
-    pool.set_elsewhere(|_| 6);
+    pool.set_peer_load(|_| 6);
     assert!(pool.admit(&Demand::default(), &fleet(), START).is_ok());
 }
 
-/// A server that answers slowly for a while, though its load is small, would
-/// keep its prompts and make all their callers late.
+/// A server responds slowly for a while although its load is low. It would keep its
+/// prompts and delay all their callers.
 #[test]
-fn a_slow_server_gets_less() {
-    let mut pool = pool(&dozen());
-    let home = run(&mut pool, 7, 0, START).server;
-    pool.ended(&home, Outcome::Completed, START);
-    let slow = pool.server_mut(&home).expect("the server");
+fn a_slow_server_is_avoided_until_its_lag_decays() {
+    let mut pool = pool(&twelve_servers());
+    let first_server = run(&mut pool, 7, 0, START).server;
+    pool.ended(&first_server, Outcome::Completed, START);
+    let slow_server = pool.server_mut(&first_server).expect("the server");
     for _ in 0..5 {
-        slow.sample(Duration::from_secs(2), Duration::from_millis(50), START);
+        slow_server.record_first_byte(Duration::from_secs(2), Duration::from_millis(50), START);
     }
-    assert_ne!(admit(&mut pool, 7, 1, START).expect("a place").server, home);
+    assert_ne!(
+        admit(&mut pool, 7, 1, START).expect("a place").server,
+        first_server
+    );
     let later = START + Duration::from_secs(30);
-    assert_eq!(admit(&mut pool, 7, 2, later).expect("a place").server, home);
+    assert_eq!(
+        admit(&mut pool, 7, 2, later).expect("a place").server,
+        first_server
+    );
 }
 
-/// The machine stands still for seconds, and meanwhile a server starts anew.
-/// The router wakes with a socket full of requests and knows nothing of it. Sent
-/// at once, they make the server fall over, and all its callers get nothing.
+/// The machine pauses for seconds, and a server restarts meanwhile. The router resumes
+/// with many buffered requests and without knowing of the restart. Sent all at once,
+/// they would overload the cold server and fail.
 #[test]
-fn after_a_pause_servers_get_requests_one_by_one() {
-    let mut pauses = pause::Watch::default();
-    let mut pool = pool(&dozen());
-    assert_eq!(pauses.look(START), None);
-    assert_eq!(pauses.look(START + Duration::from_millis(400)), None);
-    let woken = START + Duration::from_secs(4);
-    let pause = pauses.look(woken).expect("a pause");
+fn servers_are_treated_as_cold_after_a_process_pause() {
+    let mut pause_watch = pause::Watch::default();
+    let mut pool = pool(&twelve_servers());
+    assert_eq!(pause_watch.look(START), None);
+    assert_eq!(pause_watch.look(START + Duration::from_millis(400)), None);
+    let resumed_at = START + Duration::from_secs(4);
+    let pause = pause_watch.look(resumed_at).expect("a pause");
     assert!(pause > Duration::from_secs(3));
-    pool.doubt(woken + Duration::from_millis(600));
-    let placed = (0..200).filter(|&own| admit(&mut pool, own, own, woken).is_ok());
-    assert_eq!(placed.count(), 12, "one at each server");
-    let renewed = woken + Duration::from_millis(700);
-    assert_eq!(pauses.look(renewed), None);
-    let placed = (0..60).filter(|&own| admit(&mut pool, own, own, renewed).is_ok());
+    pool.assume_cold_until(resumed_at + Duration::from_millis(600));
+    let placed = (0..200).filter(|&own| admit(&mut pool, own, own, resumed_at).is_ok());
+    assert_eq!(placed.count(), 12, "one request per server");
+    let later_at = resumed_at + Duration::from_millis(700);
+    assert_eq!(pause_watch.look(later_at), None);
+    let placed = (0..60).filter(|&own| admit(&mut pool, own, own, later_at).is_ok());
     assert_eq!(placed.count(), 60);
 }
 
-/// A zone is cut off in silence, and each connection to one of its servers takes a
-/// third of a second to fail. If every server had to be met for that, nearly all
-/// callers would wait as long, for as long as the zone is away.
+/// A zone is partitioned, and each connection to one of its servers takes a third of a
+/// second to time out. If every server had to fail first, nearly all callers would wait
+/// that long for the whole duration of the partition.
 #[test]
-fn a_zone_that_cannot_be_reached_is_left_alone() {
-    let mut pool = pool(&dozen());
-    let mut misses = 0;
+fn an_unreachable_zone_is_skipped() {
+    let mut pool = pool(&twelve_servers());
+    let mut timeouts = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        let is_cut = ["s2", "s5", "s8", "s11"].contains(&place.server.as_str());
-        misses += u32::from(is_cut);
-        let outcome = if is_cut {
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let is_unreachable = ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str());
+        timeouts += u32::from(is_unreachable);
+        let outcome = if is_unreachable {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
-        pool.ended(&place.server, outcome, now);
+        pool.ended(&placement.server, outcome, now);
     }
-    assert!((3..=9).contains(&misses), "{misses} of 200 in two seconds");
+    assert!(
+        (3..=9).contains(&timeouts),
+        "{timeouts} of 200 requests timed out"
+    );
 }
 
-/// Two servers of a zone have died, and the others are well. Were the zone left
-/// alone for it, its prompts would be read anew in other zones.
+/// Two servers of a zone have crashed, and the others are healthy. If the whole zone
+/// were avoided, its prompts would be computed again in other zones.
 #[test]
-fn a_zone_with_dead_servers_is_used() {
-    let mut pool = pool(&dozen());
+fn a_zone_with_two_failed_servers_stays_in_use() {
+    let mut pool = pool(&twelve_servers());
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        let is_dead = ["s2", "s5"].contains(&place.server.as_str());
-        let outcome = if is_dead {
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let has_failed = ["s2", "s5"].contains(&placement.server.as_str());
+        let outcome = if has_failed {
             Outcome::Unreachable
         } else {
             Outcome::Completed
         };
-        pool.ended(&place.server, outcome, now);
+        pool.ended(&placement.server, outcome, now);
     }
     let last = START + Duration::from_secs(2);
-    let places = (1000..1100).filter_map(|own| {
-        let place = admit(&mut pool, own, own, last).ok()?;
-        pool.ended(&place.server, Outcome::Completed, last);
-        Some(place.server)
+    let placements = (1000..1100).filter_map(|own| {
+        let placement = admit(&mut pool, own, own, last).ok()?;
+        pool.ended(&placement.server, Outcome::Completed, last);
+        Some(placement.server)
     });
-    assert!(places.into_iter().any(|name| name == server("s8")));
+    assert!(placements.into_iter().any(|name| name == server("s8")));
 }
 
-/// A zone is cut off from the two others, and its callers can only be served
-/// there. What the servers elsewhere hold is not known any more; counted as
-/// nothing, it made the bound on load so small that callers waited for seconds
-/// beside servers with free slots.
+/// A zone is cut off from the two others, and only its own servers can handle its
+/// requests. The load of the other servers is unknown. Counting it as zero lowered the
+/// load bound so far that callers waited for seconds while local servers had free
+/// slots.
 #[parameterized(
-    in_silence = { Outcome::Unreachable },
-    by_refusals = { Outcome::Refused },
+    by_timeout = { Outcome::Unreachable },
+    by_refused_connections = { Outcome::Refused },
 )]
-fn a_zone_that_is_cut_off_uses_its_own_servers(cut: Outcome) {
-    let mut pool = pool(&dozen());
+fn a_partitioned_zone_uses_its_own_servers(partition_outcome: Outcome) {
+    let mut pool = pool(&twelve_servers());
     let mut loads: BTreeMap<backend::Server, u32> = BTreeMap::new();
     let mut placed = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(5 * own);
-        let Ok(place) = admit(&mut pool, own, own, now) else {
+        let Ok(placement) = admit(&mut pool, own, own, now) else {
             continue;
         };
-        let is_near = ["s0", "s3", "s6", "s9"].contains(&place.server.as_str());
-        if is_near {
+        let is_local = ["s0", "s3", "s6", "s9"].contains(&placement.server.as_str());
+        if is_local {
             placed += 1;
-            *loads.entry(place.server).or_default() += 1;
+            *loads.entry(placement.server).or_default() += 1;
         } else {
-            pool.ended(&place.server, cut, now);
+            pool.ended(&placement.server, partition_outcome, now);
         }
     }
-    assert!(placed >= 150, "{placed} of 200 were placed");
+    assert!(placed >= 150, "{placed} of 200 requests were placed");
     let most = loads.values().max().copied().unwrap_or_default();
     let bound = 2.0 * f64::from(placed) / 4.0 + 3.0;
-    assert!(f64::from(most) <= bound, "{most} on one, {bound} allowed");
+    assert!(
+        f64::from(most) <= bound,
+        "a server has {most} requests, the bound is {bound}"
+    );
 }
 
-/// A zone stays cut off in silence for ten seconds. It is tried again now and
-/// then, and each try takes a third of a second to fail. Were all requests that
-/// come meanwhile to try it too, a crowd of callers would wait at each time.
+/// A zone stays partitioned for ten seconds. It is probed from time to time, and each
+/// probe takes a third of a second to fail. If all requests that arrive meanwhile were
+/// sent there too, many callers would wait at each probe.
 #[test]
-fn one_request_at_a_time_tries_a_zone_again() {
-    let mut pool = pool(&dozen());
-    let mut hanging: VecDeque<(Instant, backend::Server)> = VecDeque::new();
-    let mut tries = 0;
+fn one_request_at_a_time_probes_a_zone() {
+    let mut pool = pool(&twelve_servers());
+    let mut pending_connections: VecDeque<(Instant, backend::Server)> = VecDeque::new();
+    let mut probes = 0;
     for own in 0..1000 {
         let now = START + Duration::from_millis(10 * own);
-        while let Some((_, server)) = hanging.pop_front_if(|(at, _)| *at <= now) {
+        while let Some((_, server)) = pending_connections.pop_front_if(|(at, _)| *at <= now) {
             pool.ended(&server, Outcome::Unreachable, now);
         }
-        let place = admit(&mut pool, own, own, now).expect("a place");
-        if ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()) {
-            tries += 1;
-            hanging.push_back((now + Duration::from_millis(300), place.server));
+        let placement = admit(&mut pool, own, own, now).expect("a place");
+        if ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()) {
+            probes += 1;
+            pending_connections.push_back((now + Duration::from_millis(300), placement.server));
         } else {
-            pool.ended(&place.server, Outcome::Completed, now);
+            pool.ended(&placement.server, Outcome::Completed, now);
         }
     }
-    // Some ten until it is known, and one at each later time: 15. It was 24.
-    assert!(tries <= 20, "{tries} of 1,000 tried it");
+    // About ten until the partition is detected and one per later probe, 15 in total.
+    // It was 24 without the limit to one probe at a time.
+    assert!(
+        probes <= 20,
+        "{probes} of 1,000 requests were sent to the zone"
+    );
 }
 
-/// The zone can be reached again, and the answer that shows it is a long one.
-/// Until its end the zone would be left alone.
+/// The zone is reachable again, and the response that shows it takes long to complete.
+/// If only its end counted, the zone would be avoided until then.
 #[test]
-fn a_zone_is_used_from_the_first_byte_on() {
-    let mut pool = pool(&dozen());
+fn a_zone_is_used_after_the_first_response_byte() {
+    let mut pool = pool(&twelve_servers());
     for name in ["s2", "s5", "s8"] {
         pool.ended(&server(name), Outcome::Unreachable, START);
     }
     let later = START + Duration::from_secs(1);
-    let mut tried = 0;
-    let mut places = Vec::new();
+    let mut probed = 0;
+    let mut placements = Vec::new();
     for own in 0..60 {
-        let place = admit(&mut pool, own, own, later).expect("a place");
-        tried += usize::from(["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
-        places.push(place);
+        let placement = admit(&mut pool, own, own, later).expect("a place");
+        probed += usize::from(["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()));
+        placements.push(placement);
     }
-    assert_eq!(tried, 1);
-    for place in places {
-        pool.answered(&place.server);
+    assert_eq!(probed, 1);
+    for placement in placements {
+        pool.record_response(&placement.server);
     }
-    let places = (100..160).filter_map(|own| admit(&mut pool, own, own, later).ok());
-    let near = places.filter(|place| ["s2", "s5", "s8", "s11"].contains(&place.server.as_str()));
-    assert!(near.count() >= 5);
+    let placements = (100..160).filter_map(|own| admit(&mut pool, own, own, later).ok());
+    let in_zone = placements
+        .filter(|placement| ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()));
+    assert!(in_zone.count() >= 5);
 }
 
-/// A zone that has no server of a service is cut off. Each of its callers would be
-/// kept for as long as four connections hang, and then be refused.
+/// A zone without servers of a service is cut off from the other zones. Each of its
+/// callers would wait for four connect timeouts before being refused.
 #[test]
-fn a_request_that_no_reachable_zone_can_serve_is_refused_at_once() {
+fn a_request_without_a_reachable_zone_is_refused_immediately() {
     let entries = [entry("s1", "b"), entry("s2", "b"), entry("s3", "b")];
     let mut pool = pool(&entries);
     for name in ["s1", "s2", "s3"] {
         pool.ended(&server(name), Outcome::Unreachable, START);
     }
-    let Err(Denial::Away(at)) = admit(&mut pool, 7, 0, START) else {
-        panic!("not refused");
+    let Err(Denial::ZonesUnreachable(at)) = admit(&mut pool, 7, 0, START) else {
+        panic!("the request was not refused");
     };
     assert!(START < at && at <= START + Duration::from_secs(1), "{at:?}");
-    let place = admit(&mut pool, 7, 1, at);
-    assert!(place.is_ok(), "the zone is tried again: {place:?}");
+    let placement = admit(&mut pool, 7, 1, at);
+    assert!(placement.is_ok(), "the zone was not probed: {placement:?}");
     let others = admit(&mut pool, 7, 2, at);
-    assert!(matches!(others, Err(Denial::Away(_))), "{others:?}");
+    assert!(
+        matches!(others, Err(Denial::ZonesUnreachable(_))),
+        "{others:?}"
+    );
 }
