--- a/crates/router/src/backend/answer.rs
+++ b/crates/router/src/backend/answer.rs
@@ -196,7 +196,7 @@
         match end {
             End::Whole => {
                 let connection = self.connection.is_usable().then_some(self.connection);
-                self.permit.used(self.tail.usage());
+                self.permit.set_usage(self.tail.usage());
                 self.permit.finish(owner::Outcome::Completed, connection);
             }
             End::Cancelled => self.permit.finish(owner::Outcome::Cancelled, None),
@@ -232,7 +232,7 @@
                     let Ok(piece) = frame.into_data() else {
                         continue;
                     };
-                    self.permit.progress();
+                    self.permit.record_first_byte();
                     self.found_well = 0;
                     self.tail.push(&piece);
                     if self.pieces.send(Ok(piece)).await.is_err() {
@@ -251,7 +251,7 @@
         if self.watch.is_over() {
             let refusal =
                 Refusal::may_have_run(Code::Deadline, "The answer did not end by the deadline.");
-            return Some(End::Broken(refusal, owner::Outcome::Late));
+            return Some(End::Broken(refusal, owner::Outcome::DeadlineExceeded));
         }
         if !self.tail.ends_with_event() {
             return None;
--- a/crates/router/src/backend/relay.rs
+++ b/crates/router/src/backend/relay.rs
@@ -200,7 +200,7 @@
             Refusal::may_have_run(code, message)
         }
         Broken::Late => {
-            permit.finish(owner::Outcome::Late, None);
+            permit.finish(owner::Outcome::DeadlineExceeded, None);
             Refusal::may_have_run(Code::Deadline, "The answer did not come by the deadline.")
                 .retry_at(watch.clock.now() + RETRY_WAIT)
         }
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -20,7 +20,7 @@
 
 use crate::{clock::Clock, members::Members, request::Request};
 pub use guard::Guard;
-use store::Done;
+use store::Completion;
 
 /// The longest wait before the ledger is looked at again.
 const MAX_WAIT: Duration = Duration::from_millis(100);
@@ -73,7 +73,7 @@
         // A caller that leaves while the claim is written must not keep it.
         let guard = Guard::new(attempt, self.clone());
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Claim(claim, reply));
+        self.send(Message::Claim(claim, reply));
         match answer.await.map_err(|_| stopped())?? {
             Answer::Granted { .. } => Ok(Claimed::Granted(guard)),
             Answer::Recorded(outcome) => Ok(Claimed::Recorded(outcome)),
@@ -83,11 +83,11 @@
 
     async fn start(&self, attempt: request::Attempt) -> Result<(), Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Start(attempt, reply));
+        self.send(Message::Start(attempt, reply));
         answer.await.map_err(|_| stopped())?
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // The task ends only with the process.
         let _ = self.messages.send(message);
     }
@@ -113,8 +113,8 @@
     table: Arc<table::Client>,
     waiting: BTreeMap<request::Attempt, oneshot::Sender<Result<Answer, Refusal>>>,
     messages: mpsc::UnboundedReceiver<Message>,
-    done: mpsc::UnboundedReceiver<Done>,
-    done_sender: mpsc::UnboundedSender<Done>,
+    done: mpsc::UnboundedReceiver<Completion>,
+    done_sender: mpsc::UnboundedSender<Completion>,
     members: watch::Receiver<Arc<Members>>,
 }
 
@@ -213,19 +213,19 @@
         let done = self.done_sender.clone();
         tokio::spawn(async move {
             let result = match work {
-                Work::Write(batch) => Done::Wrote(store::write(&table, batch).await),
-                Work::Read(keys) => Done::Read(store::read(&table, &keys).await),
+                Work::Write(batch) => Completion::Wrote(store::write(&table, batch).await),
+                Work::Read(keys) => Completion::Read(store::read(&table, &keys).await),
             };
             // The task ends only with the process.
             let _ = done.send(result);
         });
     }
 
-    fn done(&mut self, done: Done) {
+    fn done(&mut self, done: Completion) {
         let now = self.clock.now();
         let settled = match done {
-            Done::Wrote(written) => self.ledger.wrote(written, now),
-            Done::Read(rows) => self.ledger.read(rows, now),
+            Completion::Wrote(written) => self.ledger.wrote(written, now),
+            Completion::Read(rows) => self.ledger.read(rows, now),
         };
         self.settle(settled);
     }
--- a/crates/router/src/claims/guard.rs
+++ b/crates/router/src/claims/guard.rs
@@ -57,16 +57,16 @@
     /// Takes the claim back: the request has not run and will not be sent.
     pub fn not_run(mut self) {
         if self.stage == Stage::Started {
-            self.claims.tell(Message::Unsent(self.attempt));
+            self.claims.send(Message::Unsent(self.attempt));
         } else {
-            self.claims.tell(Message::Release(self.attempt));
+            self.claims.send(Message::Release(self.attempt));
         }
         self.stage = Stage::Ended;
     }
 
     /// Records the outcome of the request, `None` where it is unknown.
     pub fn finish(mut self, outcome: Option<Outcome>) {
-        self.claims.tell(Message::Finish(self.attempt, outcome));
+        self.claims.send(Message::Finish(self.attempt, outcome));
         self.stage = Stage::Ended;
     }
 }
@@ -74,8 +74,8 @@
 impl Drop for Guard {
     fn drop(&mut self) {
         match self.stage {
-            Stage::Claimed => self.claims.tell(Message::Release(self.attempt)),
-            Stage::Started => self.claims.tell(Message::Finish(self.attempt, None)),
+            Stage::Claimed => self.claims.send(Message::Release(self.attempt)),
+            Stage::Started => self.claims.send(Message::Finish(self.attempt, None)),
             Stage::Ended => {}
         }
     }
--- a/crates/router/src/claims/store.rs
+++ b/crates/router/src/claims/store.rs
@@ -17,7 +17,7 @@
 
 /// The end of a piece of work.
 #[derive(Debug)]
-pub enum Done {
+pub enum Completion {
     /// A write ended.
     Wrote(Written),
     /// A read ended; `None`: it was not answered.
@@ -106,7 +106,7 @@
 }
 
 /// Deletes outcomes that are old enough.
-pub async fn sweep(table: Arc<table::Client>, present: Bucket) {
+pub async fn sweep(table: Arc<table::Client>, current: Bucket) {
     let range = table::Range {
         prefix: String::from(sweep::PREFIX),
         limit: Some(SWEEP_ROWS),
@@ -117,7 +117,7 @@
         return;
     };
     let index = rows.iter().map(|row| (row.key.as_str(), row.generation));
-    let plan = sweep::plan(index, present, once::Settings::default().retention);
+    let plan = sweep::plan(index, current, once::Settings::default().retention);
     if plan.deletes.is_empty() {
         return;
     }
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -31,11 +31,11 @@
     tracker,
     view::View,
 };
-pub use attempt::death;
+pub use attempt::crash_id;
 pub use progress::ending_of;
 
 /// When a caller may come back to a router that is not ready.
-const NOT_READY_MS: u64 = 1000;
+const NOT_READY_RETRY_MS: u64 = 1000;
 
 /// What all requests share.
 #[derive(Debug)]
@@ -61,7 +61,7 @@
     /// The idle links to other routers.
     pub links: client::Links,
     /// The key of fingerprints.
-    pub fingerprints: seal::Key,
+    pub fingerprint_key: seal::Key,
     /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
@@ -95,7 +95,7 @@
         let snapshot = view.snapshot.clone().filter(|_| view.ready);
         snapshot.ok_or_else(|| {
             Refusal::not_run(Code::NotReady, "The router has no configuration yet.")
-                .retry_at(come_back(&self.clock, NOT_READY_MS))
+                .retry_at(come_back(&self.clock, NOT_READY_RETRY_MS))
         })
     }
 
@@ -121,7 +121,7 @@
             bytes.push(&[0]);
         }
         bytes.push(body);
-        request::Fingerprint(self.fingerprints.digest(&bytes))
+        request::Fingerprint(self.fingerprint_key.digest(&bytes))
     }
 
     /// The page `/weir/status`.
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -21,28 +21,28 @@
 pub(super) struct Attempted {
     pub(super) answer: Answer,
     /// Names the death of the server, if it dies.
-    pub(super) cause: u64,
+    pub(super) crash_id: u64,
 }
 
 /// An attempt that has none.
 pub(super) struct Failed {
     pub(super) refusal: Refusal,
     /// Names the death of the server, if it died.
-    pub(super) cause: u64,
+    pub(super) crash_id: u64,
 }
 
 /// A slot on a backend server, here or at another router.
 enum Grant {
-    Own(owner::Permit),
-    Other(Box<client::Admitted>),
+    Local(owner::Permit),
+    Remote(Box<client::Admitted>),
 }
 
 impl Grant {
     /// The way to the owner, for the log.
-    fn way(&self) -> &'static str {
+    fn kind(&self) -> &'static str {
         match self {
-            Self::Own(_) => "own",
-            Self::Other(_) => "hop",
+            Self::Local(_) => "own",
+            Self::Remote(_) => "hop",
         }
     }
 }
@@ -71,34 +71,36 @@
                 );
                 return Err(Failed {
                     refusal: rejected.refusal,
-                    cause: open.attempt.0,
+                    crash_id: open.attempt.0,
                 });
             }
         };
         let boot = match &grant {
-            Grant::Own(permit) => permit.boot_hash(),
-            Grant::Other(admitted) => admitted.boot,
+            Grant::Local(permit) => permit.boot_hash(),
+            Grant::Remote(admitted) => admitted.boot,
         };
-        let cause = death(&target.server, boot, open.attempt);
+        let crash_id = crash_id(&target.server, boot, open.attempt);
         logging::event!(
             debug,
             "attempt_admitted",
             request = request.id,
             attempt = open.attempt,
             server = target.server,
-            way = grant.way()
+            way = grant.kind()
         );
         if let Some(claim) = claim {
             let started = claim.start().await;
-            started.map_err(|refusal| Failed { refusal, cause })?;
+            started.map_err(|refusal| Failed { refusal, crash_id })?;
         }
         let ran = match grant {
-            Grant::Own(permit) => http::run(permit, &open, request.body.clone(), self.clock).await,
-            Grant::Other(admitted) => admitted.send(&request.body, self.clock).await,
+            Grant::Local(permit) => {
+                http::run(permit, &open, request.body.clone(), self.clock).await
+            }
+            Grant::Remote(admitted) => admitted.send(&request.body, self.clock).await,
         };
         match ran {
-            Ok(answer) => Ok(Attempted { answer, cause }),
-            Err(refusal) => Err(Failed { refusal, cause }),
+            Ok(answer) => Ok(Attempted { answer, crash_id }),
+            Err(refusal) => Err(Failed { refusal, crash_id }),
         }
     }
 
@@ -116,7 +118,7 @@
         if owner.host == self.host {
             let clock = self.clock;
             let admitted = self.owner.admit(|reply| server::offer(open, reply, &clock));
-            return admitted.await.map(Grant::Own);
+            return admitted.await.map(Grant::Local);
         }
         let admitted = client::admit(&self.links, owner.address, open, &self.clock).await;
         let load = match &admitted {
@@ -125,9 +127,9 @@
         };
         if let Some(load) = load {
             let pool = target.pool.clone();
-            self.owner.heard(owner.host.clone(), pool, load);
+            self.owner.record_peer_load(owner.host.clone(), pool, load);
         }
-        admitted.map(|admitted| Grant::Other(Box::new(admitted)))
+        admitted.map(|admitted| Grant::Remote(Box::new(admitted)))
     }
 
     fn open(
@@ -154,7 +156,7 @@
                 plan::Terms::Queued => hop::Terms::Queued,
             },
             fingerprint: request.fingerprint,
-            deaths: progress.deaths.clone(),
+            deaths: progress.crashes.clone(),
             suspect: progress.standing == admission::Standing::Suspect,
             idempotent: request.repeat == Repeat::Allowed,
             events: request.events,
@@ -170,7 +172,7 @@
 ///
 /// All routers name it alike, so that it counts once for a request, whoever
 /// notices it. A server without a boot id is told apart by the attempt.
-pub fn death(server: &backend::Server, boot: u64, attempt: request::Attempt) -> u64 {
+pub fn crash_id(server: &backend::Server, boot: u64, attempt: request::Attempt) -> u64 {
     match boot {
         0 => attempt.0,
         boot => recovery::Crash::new(server, boot).0,
--- a/crates/router/src/entry/progress.rs
+++ b/crates/router/src/entry/progress.rs
@@ -17,7 +17,7 @@
     /// The first server that had no room.
     pub(super) busy: Option<backend::Server>,
     /// The deaths of servers that had the request in flight.
-    pub(super) deaths: SmallVec<[u64; 2]>,
+    pub(super) crashes: SmallVec<[u64; 2]>,
 }
 
 impl Progress {
@@ -29,7 +29,7 @@
             attempts: 0,
             failed: SmallVec::new(),
             busy: None,
-            deaths: SmallVec::new(),
+            crashes: SmallVec::new(),
         }
     }
 
@@ -38,30 +38,30 @@
     /// A server with no room says more to the caller than one that is gone, and
     /// who owns a server is nothing that a caller can act on. The verdict
     /// covers all attempts so far.
-    pub(super) fn refuse(&mut self, refusal: Refusal) {
+    pub(super) fn record_refusal(&mut self, refusal: Refusal) {
         let verdict = self.refusal.verdict.and(refusal.verdict);
         let may_have_run = refusal.verdict == Verdict::MayHaveRun;
-        let says_less = match refusal.code {
+        let is_less_informative = match refusal.code {
             Code::Moved => true,
             Code::NoServer => self.busy.is_some(),
             _ => false,
         };
-        if may_have_run || !says_less {
+        if may_have_run || !is_less_informative {
             self.refusal = refusal;
         }
         self.refusal.verdict = verdict;
     }
 
     /// Notes that a server died with the request in flight.
-    pub(super) fn died(&mut self, death: u64) {
+    pub(super) fn record_crash(&mut self, crash: u64) {
         self.standing = admission::Standing::Suspect;
-        self.deaths.push(death);
+        self.crashes.push(crash);
     }
 
     /// The final refusal, given what may follow from it.
-    pub(super) fn finish(&self, refusal: Refusal, request: &Request) -> Refusal {
+    pub(super) fn final_refusal(&self, refusal: Refusal, request: &Request) -> Refusal {
         // Two servers died with it: sending it again helps nobody.
-        if self.deaths.len() > 1 {
+        if self.crashes.len() > 1 {
             return Refusal {
                 code: Code::Suspect,
                 retry_at: None,
@@ -78,7 +78,7 @@
     }
 
     /// Notes a server that did not take the request.
-    pub(super) fn spill(&mut self, server: backend::Server, code: Code) {
+    pub(super) fn record_not_run(&mut self, server: backend::Server, code: Code) {
         match code {
             Code::Busy if self.busy.is_none() => self.busy = Some(server),
             Code::Busy => {}
@@ -92,9 +92,9 @@
     /// reached would refuse the request although others only had no room at
     /// that moment, so it waits at the first of those instead.
     pub(super) fn server<'a>(&'a self, candidate: &'a plan::Candidate) -> &'a backend::Server {
-        let waits = candidate.terms == plan::Terms::Queued;
+        let is_queued = candidate.terms == plan::Terms::Queued;
         match &self.busy {
-            Some(busy) if waits && self.failed.contains(&candidate.server) => busy,
+            Some(busy) if is_queued && self.failed.contains(&candidate.server) => busy,
             _ => &candidate.server,
         }
     }
@@ -103,7 +103,7 @@
 /// How an attempt with this refusal counts for its server.
 pub fn ending_of(code: Code) -> Ending {
     match code {
-        Code::BackendDied => Ending::Died,
+        Code::BackendDied => Ending::Crashed,
         _ => Ending::Failed,
     }
 }
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -7,7 +7,7 @@
 use verdict::{Code, Refusal, Verdict};
 
 use super::{
-    Answered, Entry, NOT_READY_MS, Served,
+    Answered, Entry, NOT_READY_RETRY_MS, Served,
     attempt::Failed,
     progress::{Progress, ending_of},
 };
@@ -81,14 +81,14 @@
                 continue;
             }
             if self.clock.now() >= request.deadline {
-                return Err(self.too_late(progress.refusal.verdict));
+                return Err(self.deadline_exceeded(progress.refusal.verdict));
             }
             let attempted = self
                 .attempt(&request, target, candidate.terms, &progress, claim)
                 .await;
             let failed = match attempted {
                 Ok(attempted) => {
-                    let trace = Trace::new(begun.guard, target, attempted.cause);
+                    let trace = Trace::new(begun.guard, target, attempted.crash_id);
                     return Ok(Served {
                         answer: attempted.answer,
                         trace,
@@ -96,9 +96,16 @@
                 }
                 Err(failed) => failed,
             };
-            let left = candidates.len() - index - 1;
-            self.judge(&mut progress, failed, &request, target, &begun.guard, left)
-                .await?;
+            let remaining = candidates.len() - index - 1;
+            self.handle_failure(
+                &mut progress,
+                failed,
+                &request,
+                target,
+                &begun.guard,
+                remaining,
+            )
+            .await?;
         }
         Err(progress.refusal)
     }
@@ -108,18 +115,18 @@
     /// # Errors
     ///
     /// The final refusal, if no other attempt follows.
-    async fn judge(
+    async fn handle_failure(
         &self,
         progress: &mut Progress,
         failed: Failed,
         request: &Request,
         target: &Target,
         guard: &tracker::Guard,
-        left: usize,
+        remaining: usize,
     ) -> Result<(), Refusal> {
         let code = failed.refusal.code;
         let verdict = failed.refusal.verdict;
-        progress.refuse(failed.refusal);
+        progress.record_refusal(failed.refusal);
         let server = target.server.clone();
         if verdict == Verdict::NotRun && code == Code::Suspect {
             // The owner has heard of deaths that this router has not heard of yet.
@@ -127,13 +134,13 @@
         }
         if verdict == Verdict::NotRun {
             self.metrics.spilled();
-            progress.spill(server, code);
+            progress.record_not_run(server, code);
             return Ok(());
         }
         let ending = ending_of(code);
-        guard.ran(target.pool.clone(), server.clone(), failed.cause, ending);
-        if ending == Ending::Died {
-            progress.died(failed.cause);
+        guard.attempt_ended(target.pool.clone(), server.clone(), failed.crash_id, ending);
+        if ending == Ending::Crashed {
+            progress.record_crash(failed.crash_id);
         }
         progress.attempts += 1;
         progress.failed.push(server);
@@ -144,7 +151,7 @@
             idempotent: request.repeat == Repeat::Allowed,
             attempts: progress.attempts,
             refusals: 0,
-            candidates: left,
+            candidates: remaining,
             deadline: request.deadline,
         };
         match self.tracker.decide(failure).await {
@@ -152,7 +159,7 @@
                 self.metrics.retried();
                 Ok(())
             }
-            recovery::Retry::GiveUp(refusal) => Err(progress.finish(refusal, request)),
+            recovery::Retry::GiveUp(refusal) => Err(progress.final_refusal(refusal, request)),
         }
     }
 
@@ -170,10 +177,10 @@
 
     pub(super) fn no_server(&self) -> Refusal {
         Refusal::not_run(Code::NoServer, "No backend server is available.")
-            .retry_at(come_back(&self.clock, NOT_READY_MS))
+            .retry_at(come_back(&self.clock, NOT_READY_RETRY_MS))
     }
 
-    fn too_late(&self, verdict: Verdict) -> Refusal {
+    fn deadline_exceeded(&self, verdict: Verdict) -> Refusal {
         let refusal = Refusal::not_run(
             Code::Deadline,
             "The deadline passed before the request ran.",
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -30,9 +30,9 @@
 /// The longest wait before the state is looked at again.
 const MAX_WAIT: Duration = Duration::from_millis(250);
 /// How long a router that starts waits for the host list before it serves without.
-const HOSTS_PATIENCE: Duration = Duration::from_secs(3);
+const HOSTS_TIMEOUT: Duration = Duration::from_secs(3);
 /// How many peers are asked for the host list, one after the other.
-const HOSTS_PEERS: usize = 3;
+const MAX_HOSTS_PEERS: usize = 3;
 /// How often the host list is read.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2000);
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub enum Message {
     /// A peer has a newer revision.
-    Newer {
+    NewerRevision {
         /// The peer.
         host: host::Id,
         /// Its address.
@@ -92,7 +92,7 @@
 
 /// The task's state.
 #[derive(Debug)]
-pub struct Follow {
+pub struct Follower {
     clock: Clock,
     sources: Sources,
     outputs: Outputs,
@@ -105,12 +105,12 @@
     /// Whether the host list was read.
     hosts_read: bool,
     /// When this router serves without it: it may be all that is left in its zone.
-    hosts_due: units::time::Instant,
-    hosts_at: time::Instant,
-    step_at: time::Instant,
+    hosts_deadline: units::time::Instant,
+    next_hosts_read: time::Instant,
+    next_step: time::Instant,
 }
 
-impl Follow {
+impl Follower {
     /// A task that has read nothing yet.
     pub fn new(clock: Clock, region: Region, sources: Sources, outputs: Outputs) -> Self {
         let settings = spread::Settings::default();
@@ -125,9 +125,9 @@
             hosts: Arc::default(),
             ready: false,
             hosts_read: false,
-            hosts_due: clock.now() + HOSTS_PATIENCE,
-            hosts_at: time::Instant::now(),
-            step_at: time::Instant::now(),
+            hosts_deadline: clock.now() + HOSTS_TIMEOUT,
+            next_hosts_read: time::Instant::now(),
+            next_step: time::Instant::now(),
         }
     }
 
@@ -139,8 +139,8 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = time::sleep_until(self.step_at) => self.step().await,
-                () = time::sleep_until(self.hosts_at) => self.read_hosts().await,
+                () = time::sleep_until(self.next_step) => self.step().await,
+                () = time::sleep_until(self.next_hosts_read) => self.read_hosts().await,
             }
         }
     }
@@ -153,18 +153,18 @@
 
     fn handle(&mut self, message: Message) {
         match message {
-            Message::Newer {
+            Message::NewerRevision {
                 host,
                 address,
                 revision,
             } => {
                 self.spread.heard(host, address, revision);
-                self.step_at = time::Instant::now();
+                self.next_step = time::Instant::now();
             }
             Message::Polls { routers, duty } => {
                 self.spread.routers(routers);
                 self.spread.duty(duty, self.clock.now());
-                self.step_at = time::Instant::now();
+                self.next_step = time::Instant::now();
             }
             Message::Changes { since, reply } => {
                 // The peer may have gone while its question waited.
@@ -187,7 +187,7 @@
             }
             Step::Wait(until) => {
                 let until = self.clock.at(until);
-                self.step_at = until.min(time::Instant::now() + MAX_WAIT);
+                self.next_step = until.min(time::Instant::now() + MAX_WAIT);
             }
         }
         self.check_ready();
@@ -196,15 +196,15 @@
     /// Tells the others once this router may serve.
     fn check_ready(&mut self) {
         let now = self.clock.now();
-        let knows_hosts = self.hosts_read || now >= self.hosts_due;
-        if !self.ready && knows_hosts && self.spread.is_ready(now) {
+        let has_hosts = self.hosts_read || now >= self.hosts_deadline;
+        if !self.ready && has_hosts && self.spread.is_ready(now) {
             self.ready = true;
             self.publish();
-            self.tell(gossip::Message::Ready);
+            self.notify(gossip::Message::Ready);
         }
     }
 
-    fn tell(&self, message: gossip::Message) {
+    fn notify(&self, message: gossip::Message) {
         // The task ends only with the process.
         let _ = self.outputs.gossip.send(message);
     }
@@ -227,7 +227,7 @@
         let since = self.revision();
         match hop::client::changes(peer, &self.sources.key, since).await {
             Ok(update) => {
-                self.take(update);
+                self.apply_update(update);
                 Outcome::Shows(self.revision())
             }
             Err(error) => {
@@ -260,7 +260,7 @@
         let rows = self.sources.table.scan(&range, deadline).await?;
         let pairs = rows.iter().map(|row| (row.key.as_str(), &row.value));
         match Snapshot::from_rows(pairs) {
-            Ok(snapshot) => self.take(Update::Snapshot(Arc::new(snapshot))),
+            Ok(snapshot) => self.apply_update(Update::Snapshot(Arc::new(snapshot))),
             Err(error) => logging::event!(error, "table_malformed", error = error),
         }
         Ok(())
@@ -278,7 +278,9 @@
             .map(|row| serde_json::from_value::<change::Change>(row.value))
             .collect();
         match changes {
-            Ok(changes) if self.follows(&changes) => self.take(Update::Changes(changes)),
+            Ok(changes) if self.is_contiguous(&changes) => {
+                self.apply_update(Update::Changes(changes))
+            }
             Ok(_) => self.read_all(deadline).await?,
             Err(error) => logging::event!(error, "table_malformed", error = error),
         }
@@ -289,24 +291,24 @@
     ///
     /// Old change rows are compacted away; a router that was cut off for long
     /// would otherwise wait for a change that never comes.
-    fn follows(&self, changes: &[change::Change]) -> bool {
+    fn is_contiguous(&self, changes: &[change::Change]) -> bool {
         changes
             .first()
             .is_none_or(|change| change.from == self.revision())
     }
 
-    fn take(&mut self, update: Update) {
+    fn apply_update(&mut self, update: Update) {
         let before = self.revision();
         match update {
-            Update::Snapshot(snapshot) => self.take_snapshot(snapshot),
-            Update::Changes(changes) => self.take_changes(changes),
+            Update::Snapshot(snapshot) => self.apply_snapshot(snapshot),
+            Update::Changes(changes) => self.apply_changes(changes),
         }
         let after = self.revision();
         if after > before {
             logging::event!(info, "revision_applied", from = before, to = after);
             self.outputs.metrics.applied(after);
             self.publish();
-            self.tell(gossip::Message::Applied(after));
+            self.notify(gossip::Message::Applied(after));
         }
     }
 
@@ -315,7 +317,7 @@
     /// A peer that was cut off may show an old one; taking it would revert an
     /// accepted configuration, so an older one is left. Revision zero is a
     /// table in which nothing was ever declared: there is nothing to serve yet.
-    fn take_snapshot(&mut self, snapshot: Arc<Snapshot>) {
+    fn apply_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.revision() <= self.revision() || !self.spread.apply(snapshot.revision()) {
             return;
         }
@@ -323,7 +325,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    fn take_changes(&mut self, changes: Vec<change::Change>) {
+    fn apply_changes(&mut self, changes: Vec<change::Change>) {
         let Some(held) = &self.snapshot else {
             return;
         };
@@ -341,16 +343,16 @@
     }
 
     async fn read_hosts(&mut self) {
-        self.hosts_at = time::Instant::now() + HOSTS_INTERVAL;
+        self.next_hosts_read = time::Instant::now() + HOSTS_INTERVAL;
         let deadline = time::Instant::now() + PLATFORM_TIMEOUT;
         let listed = self.sources.hosts.list(deadline).await;
         self.hosts_read |= listed.is_ok();
         match listed {
-            Ok(hosts) if hosts != *self.hosts => self.take_hosts(hosts),
+            Ok(hosts) if hosts != *self.hosts => self.apply_hosts(hosts),
             Ok(_) => {}
             Err(error) => {
                 logging::event!(debug, "hosts_failed", error = error);
-                self.ask_hosts().await;
+                self.fetch_hosts().await;
             }
         }
     }
@@ -359,17 +361,17 @@
     ///
     /// A router that starts during an outage would know no backend server that
     /// the configuration does not name, and refuse all work.
-    async fn ask_hosts(&mut self) {
+    async fn fetch_hosts(&mut self) {
         if self.hosts_read {
             return;
         }
         let members = Arc::clone(&self.outputs.members.borrow());
         let peers = members.peers.iter().filter(|peer| peer.host != members.own);
-        for peer in peers.take(HOSTS_PEERS) {
+        for peer in peers.take(MAX_HOSTS_PEERS) {
             match hop::client::hosts(peer.address, &self.sources.key).await {
                 Ok(hosts) if !hosts.is_empty() => {
                     self.hosts_read = true;
-                    self.take_hosts(hosts);
+                    self.apply_hosts(hosts);
                     return;
                 }
                 Ok(_) => {}
@@ -380,7 +382,7 @@
         }
     }
 
-    fn take_hosts(&mut self, hosts: Vec<hosts::Host>) {
+    fn apply_hosts(&mut self, hosts: Vec<hosts::Host>) {
         let (before, after) = (self.hosts.len(), hosts.len());
         logging::event!(info, "hosts_listed", from = before, to = after);
         self.hosts = Arc::new(hosts);
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -25,11 +25,11 @@
 };
 
 /// The longest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 2048;
+const MAX_DATAGRAM_BYTES: usize = 2048;
 /// Bytes of the headers of a UDP datagram over IP, which count as traffic too.
-const HEADERS: usize = 28;
+const HEADER_BYTES: usize = 28;
 /// How long a strike against a request is remembered.
-const STRIKE_TIME: Duration = Duration::from_secs(600);
+const STRIKE_TTL: Duration = Duration::from_secs(600);
 
 /// What the task is told.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -43,7 +43,7 @@
         /// The request.
         fingerprint: request::Fingerprint,
         /// Names the death.
-        cause: u64,
+        crash_id: u64,
     },
     /// This router starts its graceful shutdown.
     Leaving,
@@ -70,9 +70,9 @@
     /// It does not serve yet.
     Starting,
     /// It could serve.
-    Wanted,
+    Pending,
     /// They know.
-    Told,
+    Announced,
 }
 
 /// Who polls the table, as last told.
@@ -129,19 +129,19 @@
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
         mut hosts: watch::Receiver<Arc<Vec<hosts::Host>>>,
-        first: Vec<Seed>,
+        initial: Vec<Seed>,
     ) {
-        self.handle(Event::Hosts(first)).await;
+        self.handle(Event::Hosts(initial)).await;
         let mut tick = time::interval(fleet::Settings::default().tick);
         // After a pause of the process one tick shows the gap; a burst of
         // missed ticks would hide it.
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut buffer = [0; MAX_DATAGRAM];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let event = tokio::select! {
                 message = messages.recv() => match message {
                     Some(Message::Ready) => {
-                        self.readiness = Readiness::Wanted;
+                        self.readiness = Readiness::Pending;
                         continue;
                     }
                     Some(message) => self.event(message),
@@ -164,7 +164,7 @@
                 _ = tick.tick() => Event::Tick,
             };
             self.handle(event).await;
-            self.offer_service().await;
+            self.announce_ready().await;
         }
     }
 
@@ -172,9 +172,9 @@
     ///
     /// A router that says so earlier is taken for an owner and then refuses
     /// what it is sent, since it does not yet know what it owns.
-    async fn offer_service(&mut self) {
-        if self.readiness == Readiness::Wanted && self.fleet.is_sure(self.clock.now()) {
-            self.readiness = Readiness::Told;
+    async fn announce_ready(&mut self) {
+        if self.readiness == Readiness::Pending && self.fleet.is_sure(self.clock.now()) {
+            self.readiness = Readiness::Announced;
             self.handle(Event::Ready).await;
         }
     }
@@ -185,12 +185,15 @@
                 self.applied = revision;
                 Event::Applied(revision)
             }
-            // It is told in its own time, see `offer_service`.
+            // It is told in its own time, see `announce_ready`.
             Message::Ready => Event::Tick,
-            Message::Strike { fingerprint, cause } => Event::Strike {
+            Message::Strike {
                 fingerprint,
-                attempt: request::Attempt(cause),
-                expires_at: self.clock.now() + STRIKE_TIME,
+                crash_id,
+            } => Event::Strike {
+                fingerprint,
+                attempt: request::Attempt(crash_id),
+                expires_at: self.clock.now() + STRIKE_TTL,
             },
             Message::Leaving => Event::Leaving,
             Message::Left => Event::Left,
@@ -199,7 +202,7 @@
 
     fn open(&mut self, datagram: &[u8], from: SocketAddr) -> Option<Heard> {
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Received, datagram.len() + HEADERS);
+        metrics.control(Direction::Received, datagram.len() + HEADER_BYTES);
         let opened = match self.opener.open(datagram) {
             Ok(opened) => opened,
             Err(error) => {
@@ -223,14 +226,14 @@
         let mut changed = false;
         for action in actions {
             changed |= matches!(action, Action::Phase { .. } | Action::Sure(_));
-            self.act(action).await;
+            self.execute(action).await;
         }
         if changed || may_change {
             self.publish();
         }
     }
 
-    async fn act(&mut self, action: Action) {
+    async fn execute(&mut self, action: Action) {
         match action {
             Action::Send(send) => self.send(&send).await,
             Action::Phase { host, phase } => {
@@ -242,7 +245,7 @@
                 host,
                 address,
             } => {
-                let message = follow::Message::Newer {
+                let message = follow::Message::NewerRevision {
                     host,
                     address,
                     revision,
@@ -254,7 +257,7 @@
             // The mean of a pool rides on the answers of owners; the sums over
             // all pools that heartbeats can carry would mix them.
             Action::Load(_) => {}
-            Action::Strike(strike) => self.tell_strikes(strike.fingerprint),
+            Action::Strike(strike) => self.publish_strikes(strike.fingerprint),
             Action::Reboot(boot) => {
                 self.sealer = seal::Sealer::new(&self.key, &self.own.host, boot);
                 self.opener = seal::Opener::new(&self.key, &self.own.host, boot);
@@ -268,16 +271,16 @@
         };
         let datagram = self.sealer.seal(&payload, send.audience);
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Sent, datagram.len() + HEADERS);
+        metrics.control(Direction::Sent, datagram.len() + HEADER_BYTES);
         if let Err(error) = self.socket.send_to(&datagram, send.to).await {
             logging::event!(debug, "heartbeat_failed", peer = send.to, error = error);
         }
     }
 
-    fn tell_strikes(&self, fingerprint: request::Fingerprint) {
-        let causes = self.fleet.strike_causes(fingerprint, self.clock.now());
-        let deaths = causes.into_iter().map(u32::from_le_bytes).collect();
-        self.outputs.tracker.struck(fingerprint, deaths);
+    fn publish_strikes(&self, fingerprint: request::Fingerprint) {
+        let crash_ids = self.fleet.strike_causes(fingerprint, self.clock.now());
+        let crashes = crash_ids.into_iter().map(u32::from_le_bytes).collect();
+        self.outputs.tracker.record_strikes(fingerprint, crashes);
     }
 
     /// Publishes the routers, and who polls the table, if that changed.
--- a/crates/router/src/hop/server.rs
+++ b/crates/router/src/hop/server.rs
@@ -151,7 +151,7 @@
     };
     link.writer.send(&Reply::Ready(slot)).await?;
     let body = receive_body(&mut link.reader, open.length).await?;
-    let death = entry::death(&open.server, permit.boot_hash(), open.attempt);
+    let crash_id = entry::crash_id(&open.server, permit.boot_hash(), open.attempt);
     let run = backend::run(permit, &open, body, clock);
     let ran = alive(&mut link.reader, &mut link.writer, run).await?;
     let refusal = match ran {
@@ -162,7 +162,7 @@
         Err(refusal) => refusal,
     };
     if refusal.code == Code::BackendDied {
-        context.tracker.died(open.fingerprint, death);
+        context.tracker.record_crash(open.fingerprint, crash_id);
     }
     refuse(&mut link.writer, &refusal, &clock).await
 }
@@ -189,10 +189,10 @@
             deadline: clock.now() + Duration::from_millis(open.remaining_ms),
         },
         chat: open.chat,
-        shape: if open.events {
-            owner::Shape::Stream
+        delivery: if open.events {
+            owner::Delivery::Streamed
         } else {
-            owner::Shape::Whole
+            owner::Delivery::Buffered
         },
         terms: open.terms,
         reply,
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -28,18 +28,18 @@
     status,
     view::{Target, View},
 };
-use engine::{Earlier, Engine};
-pub use message::{Ended, Message, Offer, Outcome, Rejected, Reply, Shape, Usage};
+use engine::{Engine, Predecessor};
+pub use message::{Delivery, Ended, Message, Offer, Outcome, Rejected, Reply, Usage};
 pub use permit::{Permit, Slot};
-use probe::Pace;
+use probe::Schedule;
 
 /// How often deadlines and bounds are checked.
 const TICK: Duration = Duration::from_millis(50);
 /// The least mean load for which the skew is told: below it one request more is
 /// a large part of it.
-const SKEW_MEAN: f64 = 4.0;
+const MIN_SKEW_MEAN: f64 = 4.0;
 /// When a caller may come back to a server that is not there.
-const RETRY_MS: u64 = 500;
+const RETRY_AFTER_MS: u64 = 500;
 
 /// The loads of the servers, by pool.
 type Loads = BTreeMap<pool::Id, loads::Loads>;
@@ -79,9 +79,9 @@
     }
 
     /// Tells what the servers of another owner carry.
-    pub fn heard(&self, owner: host::Id, pool: pool::Id, load: hop::Load) {
+    pub fn record_peer_load(&self, owner: host::Id, pool: pool::Id, load: hop::Load) {
         // Nobody needs the load when the task has ended.
-        let _ = self.messages.send(Message::Heard(owner, pool, load));
+        let _ = self.messages.send(Message::PeerLoad(owner, pool, load));
     }
 
     /// Waits until nothing runs on a server through this router any more.
@@ -99,7 +99,9 @@
     /// What this router learned of a server that it owned, once it has stopped admitting.
     pub async fn handover(&self, server: backend::Server) -> Option<hop::Handover> {
         let (reply, answer) = oneshot::channel();
-        self.messages.send(Message::Handover(server, reply)).ok()?;
+        self.messages
+            .send(Message::HandoverRequest(server, reply))
+            .ok()?;
         answer.await.ok()?
     }
 
@@ -120,7 +122,7 @@
     inputs: Inputs,
     metrics: Arc<Metrics>,
     key: seal::Key,
-    pace: Pace,
+    schedule: Schedule,
     engines: BTreeMap<backend::Server, Engine>,
     /// The owners of all servers, as last known.
     owners: BTreeMap<backend::Server, host::Id>,
@@ -144,7 +146,7 @@
         let owner = Self {
             clock,
             inputs,
-            pace: Pace::new(metrics.traffic()),
+            schedule: Schedule::new(metrics.traffic()),
             metrics,
             key,
             engines: BTreeMap::new(),
@@ -191,7 +193,7 @@
             }
             Message::Ended(ended) => self.ended(ended),
             Message::Reported(server, report) => self.reported(&server, report),
-            Message::Heard(owner, pool, load) => {
+            Message::PeerLoad(owner, pool, load) => {
                 let total = TotalLoad {
                     requests: load.requests,
                     weight: load.weight,
@@ -199,13 +201,13 @@
                 let loads = self.loads.entry(pool).or_default();
                 loads.hear(owner, total, now);
             }
-            Message::HandedOver(server, handover) => {
+            Message::HandoverReceived(server, handover) => {
                 if let Some(engine) = self.engines.get_mut(&server) {
-                    let actions = engine.handed_over(handover, now);
-                    self.act(&server, actions);
+                    let actions = engine.apply_handover(handover, now);
+                    self.execute(&server, actions);
                 }
             }
-            Message::Handover(server, reply) => {
+            Message::HandoverRequest(server, reply) => {
                 let engine = self.engines.get(&server);
                 // The asker may have gone.
                 let _ = reply.send(engine.and_then(Engine::handover));
@@ -222,28 +224,28 @@
     fn offer(&mut self, offer: Offer) {
         let now = self.clock.now();
         let server = offer.server.clone();
-        let considered = match self.engines.get_mut(&server) {
+        let evaluated = match self.engines.get_mut(&server) {
             None => Err(moved(&server)),
             Some(engine) => {
                 let loads = self.loads.get(&engine.target.pool);
                 let total = loads.map(loads::Loads::total).unwrap_or_default();
-                engine.consider(&offer, total, now)
+                engine.evaluate(&offer, total, now)
             }
         };
-        let until = match considered {
-            Ok(until) => until,
+        let queue_deadline = match evaluated {
+            Ok(queue_deadline) => queue_deadline,
             Err(refusal) => return self.reject(offer, refusal),
         };
         let Some(engine) = self.engines.get_mut(&server) else {
             return;
         };
-        let actions = engine.offer(offer, until, self.clock, &self.sender);
-        self.act(&server, actions);
+        let actions = engine.offer(offer, queue_deadline, self.clock, &self.sender);
+        self.execute(&server, actions);
     }
 
     fn reject(&mut self, offer: Offer, refusal: Refusal) {
         let engine = self.engines.get(&offer.server);
-        let load = engine.and_then(Engine::shared);
+        let load = engine.and_then(Engine::pool_load);
         // The asker may have gone.
         let _ = offer.reply.send(Err(Rejected { refusal, load }));
     }
@@ -259,9 +261,9 @@
         }
         let actions = engine.ended(&ended, now);
         if let Some(connection) = ended.connection {
-            engine.keep(connection);
+            engine.store_connection(connection);
         }
-        self.act(&ended.server, actions);
+        self.execute(&ended.server, actions);
     }
 
     fn reported(
@@ -274,11 +276,11 @@
             return;
         };
         let actions = engine.reported(report, now);
-        self.act(server, actions);
+        self.execute(server, actions);
     }
 
     /// Carries out what admission decided for tickets that waited.
-    fn act(&mut self, server: &backend::Server, actions: admission::Actions) {
+    fn execute(&mut self, server: &backend::Server, actions: admission::Actions) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
@@ -286,7 +288,7 @@
         while !actions.is_empty() {
             let mut later = Vec::new();
             for action in actions {
-                later.extend(engine.act(action, self.clock, &self.sender));
+                later.extend(engine.execute(action, self.clock, &self.sender));
             }
             actions = later;
         }
@@ -294,7 +296,7 @@
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.note_loads();
+        self.update_loads();
         self.set_bounds();
         let servers: Vec<backend::Server> = self.engines.keys().cloned().collect();
         for server in servers {
@@ -302,17 +304,17 @@
                 continue;
             };
             let actions = engine.tick(now);
-            engine.probe(&self.pace, &self.sender);
-            self.act(&server, actions);
+            engine.probe(&self.schedule, &self.sender);
+            self.execute(&server, actions);
         }
-        self.engines.retain(|_, engine| !engine.is_done(now));
+        self.engines.retain(|_, engine| !engine.is_expired(now));
         let probed = self.engines.values().filter(|engine| engine.is_probed());
-        self.pace.servers(probed.count());
-        self.metrics.owned(self.standing(now));
+        self.schedule.set_server_count(probed.count());
+        self.metrics.owned(self.totals(now));
     }
 
     /// Sums up what the owned servers of each pool carry.
-    fn note_loads(&mut self) {
+    fn update_loads(&mut self) {
         let now = self.clock.now();
         let mut own: BTreeMap<pool::Id, TotalLoad> = BTreeMap::new();
         for engine in self.engines.values().filter(|engine| engine.is_open()) {
@@ -321,7 +323,7 @@
                 .loads
                 .get(pool)
                 .map_or(0.0, |loads| loads.total().mean());
-            *own.entry(pool.clone()).or_default() += engine.counted(mean);
+            *own.entry(pool.clone()).or_default() += engine.load_contribution(mean);
         }
         for loads in self.loads.values_mut() {
             loads.set_own(TotalLoad::default());
@@ -332,12 +334,12 @@
         }
         for engine in self.engines.values_mut() {
             let own = self.loads.get(&engine.target.pool).map(loads::Loads::own);
-            engine.share(own.unwrap_or_default());
+            engine.set_pool_load(own.unwrap_or_default());
         }
     }
 
     /// How the owned servers stand, for the metrics.
-    fn standing(&self, now: units::time::Instant) -> Owned {
+    fn totals(&self, now: units::time::Instant) -> Owned {
         let mut owned = Owned::default();
         for engine in self.engines.values() {
             let status = engine.status(now);
@@ -346,7 +348,7 @@
             owned.limit += status.limit;
             let loads = self.loads.get(&engine.target.pool);
             let mean = loads.map_or(0.0, |loads| loads.total().mean());
-            if mean >= SKEW_MEAN {
+            if mean >= MIN_SKEW_MEAN {
                 owned.skew = owned.skew.max(f64::from(status.in_flight) / mean);
             }
         }
@@ -372,7 +374,7 @@
             }
         }
         for (server, actions) in all {
-            self.act(&server, actions);
+            self.execute(&server, actions);
         }
     }
 
@@ -387,10 +389,10 @@
             let Some(declared) = pool.map(|pool| &pool.declared) else {
                 continue;
             };
-            let earlier = self.earlier(target, &members);
+            let predecessor = self.predecessor(target, &members);
             match self.engines.get_mut(&target.server) {
-                Some(engine) if !engine.is_forgettable() => engine.update(target, declared),
-                Some(_) | None => self.take_up(target, declared, earlier, now),
+                Some(engine) if !engine.is_released() => engine.update(target, declared),
+                Some(_) | None => self.acquire(target, declared, predecessor, now),
             }
         }
         self.owners = view
@@ -409,41 +411,41 @@
                 Some(engine) => engine.set_service(target, now),
                 None => continue,
             };
-            self.act(&server, actions);
+            self.execute(&server, actions);
         }
     }
 
     /// Begins to own a server, and asks its earlier owner what it learned.
-    fn take_up(
+    fn acquire(
         &mut self,
         target: &Target,
         declared: &resource::Pool,
-        earlier: Earlier,
+        predecessor: Predecessor,
         now: units::time::Instant,
     ) {
         let engine = Engine::new(
             target.clone(),
             declared,
-            earlier,
+            predecessor,
             Arc::clone(&self.metrics),
             now,
         );
         self.engines.insert(target.server.clone(), engine);
-        if let Earlier::Live(address) = earlier {
+        if let Predecessor::Live(address) = predecessor {
             let server = target.server.clone();
             let owner = self.sender.clone();
-            tokio::spawn(handover::ask(server, address, self.key.clone(), owner));
+            tokio::spawn(handover::request(server, address, self.key.clone(), owner));
         }
     }
 
     /// Who owned a server before, and may still admit work to it.
-    fn earlier(&self, target: &Target, members: &Members) -> Earlier {
+    fn predecessor(&self, target: &Target, members: &Members) -> Predecessor {
         let peer = match self.owners.get(&target.server) {
             Some(host) if *host == members.own => None,
             Some(host) => members.live(host),
             None => members.other_owner(&target.server, &target.zone),
         };
-        peer.map_or(Earlier::Gone, |peer| Earlier::Live(peer.address))
+        peer.map_or(Predecessor::Gone, |peer| Predecessor::Live(peer.address))
     }
 
     fn set_weights(&mut self, view: &View) {
@@ -468,10 +470,10 @@
 }
 
 /// The refusal for a server that is known to be away.
-fn away(server: &backend::Server, clock_now: units::time::Instant) -> Refusal {
+fn unreachable(server: &backend::Server, now: units::time::Instant) -> Refusal {
     Refusal::not_run(
         Code::NoServer,
         format!("Backend server {server} does not accept connections."),
     )
-    .retry_at(clock_now + Duration::from_millis(RETRY_MS))
+    .retry_at(now + Duration::from_millis(RETRY_AFTER_MS))
 }
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -15,8 +15,8 @@
 
 use super::{
     Ended, Message, Outcome,
-    message::{Shape, Usage},
-    probe::{Pace, Probe},
+    message::{Delivery, Usage},
+    probe::{Probe, Schedule},
 };
 use crate::{
     backend::{Connection, load},
@@ -24,8 +24,8 @@
     status,
     view::Target,
 };
-use offer::{Waiting, busy};
-use service::{Learned, Presence, Service};
+use offer::{Waiter, busy};
+use service::{Learned, Reachability, Service};
 
 /// The most idle connections that are kept for one server.
 const MAX_IDLE: usize = 32;
@@ -39,7 +39,7 @@
 
 /// Who owned a server before.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Earlier {
+pub enum Predecessor {
     /// A router that runs, and may not yet know that it lost the server; its address.
     Live(net::SocketAddr),
     /// Nobody, or a router that is down.
@@ -51,7 +51,7 @@
 struct Context {
     chat: Option<chat::Key>,
     tokens: u32,
-    shape: Shape,
+    delivery: Delivery,
 }
 
 /// One backend server.
@@ -62,20 +62,20 @@
     /// What it takes.
     pub admission: admission::Server,
     metrics: Arc<Metrics>,
-    waiting: BTreeMap<request::Attempt, Waiting>,
+    waiting: BTreeMap<request::Attempt, Waiter>,
     running: BTreeMap<request::Attempt, Context>,
     service: Service,
     /// What was learned of the server before it was closed.
     learned: Option<Learned>,
     /// Until when a lost server is remembered for its next owner.
-    kept_until: time::Instant,
-    presence: Presence,
-    shared: hop::Load,
-    warmth: placement::CacheIndex,
+    retain_until: time::Instant,
+    reachability: Reachability,
+    pool_load: hop::Load,
+    cache_index: placement::CacheIndex,
     bound: placement::Bound,
     placement: placement::Settings,
     boot: Option<String>,
-    reports: bool,
+    reports_load: bool,
     probe: Option<Probe>,
     idle: Vec<Connection>,
 }
@@ -85,7 +85,7 @@
     pub fn new(
         target: Target,
         declared: &resource::Pool,
-        earlier: Earlier,
+        predecessor: Predecessor,
         metrics: Arc<Metrics>,
         now: time::Instant,
     ) -> Self {
@@ -94,22 +94,24 @@
         Self {
             target,
             metrics,
-            admission: match earlier {
-                Earlier::Live(_) => admission::Server::taking_over(settings, now + OVERLAP, now),
-                Earlier::Gone => admission::Server::new(settings, now),
+            admission: match predecessor {
+                Predecessor::Live(_) => {
+                    admission::Server::taking_over(settings, now + OVERLAP, now)
+                }
+                Predecessor::Gone => admission::Server::new(settings, now),
             },
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
             service: Service::Open,
             learned: None,
-            kept_until: time::Instant::ZERO,
-            presence: Presence::There,
-            shared: hop::Load::default(),
-            warmth: placement::CacheIndex::new(placement.clone()),
+            retain_until: time::Instant::ZERO,
+            reachability: Reachability::Reachable,
+            pool_load: hop::Load::default(),
+            cache_index: placement::CacheIndex::new(placement.clone()),
             bound: placement::Bound::new(placement.clone()),
             placement,
             boot: None,
-            reports: declared.reports_load,
+            reports_load: declared.reports_load,
             probe: None,
             idle: Vec::new(),
         }
@@ -123,11 +125,11 @@
             self.probe = None;
         }
         self.target = target.clone();
-        self.reports = declared.reports_load;
+        self.reports_load = declared.reports_load;
     }
 
     /// What the server adds to the load of its pool, of which the mean is known.
-    pub fn counted(&self, mean: f64) -> TotalLoad {
+    pub fn load_contribution(&self, mean: f64) -> TotalLoad {
         let limit = self.admission.handover().limit;
         TotalLoad::contribution(self.in_flight(), self.target.weight, limit, mean)
     }
@@ -148,16 +150,16 @@
     }
 
     /// Sets what this router's servers of the pool carry together.
-    pub fn share(&mut self, own: TotalLoad) {
-        self.shared = hop::Load {
+    pub fn set_pool_load(&mut self, own: TotalLoad) {
+        self.pool_load = hop::Load {
             requests: own.requests,
             weight: own.weight,
         };
     }
 
     /// What this router's servers of the pool carry together, where it owns the server.
-    pub fn shared(&self) -> Option<hop::Load> {
-        self.is_owned().then_some(self.shared)
+    pub fn pool_load(&self) -> Option<hop::Load> {
+        self.is_owned().then_some(self.pool_load)
     }
 
     /// Notes that an attempt ended.
@@ -167,14 +169,16 @@
                 first_token_at: ended.first_byte_at,
                 ended_at: ended.ended_at,
             },
-            Outcome::Failed | Outcome::Unreachable | Outcome::Late => admission::Outcome::Failed,
+            Outcome::Failed | Outcome::Unreachable | Outcome::DeadlineExceeded => {
+                admission::Outcome::Failed
+            }
             Outcome::Cancelled => admission::Outcome::Cancelled,
         };
         let context = self.running.remove(&ended.attempt);
         let mut actions = self.admission.finish(ended.attempt, outcome, now);
         match (ended.outcome, context) {
-            (Outcome::Unreachable, _) => actions.extend(self.leave(now)),
-            (Outcome::Completed, Some(context)) => self.served(context, ended.usage, now),
+            (Outcome::Unreachable, _) => actions.extend(self.mark_unreachable(now)),
+            (Outcome::Completed, Some(context)) => self.record_served(context, ended.usage, now),
             _ => {}
         }
         actions
@@ -188,10 +192,11 @@
     ) -> Actions {
         match report {
             Ok(report) => {
-                let mut actions = self.arrive(now);
+                let mut actions = self.mark_reachable(now);
                 let boot = xxh3::xxh3_64(report.boot.as_bytes());
-                self.warmth.observe_boot(placement::cache::BootId(boot));
-                let heard = admission::Report {
+                self.cache_index
+                    .observe_boot(placement::cache::BootId(boot));
+                let received = admission::Report {
                     boot,
                     seq: report.seq,
                     running: report.running,
@@ -202,10 +207,10 @@
                     self.idle.clear();
                     self.boot = Some(report.boot);
                 }
-                actions.extend(self.admission.report(heard, now));
+                actions.extend(self.admission.report(received, now));
                 actions
             }
-            Err(load::Error::Connect(_)) => self.leave(now),
+            Err(load::Error::Connect(_)) => self.mark_unreachable(now),
             Err(error) => {
                 logging::event!(
                     debug,
@@ -221,15 +226,16 @@
     /// Checks deadlines.
     pub fn tick(&mut self, now: time::Instant) -> Actions {
         self.idle.retain(Connection::is_usable);
-        let is_over = |waiting: &Waiting| waiting.reply.is_closed() || waiting.until <= now;
-        let over: Vec<request::Attempt> = self
+        let is_expired =
+            |waiting: &Waiter| waiting.reply.is_closed() || waiting.queue_deadline <= now;
+        let expired: Vec<request::Attempt> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| is_over(waiting))
+            .filter(|(_, waiting)| is_expired(waiting))
             .map(|(attempt, _)| *attempt)
             .collect();
         let mut actions = Actions::new();
-        for attempt in over {
+        for attempt in expired {
             actions.extend(self.admission.cancel(attempt, now));
             if let Some(waiting) = self.waiting.remove(&attempt) {
                 self.refuse(waiting, busy(&self.target, now));
@@ -254,25 +260,25 @@
     }
 
     /// Starts or ends the questions for the server's load.
-    pub fn probe(&mut self, pace: &Pace, owner: &Sender) {
-        if !self.reports || !self.is_owned() {
+    pub fn probe(&mut self, schedule: &Schedule, owner: &Sender) {
+        if !self.reports_load || !self.is_owned() {
             self.probe = None;
         } else if self.probe.is_none() {
             let server = self.target.server.clone();
-            let probe = Probe::start(server, self.target.address, pace, owner.clone());
+            let probe = Probe::start(server, self.target.address, schedule, owner.clone());
             self.probe = Some(probe);
         }
     }
 
     /// Keeps a connection for the next request.
-    pub fn keep(&mut self, connection: Connection) {
+    pub fn store_connection(&mut self, connection: Connection) {
         if self.idle.len() < MAX_IDLE {
             self.idle.push(connection);
         }
     }
 
     /// An idle connection that can be used again.
-    fn idle(&mut self) -> Option<Connection> {
+    fn take_idle(&mut self) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
             if connection.is_usable() {
                 return Some(connection);
@@ -286,19 +292,19 @@
     /// What the engine says of its use of tokens corrects what was expected. Its
     /// cache events are not read: at the planned size they alone would take up
     /// what a router may spend on control traffic.
-    fn served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
+    fn record_served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
         let tokens = usage.map_or(context.tokens, |usage| usage.prompt + usage.output);
         if let Some(chat) = context.chat {
-            self.warmth.record_served(chat, tokens, now);
+            self.cache_index.record_served(chat, tokens, now);
         }
     }
 
     /// The server's state for the status page.
     pub fn status(&self, now: time::Instant) -> status::Engine {
         let snapshot = self.admission.snapshot(now);
-        let state = match (self.service, self.presence) {
-            (Service::Open, Presence::Away(_)) => "away",
-            (Service::Open, Presence::There) => match snapshot.state {
+        let state = match (self.service, self.reachability) {
+            (Service::Open, Reachability::Unreachable(_)) => "away",
+            (Service::Open, Reachability::Reachable) => match snapshot.state {
                 admission::State::Cold => "cold",
                 admission::State::Warm => "warm",
                 admission::State::Doubt => "doubt",
--- a/crates/router/src/owner/engine/offer.rs
+++ b/crates/router/src/owner/engine/offer.rs
@@ -8,21 +8,21 @@
 use verdict::{Code, Refusal};
 use wire::hop;
 
-use super::{Context, Engine, Presence, Sender, Service};
+use super::{Context, Engine, Reachability, Sender, Service};
 use crate::{
     clock::Clock,
-    owner::{Offer, Permit, RETRY_MS, Rejected, Reply, Shape, Slot, away, moved},
+    owner::{Delivery, Offer, Permit, RETRY_AFTER_MS, Rejected, Reply, Slot, moved, unreachable},
     view::Target,
 };
 
 /// Who waits in the queue.
 #[derive(Debug)]
-pub(super) struct Waiting {
+pub(super) struct Waiter {
     pub(super) reply: Reply,
     context: Context,
     offered_at: time::Instant,
     /// When the request goes to the next server if it still waits.
-    pub(super) until: time::Instant,
+    pub(super) queue_deadline: time::Instant,
 }
 
 impl Engine {
@@ -35,7 +35,7 @@
     /// # Errors
     ///
     /// Why it is not put to admission.
-    pub fn consider(
+    pub fn evaluate(
         &mut self,
         offer: &Offer,
         total: TotalLoad,
@@ -44,19 +44,19 @@
         if self.service != Service::Open {
             return Err(moved(&self.target.server));
         }
-        if let Presence::Away(until) = self.presence {
+        if let Reachability::Unreachable(until) = self.reachability {
             if now < until {
-                return Err(away(&self.target.server, now));
+                return Err(unreachable(&self.target.server, now));
             }
             // A server that does not report is tried by the next request.
-            self.arrive(now);
+            self.mark_reachable(now);
         }
         let snapshot = self.admission.snapshot(now);
         let offered = placement::Offer {
             terms: terms(offer.terms),
-            cache_status: offer
-                .chat
-                .map_or(CacheStatus::Unknown, |chat| self.warmth.status(chat, now)),
+            cache_status: offer.chat.map_or(CacheStatus::Unknown, |chat| {
+                self.cache_index.status(chat, now)
+            }),
             capacity: placement::Capacity {
                 load: snapshot.in_flight + snapshot.foreign,
                 limit: snapshot.limit,
@@ -76,7 +76,7 @@
     pub fn offer(
         &mut self,
         offer: Offer,
-        until: time::Instant,
+        queue_deadline: time::Instant,
         clock: Clock,
         owner: &Sender,
     ) -> Actions {
@@ -84,17 +84,17 @@
         let context = Context {
             chat: offer.chat,
             tokens: u32::try_from(offer.ticket.cost.0).unwrap_or(u32::MAX),
-            shape: offer.shape,
+            delivery: offer.delivery,
         };
-        let waiting = Waiting {
+        let waiting = Waiter {
             reply: offer.reply,
             context,
             offered_at: clock.now(),
-            until,
+            queue_deadline,
         };
         let offered = self.admission.offer(offer.ticket, clock.now());
         match offered.decision {
-            Decision::Admitted => self.give(attempt, waiting, clock, owner),
+            Decision::Admitted => self.grant(attempt, waiting, clock, owner),
             Decision::Queued => {
                 self.waiting.insert(attempt, waiting);
             }
@@ -104,10 +104,10 @@
     }
 
     /// Gives a permit for an admitted attempt.
-    fn give(&mut self, attempt: request::Attempt, waiting: Waiting, clock: Clock, owner: &Sender) {
+    fn grant(&mut self, attempt: request::Attempt, waiting: Waiter, clock: Clock, owner: &Sender) {
         self.metrics.waited(clock.now().since(waiting.offered_at));
         self.running.insert(attempt, waiting.context);
-        if waiting.context.shape == Shape::Whole {
+        if waiting.context.delivery == Delivery::Buffered {
             self.admission.answers_whole(attempt);
         }
         let slot = Slot {
@@ -115,25 +115,25 @@
             attempt,
             address: self.target.address,
             boot: self.boot.clone(),
-            load: self.shared,
+            load: self.pool_load,
         };
-        let permit = Permit::new(slot, self.idle(), clock, owner.clone());
+        let permit = Permit::new(slot, self.take_idle(), clock, owner.clone());
         // A permit that nobody takes any more is given back by its drop.
         let _ = waiting.reply.send(Ok(permit));
     }
 
     /// Tells whoever waits that the request has not run.
-    pub(super) fn refuse(&self, waiting: Waiting, refusal: Refusal) {
-        let load = self.shared();
+    pub(super) fn refuse(&self, waiting: Waiter, refusal: Refusal) {
+        let load = self.pool_load();
         // The asker may have gone.
         let _ = waiting.reply.send(Err(Rejected { refusal, load }));
     }
 
     /// Carries out an action; what follows from it is returned.
-    pub fn act(&mut self, action: Action, clock: Clock, owner: &Sender) -> Actions {
+    pub fn execute(&mut self, action: Action, clock: Clock, owner: &Sender) -> Actions {
         match action {
             Action::Admit(attempt) => match self.waiting.remove(&attempt) {
-                Some(waiting) => self.give(attempt, waiting, clock, owner),
+                Some(waiting) => self.grant(attempt, waiting, clock, owner),
                 None => {
                     let cancelled = admission::Outcome::Cancelled;
                     return self.admission.finish(attempt, cancelled, clock.now());
@@ -162,5 +162,5 @@
         Code::Busy,
         format!("Backend server {} is at its limit.", target.server),
     )
-    .retry_at(now + Duration::from_millis(RETRY_MS))
+    .retry_at(now + Duration::from_millis(RETRY_AFTER_MS))
 }
--- a/crates/router/src/owner/engine/service.rs
+++ b/crates/router/src/owner/engine/service.rs
@@ -8,20 +8,20 @@
 use wire::hop;
 
 use super::Engine;
-use crate::{owner::away, view::Target};
+use crate::{owner::unreachable, view::Target};
 
 /// How long a server that was lost is remembered for its next owner.
-const KEPT_TIME: Duration = Duration::from_secs(5);
+const RETENTION: Duration = Duration::from_secs(5);
 /// How long a server that does not report its load counts as away.
-const AWAY_TIME: Duration = Duration::from_secs(1);
+const UNREACHABLE_TIME: Duration = Duration::from_secs(1);
 
 /// Whether the server accepts connections, as far as is known.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Presence {
+pub(super) enum Reachability {
     /// It does.
-    There,
+    Reachable,
     /// It did not; it is tried again at this instant.
-    Away(time::Instant),
+    Unreachable(time::Instant),
 }
 
 /// Whether this router admits work to the server.
@@ -60,7 +60,7 @@
             state = self.state_name(service)
         );
         self.service = service;
-        self.kept_until = now + KEPT_TIME;
+        self.retain_until = now + RETENTION;
         match service {
             Service::Open => self.reopen(now),
             Service::Closed | Service::Lost => {
@@ -95,19 +95,19 @@
     ///
     /// If it comes to own the server again, it begins anew: another router may
     /// have admitted work meanwhile, and may still do so.
-    pub fn is_forgettable(&self) -> bool {
+    pub fn is_released(&self) -> bool {
         self.service == Service::Lost && self.in_flight() == 0 && self.waiting.is_empty()
     }
 
     /// Whether the server can be forgotten, and its next owner has had time to
     /// ask for it.
-    pub fn is_done(&self, now: time::Instant) -> bool {
-        self.is_forgettable() && now >= self.kept_until
+    pub fn is_expired(&self, now: time::Instant) -> bool {
+        self.is_released() && now >= self.retain_until
     }
 
     /// Whether the server belongs on the status page.
     pub fn is_shown(&self) -> bool {
-        !self.is_forgettable()
+        !self.is_released()
     }
 
     /// What the next owner is to know, once this router has stopped admitting.
@@ -123,7 +123,7 @@
     }
 
     /// Takes over what the earlier owner learned.
-    pub fn handed_over(&mut self, handover: hop::Handover, now: time::Instant) -> Actions {
+    pub fn apply_handover(&mut self, handover: hop::Handover, now: time::Instant) -> Actions {
         let handover = admission::Handover {
             limit: handover.limit,
             in_flight: handover.in_flight,
@@ -135,18 +135,21 @@
     ///
     /// Whoever waits for it would wait until its deadline although other
     /// servers have room, so all that waits is refused at once.
-    pub(super) fn leave(&mut self, now: time::Instant) -> Actions {
-        let was = mem::replace(&mut self.presence, Presence::Away(now + AWAY_TIME));
+    pub(super) fn mark_unreachable(&mut self, now: time::Instant) -> Actions {
+        let previous = mem::replace(
+            &mut self.reachability,
+            Reachability::Unreachable(now + UNREACHABLE_TIME),
+        );
         self.idle.clear();
-        if was != Presence::There {
+        if previous != Reachability::Reachable {
             return Actions::new();
         }
         logging::event!(warn, "server_away", server = self.target.server);
-        let refused = self.admission.stop().into_iter();
-        refused
+        let refusals = self.admission.stop().into_iter();
+        refusals
             .map(|action| match action {
                 Action::Refuse(attempt, _) => {
-                    Action::Refuse(attempt, away(&self.target.server, now))
+                    Action::Refuse(attempt, unreachable(&self.target.server, now))
                 }
                 admit @ Action::Admit(_) => admit,
             })
@@ -154,9 +157,9 @@
     }
 
     /// Notes that the server accepts connections.
-    pub(super) fn arrive(&mut self, now: time::Instant) -> Actions {
-        let was = mem::replace(&mut self.presence, Presence::There);
-        if was == Presence::There || self.service != Service::Open {
+    pub(super) fn mark_reachable(&mut self, now: time::Instant) -> Actions {
+        let previous = mem::replace(&mut self.reachability, Reachability::Reachable);
+        if previous == Reachability::Reachable || self.service != Service::Open {
             return Actions::new();
         }
         logging::event!(info, "server_back", server = self.target.server);
--- a/crates/router/src/owner/handover.rs
+++ b/crates/router/src/owner/handover.rs
@@ -11,7 +11,7 @@
 
 /// The pauses before the questions. The earlier owner may not know at first
 /// that it lost the server, and says nothing until it has stopped.
-const PAUSES: [Duration; 4] = [
+const DELAYS: [Duration; 4] = [
     Duration::from_millis(50),
     Duration::from_millis(200),
     Duration::from_millis(400),
@@ -22,14 +22,14 @@
 ///
 /// Without it a new owner learns the server's limit from one again, which takes
 /// half a minute in which the server stands almost idle.
-pub async fn ask(
+pub async fn request(
     server: backend::Server,
     address: net::SocketAddr,
     key: seal::Key,
     owner: mpsc::UnboundedSender<Message>,
 ) {
-    for pause in PAUSES {
-        time::sleep(pause).await;
+    for delay in DELAYS {
+        time::sleep(delay).await;
         match client::handover(address, &key, server.clone()).await {
             Ok(Some(handover)) => {
                 logging::event!(
@@ -40,7 +40,7 @@
                     in_flight = handover.in_flight
                 );
                 // The task ends only with the process.
-                let _ = owner.send(Message::HandedOver(server, handover));
+                let _ = owner.send(Message::HandoverReceived(server, handover));
                 return;
             }
             Ok(None) => {}
--- a/crates/router/src/owner/message.rs
+++ b/crates/router/src/owner/message.rs
@@ -21,7 +21,7 @@
     /// The server does not accept connections.
     Unreachable,
     /// The caller's deadline passed first.
-    Late,
+    DeadlineExceeded,
     /// The caller left, or the connection alone was at fault.
     Cancelled,
 }
@@ -36,7 +36,7 @@
     /// The chat, on routes to engines.
     pub chat: Option<chat::Key>,
     /// In which shape the answer comes.
-    pub shape: Shape,
+    pub delivery: Delivery,
     /// Under which terms it may be accepted.
     pub terms: hop::Terms,
     /// Where the answer goes.
@@ -45,11 +45,11 @@
 
 /// In which shape an answer comes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Shape {
+pub enum Delivery {
     /// Token by token.
-    Stream,
+    Streamed,
     /// In one piece, when it is finished.
-    Whole,
+    Buffered,
 }
 
 /// Where the answer to an offer goes.
@@ -106,11 +106,11 @@
     /// A server reported its load, or did not.
     Reported(backend::Server, Result<load::Report, load::Error>),
     /// What another owner's servers of a pool carry, heard with an answer.
-    Heard(host::Id, pool::Id, hop::Load),
+    PeerLoad(host::Id, pool::Id, hop::Load),
     /// What the earlier owner of a server learned of it.
-    HandedOver(backend::Server, hop::Handover),
+    HandoverReceived(backend::Server, hop::Handover),
     /// The next owner of a server asks what this router learned of it.
-    Handover(backend::Server, oneshot::Sender<Option<hop::Handover>>),
+    HandoverRequest(backend::Server, oneshot::Sender<Option<hop::Handover>>),
     /// A question for the state of all owned servers.
     Status(oneshot::Sender<Vec<status::Engine>>),
 }
--- a/crates/router/src/owner/permit.rs
+++ b/crates/router/src/owner/permit.rs
@@ -93,7 +93,7 @@
     }
 
     /// Notes that a byte of the answer's body arrived.
-    pub fn progress(&mut self) {
+    pub fn record_first_byte(&mut self) {
         if self.first_byte_at.is_some() {
             return;
         }
@@ -106,7 +106,7 @@
     }
 
     /// Notes what the engine says of its use of tokens.
-    pub fn used(&mut self, usage: Option<Usage>) {
+    pub fn set_usage(&mut self, usage: Option<Usage>) {
         self.usage = usage;
     }
 
--- a/crates/router/src/owner/probe.rs
+++ b/crates/router/src/owner/probe.rs
@@ -14,14 +14,14 @@
 use crate::backend::load;
 
 /// The least time between two questions to a server.
-const INTERVAL: Duration = Duration::from_secs(2);
+const MIN_INTERVAL: Duration = Duration::from_secs(2);
 /// The time between two questions of one router to any of its servers.
 ///
 /// A question and its answer take about 220 bytes, so that probes stay at a
 /// small part of what a router may spend on control, however many servers it owns.
-const SHARE: Duration = Duration::from_millis(1500);
+const INTERVAL_PER_SERVER: Duration = Duration::from_millis(1500);
 /// How often a server is asked that does not accept connections.
-const AWAY_INTERVAL: Duration = Duration::from_millis(500);
+const UNREACHABLE_INTERVAL: Duration = Duration::from_millis(500);
 
 /// Asks a server for its load until it is dropped.
 #[derive(Debug)]
@@ -34,38 +34,38 @@
     pub fn start(
         server: backend::Server,
         address: net::SocketAddr,
-        pace: &Pace,
+        schedule: &Schedule,
         owner: mpsc::UnboundedSender<Message>,
     ) -> Self {
-        let client = load::Client::new(address, Arc::clone(&pace.traffic));
-        let interval = pace.interval.subscribe();
+        let client = load::Client::new(address, Arc::clone(&schedule.traffic));
+        let interval = schedule.interval.subscribe();
         Self {
-            task: tokio::spawn(ask(server, client, interval, owner)),
+            task: tokio::spawn(poll(server, client, interval, owner)),
         }
     }
 }
 
 /// What the probes of one router share.
 #[derive(Debug)]
-pub struct Pace {
+pub struct Schedule {
     traffic: Arc<Traffic>,
     interval: watch::Sender<Duration>,
 }
 
-impl Pace {
+impl Schedule {
     /// A pace for probes whose bytes are counted in `traffic`.
     pub fn new(traffic: Arc<Traffic>) -> Self {
         Self {
             traffic,
-            interval: watch::Sender::new(INTERVAL),
+            interval: watch::Sender::new(MIN_INTERVAL),
         }
     }
 
     /// Sets how many servers share the questions of this router.
-    pub fn servers(&self, servers: usize) {
+    pub fn set_server_count(&self, servers: usize) {
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
-        let share = SHARE.saturating_mul(servers);
-        self.interval.send_replace(share.max(INTERVAL));
+        let interval = INTERVAL_PER_SERVER.saturating_mul(servers);
+        self.interval.send_replace(interval.max(MIN_INTERVAL));
     }
 }
 
@@ -77,20 +77,20 @@
 
 /// Asks over one kept connection, since a new one for each question costs more
 /// bytes than the question.
-async fn ask(
+async fn poll(
     server: backend::Server,
     mut client: load::Client,
     interval: watch::Receiver<Duration>,
     owner: mpsc::UnboundedSender<Message>,
 ) {
     loop {
-        let asked = time::timeout(load::TIMEOUT, client.ask()).await;
-        let report = asked.unwrap_or_else(|_| {
+        let polled = time::timeout(load::TIMEOUT, client.ask()).await;
+        let report = polled.unwrap_or_else(|_| {
             client.forget();
             Err(load::Error::Closed)
         });
-        let pause = match report {
-            Err(load::Error::Connect(_)) => AWAY_INTERVAL,
+        let delay = match report {
+            Err(load::Error::Connect(_)) => UNREACHABLE_INTERVAL,
             _ => *interval.borrow(),
         };
         if owner
@@ -99,6 +99,6 @@
         {
             return;
         }
-        time::sleep(pause).await;
+        time::sleep(delay).await;
     }
 }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -19,7 +19,7 @@
     claims::Claims,
     clock::Clock,
     entry::Entry,
-    follow::{self, Follow},
+    follow::{self, Follower},
     gossip::{self, Gossip},
     hop::{client, server},
     members::Members,
@@ -117,7 +117,7 @@
             metrics: Arc::clone(&metrics),
         };
         let (follow_sender, follow_messages) = mpsc::channel(64);
-        let follow = Follow::new(clock, Region::of(&settings.zone), sources, outputs);
+        let follow = Follower::new(clock, Region::of(&settings.zone), sources, outputs);
         let inputs = owner::Inputs {
             view: view.clone(),
             members: members.clone(),
@@ -157,7 +157,7 @@
             tracker: tracker_handle,
             claims: claims_handle,
             links: client::Links::start(settings.key.clone()),
-            fingerprints: settings.key.derive(FINGERPRINT_USAGE),
+            fingerprint_key: settings.key.derive(FINGERPRINT_USAGE),
             phase: phase_receiver.clone(),
         });
         let tasks = vec![
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/trace.rs
@@ -26,7 +26,7 @@
     guard: tracker::Guard,
     pool: pool::Id,
     server: backend::Server,
-    cause: u64,
+    crash_id: u64,
     ended: bool,
     record: Option<Record>,
 }
@@ -63,13 +63,13 @@
 }
 
 impl Trace {
-    /// A trace of an attempt on `target`; `cause` names the server's death, if it dies.
-    pub fn new(guard: tracker::Guard, target: &Target, cause: u64) -> Self {
+    /// A trace of an attempt on `target`; `crash_id` names the server's death, if it dies.
+    pub fn new(guard: tracker::Guard, target: &Target, crash_id: u64) -> Self {
         Self {
             guard,
             pool: target.pool.clone(),
             server: target.server.clone(),
-            cause,
+            crash_id,
             ended: false,
             record: None,
         }
@@ -104,7 +104,7 @@
         if mem::replace(&mut self.ended, true) {
             return;
         }
-        self.tell(Ending::Whole);
+        self.tell(Ending::Completed);
         if let Some(record) = self.record.take() {
             record.finish();
         }
@@ -121,6 +121,6 @@
     fn tell(&self, ending: Ending) {
         let pool = self.pool.clone();
         self.guard
-            .ran(pool, self.server.clone(), self.cause, ending);
+            .attempt_ended(pool, self.server.clone(), self.crash_id, ending);
     }
 }
--- a/crates/router/src/tracker.rs
+++ b/crates/router/src/tracker.rs
@@ -20,12 +20,12 @@
 use verdict::{Code, Refusal};
 
 use crate::{clock::Clock, gossip, view::View};
-pub use guard::{Ended, Ending, Guard, Ran};
+pub use guard::{AttemptEnded, Ending, Guard, RequestEnded};
 
 /// How often ejections are published.
 const TICK: Duration = Duration::from_millis(200);
 /// When a caller may come back to a workspace that is at its limit.
-const LIMIT_RETRY: Duration = Duration::from_millis(500);
+const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
 /// The backend servers that are left out because they fail.
 pub type Ejected = BTreeSet<backend::Server>;
@@ -61,13 +61,13 @@
         reply: oneshot::Sender<Result<Begun, Refusal>>,
     },
     Decide(Box<Failure>, oneshot::Sender<Retry>),
-    Ended(Ended),
-    Ran(Ran),
-    Struck(request::Fingerprint, Vec<u32>),
-    Died(request::Fingerprint, u64),
+    RequestEnded(RequestEnded),
+    AttemptEnded(AttemptEnded),
+    Strikes(request::Fingerprint, Vec<u32>),
+    Crashed(request::Fingerprint, u64),
     Check {
         fingerprint: request::Fingerprint,
-        deaths: SmallVec<[u64; 2]>,
+        crashes: SmallVec<[u64; 2]>,
         reply: oneshot::Sender<Result<(), Refusal>>,
     },
 }
@@ -106,7 +106,7 @@
         fingerprint: request::Fingerprint,
     ) -> Result<Begun, Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Begin {
+        self.send(Message::Begin {
             workspace,
             limit,
             fingerprint,
@@ -119,23 +119,23 @@
     pub async fn decide(&self, failure: Failure) -> Retry {
         let (reply, answer) = oneshot::channel();
         let refusal = failure.refusal.clone();
-        self.tell(Message::Decide(Box::new(failure), reply));
+        self.send(Message::Decide(Box::new(failure), reply));
         answer.await.unwrap_or(Retry::GiveUp(refusal))
     }
 
     /// Tells how an attempt on a server went.
-    pub fn ran(&self, ran: Ran) {
-        self.tell(Message::Ran(ran));
+    pub fn attempt_ended(&self, ended: AttemptEnded) {
+        self.send(Message::AttemptEnded(ended));
     }
 
     /// Tells the deaths, by their short names, that the fleet counts against a request.
-    pub fn struck(&self, fingerprint: request::Fingerprint, deaths: Vec<u32>) {
-        self.tell(Message::Struck(fingerprint, deaths));
+    pub fn record_strikes(&self, fingerprint: request::Fingerprint, crashes: Vec<u32>) {
+        self.send(Message::Strikes(fingerprint, crashes));
     }
 
     /// Tells that a server died with a request in flight.
-    pub fn died(&self, fingerprint: request::Fingerprint, death: u64) {
-        self.tell(Message::Died(fingerprint, death));
+    pub fn record_crash(&self, fingerprint: request::Fingerprint, crash_id: u64) {
+        self.send(Message::Crashed(fingerprint, crash_id));
     }
 
     /// Takes note of the deaths that another router saw, and checks the request.
@@ -146,30 +146,30 @@
     pub async fn check(
         &self,
         fingerprint: request::Fingerprint,
-        deaths: &[u64],
+        crashes: &[u64],
     ) -> Result<(), Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Check {
+        self.send(Message::Check {
             fingerprint,
-            deaths: SmallVec::from_slice(deaths),
+            crashes: SmallVec::from_slice(crashes),
             reply,
         });
         answer.await.map_err(|_| stopped())?
     }
 
-    fn ended(&self, ended: Ended) {
-        self.tell(Message::Ended(ended));
+    fn request_ended(&self, ended: RequestEnded) {
+        self.send(Message::RequestEnded(ended));
     }
 
-    fn tell(&self, message: Message) {
+    fn send(&self, message: Message) {
         // The task ends only with the process.
         let _ = self.messages.send(message);
     }
 }
 
 /// The short name of a death, as heartbeats carry it.
-fn short(death: u64) -> u32 {
-    let [a, b, c, d, ..] = death.to_le_bytes();
+fn short_id(crash_id: u64) -> u32 {
+    let [a, b, c, d, ..] = crash_id.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
 }
 
@@ -185,10 +185,10 @@
     in_flight: BTreeMap<workspace::Id, u32>,
     budget: RetryBudget,
     suspects: Suspects,
-    ejections: BTreeMap<pool::Id, OutlierDetector>,
+    detectors: BTreeMap<pool::Id, OutlierDetector>,
     view: watch::Receiver<Arc<View>>,
     gossip: mpsc::UnboundedSender<gossip::Message>,
-    publish: watch::Sender<Arc<Ejected>>,
+    ejected_sender: watch::Sender<Arc<Ejected>>,
     messages: mpsc::UnboundedReceiver<Message>,
     handle: Handle,
 }
@@ -201,7 +201,7 @@
         gossip: mpsc::UnboundedSender<gossip::Message>,
     ) -> (Self, Handle) {
         let (sender, messages) = mpsc::unbounded_channel();
-        let (publish, ejected) = watch::channel(Arc::default());
+        let (ejected_sender, ejected) = watch::channel(Arc::default());
         let handle = Handle {
             messages: sender,
             ejected,
@@ -213,10 +213,10 @@
             suspects: Suspects::new(settings.clone()),
             settings,
             in_flight: BTreeMap::new(),
-            ejections: BTreeMap::new(),
+            detectors: BTreeMap::new(),
             view,
             gossip,
-            publish,
+            ejected_sender,
             messages,
             handle: handle.clone(),
         };
@@ -259,21 +259,21 @@
                 // The asker may have gone.
                 let _ = reply.send(self.decide(&failure));
             }
-            Message::Ended(ended) => self.ended(&ended),
-            Message::Ran(ran) => self.ran(&ran),
-            Message::Struck(fingerprint, deaths) => {
-                for death in deaths {
-                    self.learn(fingerprint, death);
+            Message::RequestEnded(ended) => self.request_ended(&ended),
+            Message::AttemptEnded(ended) => self.attempt_ended(&ended),
+            Message::Strikes(fingerprint, crashes) => {
+                for crash_id in crashes {
+                    self.add_strike(fingerprint, crash_id);
                 }
             }
-            Message::Died(fingerprint, death) => self.died(fingerprint, death),
+            Message::Crashed(fingerprint, crash_id) => self.record_crash(fingerprint, crash_id),
             Message::Check {
                 fingerprint,
-                deaths,
+                crashes,
                 reply,
             } => {
-                for death in deaths {
-                    self.died(fingerprint, death);
+                for crash_id in crashes {
+                    self.record_crash(fingerprint, crash_id);
                 }
                 // The asker may have gone.
                 let _ = reply.send(self.check(fingerprint));
@@ -289,19 +289,19 @@
     }
 
     /// Notes a death that this router saw or was told of, and tells the fleet.
-    fn died(&mut self, fingerprint: request::Fingerprint, death: u64) {
-        if self.learn(fingerprint, short(death)) {
+    fn record_crash(&mut self, fingerprint: request::Fingerprint, crash_id: u64) {
+        if self.add_strike(fingerprint, short_id(crash_id)) {
             let message = gossip::Message::Strike {
                 fingerprint,
-                cause: death,
+                crash_id,
             };
             // The task ends only with the process.
             let _ = self.gossip.send(message);
         }
     }
 
-    fn learn(&mut self, fingerprint: request::Fingerprint, death: u32) -> bool {
-        let crash = Crash(u64::from(death));
+    fn add_strike(&mut self, fingerprint: request::Fingerprint, crash_id: u32) -> bool {
+        let crash = Crash(u64::from(crash_id));
         let strike = Strike { fingerprint, crash };
         self.suspects.apply_strike(strike, self.clock.now())
     }
@@ -324,7 +324,7 @@
                 Code::WorkspaceLimit,
                 "The workspace is at its limit of requests in flight.",
             )
-            .retry_at(now + LIMIT_RETRY));
+            .retry_at(now + LIMIT_RETRY_AFTER));
         }
         *count += 1;
         self.budget.record_request(&workspace, now);
@@ -349,7 +349,7 @@
         Retry::decide(decided, &self.settings, &mut self.budget, self.clock.now())
     }
 
-    fn ended(&mut self, ended: &Ended) {
+    fn request_ended(&mut self, ended: &RequestEnded) {
         if let Some(count) = self.in_flight.get_mut(&ended.workspace) {
             *count = count.saturating_sub(1);
             if *count == 0 {
@@ -360,51 +360,51 @@
 
     /// Notes how an attempt went, for the ejection of its server and the
     /// suspicion against its request.
-    fn ran(&mut self, ran: &Ran) {
+    fn attempt_ended(&mut self, ended: &AttemptEnded) {
         let now = self.clock.now();
-        let ejection = self.ejections.get_mut(&ran.pool);
-        match (ran.ending, ejection) {
-            (Ending::Whole, ejection) => {
-                self.suspects.record_completion(ran.fingerprint);
-                if let Some(ejection) = ejection {
-                    ejection.record_success(&ran.server, now);
+        let detector = self.detectors.get_mut(&ended.pool);
+        match (ended.ending, detector) {
+            (Ending::Completed, detector) => {
+                self.suspects.record_completion(ended.fingerprint);
+                if let Some(detector) = detector {
+                    detector.record_success(&ended.server, now);
                 }
             }
-            (Ending::Failed, Some(ejection)) => ejection.record_failure(&ran.server, now),
+            (Ending::Failed, Some(detector)) => detector.record_failure(&ended.server, now),
             (Ending::Failed, None) => {}
-            (Ending::Died, ejection) => {
-                if let Some(ejection) = ejection {
-                    ejection.record_failure(&ran.server, now);
+            (Ending::Crashed, detector) => {
+                if let Some(detector) = detector {
+                    detector.record_failure(&ended.server, now);
                 }
-                self.died(ran.fingerprint, ran.cause);
+                self.record_crash(ended.fingerprint, ended.crash_id);
             }
         }
     }
 
     fn refresh(&mut self) {
         let view = Arc::clone(&self.view.borrow_and_update());
-        self.ejections
+        self.detectors
             .retain(|pool, _| view.pools.contains_key(pool));
         for (name, pool) in &view.pools {
             let settings = &self.settings;
-            let ejection = self
-                .ejections
+            let detector = self
+                .detectors
                 .entry(name.clone())
                 .or_insert_with(|| OutlierDetector::new(settings.clone()));
             let members = pool.history.current().eligible();
-            ejection.set_servers(members.map(|member| (member.id.clone(), member.zone.clone())));
+            detector.set_servers(members.map(|member| (member.id.clone(), member.zone.clone())));
         }
     }
 
     fn tick(&mut self) {
         let now = self.clock.now();
         let ejected: Ejected = self
-            .ejections
+            .detectors
             .values()
-            .flat_map(|ejection| ejection.ejected(now))
+            .flat_map(|detector| detector.ejected(now))
             .map(|(server, _)| server)
             .collect();
-        self.publish.send_if_modified(|present| {
+        self.ejected_sender.send_if_modified(|present| {
             if **present == ejected {
                 return false;
             }
--- a/crates/router/src/tracker/guard.rs
+++ b/crates/router/src/tracker/guard.rs
@@ -8,16 +8,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     /// Its whole answer arrived.
-    Whole,
+    Completed,
     /// The server failed.
     Failed,
     /// The server died.
-    Died,
+    Crashed,
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct AttemptEnded {
     /// The server's pool.
     pub pool: pool::Id,
     /// The server.
@@ -25,14 +25,14 @@
     /// The request.
     pub fingerprint: request::Fingerprint,
     /// Names the death of the server, if it died.
-    pub cause: u64,
+    pub crash_id: u64,
     /// How it went.
     pub ending: Ending,
 }
 
 /// A request that ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct RequestEnded {
     /// Its workspace.
     pub workspace: workspace::Id,
 }
@@ -60,12 +60,18 @@
     }
 
     /// Tells how an attempt at this request went.
-    pub fn ran(&self, pool: pool::Id, server: backend::Server, cause: u64, ending: Ending) {
-        self.tracker.ran(Ran {
+    pub fn attempt_ended(
+        &self,
+        pool: pool::Id,
+        server: backend::Server,
+        crash_id: u64,
+        ending: Ending,
+    ) {
+        self.tracker.attempt_ended(AttemptEnded {
             pool,
             server,
             fingerprint: self.fingerprint,
-            cause,
+            crash_id,
             ending,
         });
     }
@@ -73,7 +79,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.tracker.ended(Ended {
+        self.tracker.request_ended(RequestEnded {
             workspace: self.workspace.clone(),
         });
     }
--- a/crates/router/tests/fleet/claims.rs
+++ b/crates/router/tests/fleet/claims.rs
@@ -6,15 +6,15 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape},
+    cluster::{Cluster, Topology},
 };
 
 // A dispatcher's browser sends the same booking again, to whichever router the
 // balancer picks. The truck must come once, and both see the confirmation.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeated_booking_runs_once_and_gets_the_first_answer() {
-    let cluster = Cluster::start(Shape::default()).await;
-    let first = cluster.served(0, &Call::booking("pickup")).await;
+async fn a_repeated_booking_runs_once_and_gets_the_first_response() {
+    let cluster = Cluster::start(Topology::default()).await;
+    let first = cluster.send_until_served(0, &Call::booking("pickup")).await;
     for round in 0..4 {
         // Until the outcome is recorded the answer is that it is running.
         let call = Call::booking("pickup");
@@ -28,8 +28,8 @@
 // Both routers get the same booking at the same moment. One runs it; the other
 // must neither run it nor claim that it has not run.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_repeats_one_runs() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn one_of_two_concurrent_repeats_runs() {
+    let cluster = Cluster::start(Topology::default()).await;
     for round in 0..10 {
         let key = format!("race-{round}");
         let call = Call::booking(&key);
@@ -50,9 +50,11 @@
 // The service books and its answer is lost. Whoever sends the booking again,
 // through any router, is told that it may have run, and no second truck comes.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_repeat_of_a_lost_booking_never_runs() {
-    let cluster = Cluster::start(Shape::default()).await;
-    cluster.served(0, &Call::booking("warm-up")).await;
+async fn a_repeat_of_a_booking_with_a_lost_response_never_runs() {
+    let cluster = Cluster::start(Topology::default()).await;
+    cluster
+        .send_until_served(0, &Call::booking("warm-up"))
+        .await;
     for service in &cluster.services {
         service
             .handle
@@ -72,7 +74,7 @@
 // once and truthfully, chats go on, and the same booking runs later.
 #[tokio::test(flavor = "multi_thread")]
 async fn bookings_are_refused_at_once_while_the_platform_is_down() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     cluster.platform.fault(platform::Fault::Down);
     for round in 0..4 {
         let answer = cluster.send(round % 2, &Call::booking("pickup")).await;
@@ -80,7 +82,9 @@
         assert_eq!(answer.error("verdict"), "not_run");
         assert_ne!(answer.error("retry_after"), "null");
     }
-    cluster.served(0, &Call::chat("c", "hello", 2)).await;
+    cluster
+        .send_until_served(0, &Call::chat("c", "hello", 2))
+        .await;
     assert_eq!(cluster.runs("pickup"), 0);
     cluster.platform.fault(platform::Fault::Normal);
     cluster.wait_for(0, &Call::booking("pickup"), 200).await;
@@ -90,8 +94,8 @@
 // The platform commits a claim and loses the answer. The router must find out
 // whose claim stands, and the booking runs exactly once.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_claim_whose_answer_is_lost_is_settled_by_reading() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn a_claim_whose_commit_response_is_lost_is_resolved_by_a_read() {
+    let cluster = Cluster::start(Topology::default()).await;
     for round in 0..4 {
         let key = format!("pickup-{round}");
         cluster
@@ -114,10 +118,10 @@
 // record the outcome. Nobody knows whether the truck comes, so nobody may send
 // the booking again, and the caller is told just that.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_of_a_dead_router_stays_unknown() {
-    let mut cluster = Cluster::start(Shape {
+async fn the_outcome_of_a_dead_routers_booking_stays_unknown() {
+    let mut cluster = Cluster::start(Topology {
         routers: 2,
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     for service in &cluster.services {
@@ -128,7 +132,7 @@
     let address = cluster.routers[0].address;
     let call = Call::booking("pickup");
     let caller = tokio::spawn(async move { call.send(address).await });
-    crate::cluster::until("the booking has run", async || cluster.runs("pickup") == 1).await;
+    crate::cluster::wait_until("the booking has run", async || cluster.runs("pickup") == 1).await;
     cluster.routers[0].kill();
     assert!(caller.await.expect("no panic").is_none());
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -144,7 +148,7 @@
 // caller is told so. The claim must not keep it from running later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_that_did_not_run_can_be_sent_again() {
-    let cluster = Cluster::start(Shape::one_zone()).await;
+    let cluster = Cluster::start(Topology::one_zone()).await;
     cluster.services[0].handle.fault(service::Fault::Crash);
     let answer = cluster.send(0, &Call::booking("pickup")).await;
     assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
@@ -153,7 +157,7 @@
         .restart()
         .await
         .expect("it starts");
-    let later = cluster.served(0, &Call::booking("pickup")).await;
+    let later = cluster.send_until_served(0, &Call::booking("pickup")).await;
     assert!(later.body.contains(&answer::confirmation("pickup")));
     assert_eq!(cluster.runs("pickup"), 1);
 }
--- a/crates/router/tests/fleet/cluster.rs
+++ b/crates/router/tests/fleet/cluster.rs
@@ -16,18 +16,18 @@
 
 /// How long a test waits for a state before it fails: longer than any fault
 /// takes to be noticed on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(40);
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
 /// How many of each there are in each availability zone.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Topology {
     pub zones: usize,
     pub routers: usize,
     pub engines: usize,
     pub engine: engine::Settings,
 }
 
-impl Default for Shape {
+impl Default for Topology {
     fn default() -> Self {
         Self {
             zones: 2,
@@ -38,7 +38,7 @@
     }
 }
 
-impl Shape {
+impl Topology {
     /// One of each, so that a fault hits whatever serves.
     pub fn one_zone() -> Self {
         Self {
@@ -78,7 +78,7 @@
 
 impl Cluster {
     /// Starts a deployment and waits until its routers serve.
-    pub async fn start(shape: Shape) -> Self {
+    pub async fn start(topology: Topology) -> Self {
         let platform = platform::start(platform::Settings::default())
             .await
             .expect("the platform starts");
@@ -89,13 +89,13 @@
             routers: Vec::new(),
             revision: 0,
         };
-        for index in 0..shape.zones {
-            cluster.start_servers(index, &shape).await;
+        for index in 0..topology.zones {
+            cluster.start_servers(index, &topology).await;
         }
         // A router that reads the list knows all backend servers from its start.
         cluster.list_hosts(&[]);
-        for index in 0..shape.zones {
-            for number in 0..shape.routers {
+        for index in 0..topology.zones {
+            for number in 0..topology.routers {
                 cluster.start_router(&format!("router-{index}-{number}"), &zone(index));
             }
         }
@@ -114,14 +114,14 @@
                 "timeout_ms": 10000}),
             ])
             .await;
-        cluster.settled().await;
+        cluster.wait_settled().await;
         cluster
     }
 
-    async fn start_servers(&mut self, index: usize, shape: &Shape) {
+    async fn start_servers(&mut self, index: usize, topology: &Topology) {
         let zone = zone(index);
-        for number in 0..shape.engines {
-            let handle = engine::start(shape.engine.clone()).await;
+        for number in 0..topology.engines {
+            let handle = engine::start(topology.engine.clone()).await;
             self.engines.push(Engine {
                 name: format!("engine-{index}-{number}"),
                 zone: zone.clone(),
@@ -208,16 +208,16 @@
     }
 
     /// Waits until each router has the present revision and knows all others as ready.
-    pub async fn settled(&self) {
+    pub async fn wait_settled(&self) {
         let all: Vec<usize> = (0..self.routers.len()).collect();
-        self.settled_among(&all).await;
+        self.wait_settled_among(&all).await;
     }
 
     /// The same for some of the routers.
-    pub async fn settled_among(&self, routers: &[usize]) {
+    pub async fn wait_settled_among(&self, routers: &[usize]) {
         let expected = routers.len();
         for router in routers {
-            until(
+            wait_until(
                 "a router has the revision and knows the others",
                 async || {
                     let status = self.status(*router).await;
@@ -230,14 +230,14 @@
             )
             .await;
         }
-        until("all servers have an owner", async || {
-            self.owned_among(routers).await == self.names().len()
+        wait_until("all servers have an owner", async || {
+            self.owned_count(routers).await == self.server_names().len()
         })
         .await;
     }
 
     /// How many backend servers some routers own together.
-    async fn owned_among(&self, routers: &[usize]) -> usize {
+    async fn owned_count(&self, routers: &[usize]) -> usize {
         let mut owned = BTreeSet::new();
         for router in routers {
             let status = self.status(*router).await;
@@ -261,9 +261,9 @@
     }
 
     /// Waits until all backend servers are in one of some states.
-    pub async fn servers_are(&self, states: &[&str]) {
-        until("all servers are in the expected state", async || {
-            for server in self.names() {
+    pub async fn wait_for_states(&self, states: &[&str]) {
+        wait_until("all servers are in the expected state", async || {
+            for server in self.server_names() {
                 let state = self.state_of(&server).await;
                 if !states.contains(&state.as_str()) {
                     return false;
@@ -274,7 +274,7 @@
         .await;
     }
 
-    fn names(&self) -> Vec<String> {
+    fn server_names(&self) -> Vec<String> {
         let engines = self.engines.iter().map(|engine| engine.name.clone());
         let services = self.services.iter().map(|service| service.name.clone());
         engines.chain(services).collect()
@@ -301,7 +301,7 @@
 
     /// Sends a call to one router until it is served, as a caller would that is
     /// told that its request has not run.
-    pub async fn served(&self, router: usize, call: &Call) -> Answer {
+    pub async fn send_until_served(&self, router: usize, call: &Call) -> Answer {
         let started = Instant::now();
         loop {
             let answer = self.send(router, call).await;
@@ -310,7 +310,7 @@
             }
             let verdict = answer.error("verdict");
             assert_eq!(verdict, "not_run", "{}", answer.body);
-            assert!(started.elapsed() < PATIENCE, "{}", answer.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
@@ -323,7 +323,7 @@
             if answer.status == status {
                 return answer;
             }
-            assert!(started.elapsed() < PATIENCE, "{}", answer.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
@@ -344,10 +344,13 @@
 }
 
 /// Waits until `condition` holds.
-pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "waited in vain until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
--- a/crates/router/tests/fleet/failures.rs
+++ b/crates/router/tests/fleet/failures.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape, until, zone},
+    cluster::{Cluster, Topology, wait_until, zone},
 };
 
 /// An engine slow enough that a test can act in the middle of a stream.
@@ -26,7 +26,7 @@
             counters.started > counters.completed + counters.cancelled
         })
     };
-    until("an engine runs the request", async || {
+    wait_until("an engine runs the request", async || {
         started(cluster).is_some()
     })
     .await;
@@ -37,9 +37,9 @@
 // answer on its screen and must not take it for the whole one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_dies_never_ends_cleanly() {
-    let cluster = Cluster::start(Shape {
+    let cluster = Cluster::start(Topology {
         engine: slow_engine(),
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let address = cluster.routers[0].address;
@@ -57,17 +57,19 @@
         answer.body
     );
     // Whoever asks next is served by the other engine.
-    let next = cluster.served(1, &Call::chat("c", "hello", 3)).await;
+    let next = cluster
+        .send_until_served(1, &Call::chat("c", "hello", 3))
+        .await;
     assert_eq!(next.text(), answer::text("hello", 3));
 }
 
 // An engine ends a stream in the middle, though its connection closes in order.
 // Without a look at the last event the caller would take the half for the whole.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_short_stream_is_told_as_broken() {
-    let cluster = Cluster::start(Shape::one_zone()).await;
+async fn a_truncated_stream_is_reported_as_broken() {
+    let cluster = Cluster::start(Topology::one_zone()).await;
     let call = Call::stream("c", "hello", 20);
-    cluster.served(0, &call).await;
+    cluster.send_until_served(0, &call).await;
     for engine in &cluster.engines {
         engine.handle.fault(engine::Fault::ShortStream { count: 1 });
     }
@@ -83,9 +85,9 @@
 // keeps the answer. The caller sees one whole stream, without a gap or a repeat.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_stream_is_resumed_without_a_gap() {
-    let cluster = Cluster::start(Shape::one_zone()).await;
+    let cluster = Cluster::start(Topology::one_zone()).await;
     let call = Call::stream("c", "hello", 20);
-    cluster.served(0, &call).await;
+    cluster.send_until_served(0, &call).await;
     cluster.engines[0]
         .handle
         .fault(engine::Fault::CutStream { count: 1 });
@@ -98,11 +100,11 @@
 // stay open, and nothing arrives on them any more, while new ones work. The
 // caller would wait for its deadline; the engine must not be taken for dead.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_silent_connection_is_left_and_its_stream_resumed() {
-    let cluster = Cluster::start(Shape {
+async fn a_stream_on_a_silent_connection_is_resumed_on_another() {
+    let cluster = Cluster::start(Topology {
         zones: 1,
         engine: slow_engine(),
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let address = cluster.routers[0].address;
@@ -116,7 +118,9 @@
     let answer = caller.await.expect("no panic").expect("an answer");
     assert!(answer.whole, "{}", answer.body);
     assert_eq!(answer.streamed_text(), answer::text("hello", 60));
-    let again = cluster.served(0, &Call::chat("c", "hello", 3)).await;
+    let again = cluster
+        .send_until_served(0, &Call::chat("c", "hello", 3))
+        .await;
     assert_eq!(again.text(), answer::text("hello", 3));
 }
 
@@ -125,15 +129,17 @@
 // run, instead of being held until its deadline, and the next one is served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_on_a_silent_connection_is_answered_before_its_deadline() {
-    let mut cluster = Cluster::start(Shape::one_zone()).await;
+    let mut cluster = Cluster::start(Topology::one_zone()).await;
     cluster
         .declare(vec![
             serde_json::json!({"type": "route", "name": "api", "path": "/",
             "pool": "api", "timeout_ms": 600_000}),
         ])
         .await;
-    cluster.settled().await;
-    cluster.served(0, &Call::booking("warm-up")).await;
+    cluster.wait_settled().await;
+    cluster
+        .send_until_served(0, &Call::booking("warm-up"))
+        .await;
     cluster.services[0]
         .handle
         .fault(service::Fault::SilentConnections);
@@ -142,16 +148,18 @@
         assert_eq!(answer.error("verdict"), "may_have_run", "{}", answer.body);
     }
     assert!(cluster.runs("pickup") <= 1);
-    cluster.served(0, &Call::booking("next")).await;
+    cluster.send_until_served(0, &Call::booking("next")).await;
     assert_eq!(cluster.runs("next"), 1);
 }
 
 // Two answers are crossed inside an engine or on the way from it. A member of
 // one workspace would read the diary of another.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_crossed_answer_reaches_nobody() {
-    let cluster = Cluster::start(Shape::one_zone()).await;
-    cluster.served(0, &Call::chat("c", "hello", 3)).await;
+async fn a_crossed_response_reaches_no_caller() {
+    let cluster = Cluster::start(Topology::one_zone()).await;
+    cluster
+        .send_until_served(0, &Call::chat("c", "hello", 3))
+        .await;
     cluster.engines[0]
         .handle
         .fault(engine::Fault::CrossedAnswer { count: 1 });
@@ -167,9 +175,11 @@
 // A service books a pickup and loses the answer. The dispatcher sees an error
 // and must learn that the booking may exist; a second run would send two trucks.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_booking_whose_answer_is_lost_runs_once_and_is_told_so() {
-    let cluster = Cluster::start(Shape::default()).await;
-    cluster.served(0, &Call::booking("warm-up")).await;
+async fn a_booking_whose_response_is_lost_runs_once_and_is_reported() {
+    let cluster = Cluster::start(Topology::default()).await;
+    cluster
+        .send_until_served(0, &Call::booking("warm-up"))
+        .await;
     for service in &cluster.services {
         service
             .handle
@@ -185,10 +195,10 @@
 // must not notice: its request has not run and goes to another engine.
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_do_not_notice_an_idle_engine_that_died() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     for chat in 0..8 {
         let call = Call::chat(&format!("c{chat}"), "hello", 3);
-        cluster.served(0, &call).await;
+        cluster.send_until_served(0, &call).await;
     }
     cluster.engines[0].handle.fault(engine::Fault::Crash);
     for chat in 0..8 {
@@ -203,23 +213,23 @@
 // take them over, and callers that the balancer sends elsewhere are served.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_of_a_dead_router_are_taken_over() {
-    let mut cluster = Cluster::start(Shape {
+    let mut cluster = Cluster::start(Topology {
         routers: 2,
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let dead = cluster.owner_of("engine-0-0").await;
     cluster.routers[dead].kill();
     let others: Vec<usize> = (0..4).filter(|router| *router != dead).collect();
-    cluster.settled_among(&others).await;
+    cluster.wait_settled_among(&others).await;
     for router in others {
         for chat in 0..4 {
             let call = Call::chat(&format!("c{chat}"), "hello", 3);
-            let answer = cluster.served(router, &call).await;
+            let answer = cluster.send_until_served(router, &call).await;
             assert_eq!(answer.text(), answer::text("hello", 3));
         }
         cluster
-            .served(router, &Call::booking(&format!("b{router}")))
+            .send_until_served(router, &Call::booking(&format!("b{router}")))
             .await;
         assert_eq!(cluster.runs(&format!("b{router}")), 1);
     }
@@ -229,10 +239,10 @@
 // callers wait, but nobody else does; afterwards it serves again, and nothing
 // has run twice.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_frozen_router_holds_nobody_else_up() {
-    let cluster = Cluster::start(Shape {
+async fn a_frozen_router_does_not_block_the_others() {
+    let cluster = Cluster::start(Topology {
         routers: 2,
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let frozen = cluster.owner_of("service-0").await;
@@ -240,7 +250,9 @@
     // Links to the frozen router are open when it stops.
     for round in 0..12 {
         let call = Call::get("/lookups/1");
-        cluster.served(others[round % others.len()], &call).await;
+        cluster
+            .send_until_served(others[round % others.len()], &call)
+            .await;
     }
     cluster.routers[frozen].freeze();
     for round in 0..12 {
@@ -257,16 +269,20 @@
             }
         }
     }
-    cluster.settled_among(&others).await;
+    cluster.wait_settled_among(&others).await;
     for router in others {
-        cluster.served(router, &Call::chat("c", "hello", 3)).await;
+        cluster
+            .send_until_served(router, &Call::chat("c", "hello", 3))
+            .await;
     }
     cluster.routers[frozen].thaw();
-    cluster.settled().await;
+    cluster.wait_settled().await;
     for round in 0..12 {
         assert!(cluster.runs(&format!("b{round}")) <= 1);
     }
-    cluster.served(frozen, &Call::booking("after")).await;
+    cluster
+        .send_until_served(frozen, &Call::booking("after"))
+        .await;
     assert_eq!(cluster.runs("after"), 1);
 }
 
@@ -274,14 +290,18 @@
 // configuration that is in force; a router that starts meanwhile gets it from
 // the others.
 #[tokio::test(flavor = "multi_thread")]
-async fn chats_go_on_while_the_platform_is_down() {
-    let cluster = Cluster::start(Shape::default()).await;
+async fn chats_are_served_while_the_platform_is_down() {
+    let cluster = Cluster::start(Topology::default()).await;
     cluster.platform.fault(platform::Fault::Down);
     tokio::time::sleep(Duration::from_secs(3)).await;
     for router in 0..cluster.routers.len() {
-        let answer = cluster.served(router, &Call::chat("c", "hello", 3)).await;
+        let answer = cluster
+            .send_until_served(router, &Call::chat("c", "hello", 3))
+            .await;
         assert_eq!(answer.text(), answer::text("hello", 3));
-        cluster.served(router, &Call::get("/lookups/1")).await;
+        cluster
+            .send_until_served(router, &Call::get("/lookups/1"))
+            .await;
     }
     assert_eq!(cluster.status(0).await["ready"], true);
 }
@@ -289,28 +309,30 @@
 // A router is replaced while the platform is down. It knows some others from
 // its settings, takes configuration and host list from them, and serves.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_router_that_starts_during_an_outage_learns_from_the_others() {
-    let mut cluster = Cluster::start(Shape::default()).await;
+async fn a_router_that_starts_during_an_outage_syncs_from_its_peers() {
+    let mut cluster = Cluster::start(Topology::default()).await;
     cluster.platform.fault(platform::Fault::Down);
     cluster.start_router("router-0-1", &zone(0));
-    cluster.settled().await;
-    let answer = cluster.served(2, &Call::chat("c", "hello", 3)).await;
+    cluster.wait_settled().await;
+    let answer = cluster
+        .send_until_served(2, &Call::chat("c", "hello", 3))
+        .await;
     assert_eq!(answer.text(), answer::text("hello", 3));
-    cluster.served(2, &Call::get("/lookups/1")).await;
+    cluster.send_until_served(2, &Call::get("/lookups/1")).await;
 }
 
 // One request makes every engine crash that runs it, and its caller sends it
 // again and again. After two crashes it is refused everywhere at once; the
 // chats of others are served.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_crashes_engines_is_refused_after_two() {
-    let cluster = Cluster::start(Shape {
+async fn a_request_is_refused_after_crashing_two_engines() {
+    let cluster = Cluster::start(Topology {
         engines: 3,
         engine: engine::Settings {
             poison: Some(String::from("poison")),
             ..engine::Settings::default()
         },
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let poison = Call::chat("bad", "poison", 3);
@@ -329,7 +351,7 @@
             refused += 1;
         }
         let good = cluster
-            .served(round % 2, &Call::chat("good", "hello", 3))
+            .send_until_served(round % 2, &Call::chat("good", "hello", 3))
             .await;
         assert_eq!(good.text(), answer::text("hello", 3));
     }
--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape, until},
+    cluster::{Cluster, Topology, wait_until},
 };
 
 /// A value that differs from run to run.
@@ -79,7 +79,7 @@
         text += &format!("< {}\n", masked(line));
     }
     // The answer may arrive before the last lines of the logs.
-    until("the request is logged", async || {
+    wait_until("the request is logged", async || {
         is_complete(&logged(cluster, &id))
     })
     .await;
@@ -106,9 +106,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_whole_session_stays_as_it_is() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     // While an earlier owner may still admit, offers are refused now and then.
-    cluster.servers_are(&["cold", "warm"]).await;
+    cluster.wait_for_states(&["cold", "warm"]).await;
     let mut session = String::new();
     let calls = [
         Call::chat("c", "hello", 3),
@@ -127,7 +127,7 @@
             .fault(service::Fault::LoseAnswer { count: Some(1) });
     }
     session += &step(&cluster, 7, Call::booking("lost")).await;
-    until("the outcome is recorded as unknown", async || {
+    wait_until("the outcome is recorded as unknown", async || {
         let answer = cluster.send(1, &Call::booking("lost")).await;
         answer.error("message").contains("outcome is unknown")
     })
--- a/crates/router/tests/fleet/input.rs
+++ b/crates/router/tests/fleet/input.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape},
+    cluster::{Cluster, Topology},
 };
 
 fn chat() -> Call {
@@ -15,7 +15,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_requests_get_a_clear_final_answer() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     let long = "x".repeat(300);
     let cases = [
         (chat().without("x-weir-workspace"), 403, "unknown_workspace"),
@@ -68,7 +68,7 @@
     let key = chat()
         .header("x-weir-workspace", "locked")
         .header("authorization", "Bearer secret");
-    assert_eq!(cluster.served(0, &key).await.status, 200);
+    assert_eq!(cluster.send_until_served(0, &key).await.status, 200);
 }
 
 #[parameterized(
--- a/crates/router/tests/fleet/serving.rs
+++ b/crates/router/tests/fleet/serving.rs
@@ -4,23 +4,31 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape},
+    cluster::{Cluster, Topology},
 };
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_router_serves_every_kind_of_request() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     for router in 0..cluster.routers.len() {
-        let whole = cluster.served(router, &Call::chat("c", "hello", 5)).await;
+        let whole = cluster
+            .send_until_served(router, &Call::chat("c", "hello", 5))
+            .await;
         assert_eq!(whole.text(), answer::text("hello", 5));
-        let streamed = cluster.served(router, &Call::stream("c", "hello", 5)).await;
+        let streamed = cluster
+            .send_until_served(router, &Call::stream("c", "hello", 5))
+            .await;
         assert!(streamed.whole);
         assert_eq!(streamed.streamed_text(), answer::text("hello", 5));
         assert!(streamed.body.ends_with("data: [DONE]\n\n"));
-        let lookup = cluster.served(router, &Call::get("/lookups/7")).await;
+        let lookup = cluster
+            .send_until_served(router, &Call::get("/lookups/7"))
+            .await;
         assert!(lookup.body.contains(&answer::confirmation("/lookups/7")));
         let key = format!("booking-{router}");
-        let booking = cluster.served(router, &Call::booking(&key)).await;
+        let booking = cluster
+            .send_until_served(router, &Call::booking(&key))
+            .await;
         assert!(booking.body.contains(&answer::confirmation(&key)));
         assert_eq!(cluster.runs(&key), 1);
     }
@@ -28,16 +36,18 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_returning_chat_finds_its_context_through_any_router() {
-    let cluster = Cluster::start(Shape {
+    let cluster = Cluster::start(Topology {
         engines: 2,
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let prompt = "a long diary entry ".repeat(20);
     let call = Call::chat("diary", &prompt, 2);
-    cluster.served(0, &call).await;
+    cluster.send_until_served(0, &call).await;
     for round in 0..6 {
-        let answer = cluster.served(round % cluster.routers.len(), &call).await;
+        let answer = cluster
+            .send_until_served(round % cluster.routers.len(), &call)
+            .await;
         assert!(
             answer.body.contains(r#""cached_tokens":80"#),
             "{}",
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape, until},
+    cluster::{Cluster, Topology, wait_until},
 };
 
 // A host is taken out of service while streams run through it, as entry and as
@@ -14,13 +14,13 @@
 // get their whole answers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_shutdown_cuts_off_no_request() {
-    let mut cluster = Cluster::start(Shape {
+    let mut cluster = Cluster::start(Topology {
         routers: 2,
         engine: engine::Settings {
             token_interval: Duration::from_millis(20),
             ..engine::Settings::default()
         },
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let mut callers = Vec::new();
@@ -31,7 +31,7 @@
             callers.push(tokio::spawn(async move { call.send(address).await }));
         }
     }
-    until("streams run", async || {
+    wait_until("streams run", async || {
         let engines = cluster.engines.iter();
         engines.map(|e| e.handle.counters().started).sum::<u64>() >= 2
     })
@@ -57,12 +57,12 @@
 // the others' streams with it.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_shutdown_waits_for_streams_of_other_routers() {
-    let mut cluster = Cluster::start(Shape {
+    let mut cluster = Cluster::start(Topology {
         engine: engine::Settings {
             token_interval: Duration::from_millis(20),
             ..engine::Settings::default()
         },
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let address = cluster.routers[0].address;
@@ -71,7 +71,7 @@
         let call = Call::stream(&format!("c{chat}"), "hello", 150);
         callers.push(tokio::spawn(async move { call.send(address).await }));
     }
-    until("the other router's engine runs a stream", async || {
+    wait_until("the other router's engine runs a stream", async || {
         cluster.engines[1].handle.counters().started >= 1
     })
     .await;
@@ -92,22 +92,26 @@
 // limits from one again, chats would wait for half a minute beside idle engines.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_router_tells_the_next_owner_what_it_learned() {
-    let mut cluster = Cluster::start(Shape {
+    let mut cluster = Cluster::start(Topology {
         zones: 1,
         routers: 2,
-        ..Shape::default()
+        ..Topology::default()
     })
     .await;
     let leaving = cluster.owner_of("engine-0-0").await;
     let next = 1 - leaving;
-    cluster.served(next, &Call::chat("c", "hello", 3)).await;
+    cluster
+        .send_until_served(next, &Call::chat("c", "hello", 3))
+        .await;
     cluster.routers[leaving].terminate();
-    until("the next owner has what was learned", async || {
+    wait_until("the next owner has what was learned", async || {
         let log = cluster.routers[next].log().join("\n");
         log.contains("event=server_handed_over server=engine-0-0")
     })
     .await;
-    let answer = cluster.served(next, &Call::chat("c", "hello", 3)).await;
+    let answer = cluster
+        .send_until_served(next, &Call::chat("c", "hello", 3))
+        .await;
     assert_eq!(answer.text(), answer::text("hello", 3));
     assert!(cluster.routers[leaving].wait(), "the process ends in order");
 }
--- a/crates/router/tests/fleet/zones.rs
+++ b/crates/router/tests/fleet/zones.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     client::Call,
-    cluster::{Cluster, Shape, until, zone},
+    cluster::{Cluster, Topology, wait_until, zone},
 };
 
 async fn send_many(cluster: &Cluster, count: usize) {
@@ -21,9 +21,9 @@
 // routers have the change, no new work reaches the zone, no caller notices, and
 // the zone takes part again when it is put back in.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_zone_that_is_out_gets_no_new_work() {
-    let mut cluster = Cluster::start(Shape::default()).await;
-    until("the zone gets work", async || {
+async fn a_zone_out_of_service_gets_no_new_work() {
+    let mut cluster = Cluster::start(Topology::default()).await;
+    wait_until("the zone gets work", async || {
         send_many(&cluster, 8).await;
         cluster.requests_in(&zone(0)) > 0
     })
@@ -33,7 +33,7 @@
             json!({"type": "zone", "name": zone(0), "service": "out"}),
         ])
         .await;
-    cluster.settled().await;
+    cluster.wait_settled().await;
     let before = cluster.requests_in(&zone(0));
     send_many(&cluster, 16).await;
     assert_eq!(cluster.requests_in(&zone(0)), before);
@@ -42,8 +42,8 @@
             json!({"type": "zone", "name": zone(0), "service": "in"}),
         ])
         .await;
-    cluster.settled().await;
-    until("the zone gets work again", async || {
+    cluster.wait_settled().await;
+    wait_until("the zone gets work again", async || {
         send_many(&cluster, 8).await;
         cluster.requests_in(&zone(0)) > before
     })
@@ -54,10 +54,10 @@
 // getting work, its last requests would be cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_server_gets_no_new_work() {
-    let cluster = Cluster::start(Shape::default()).await;
+    let cluster = Cluster::start(Topology::default()).await;
     send_many(&cluster, 8).await;
     cluster.list_hosts(&["engine-0-0"]);
-    until("the server's owner knows that it leaves", async || {
+    wait_until("the server's owner knows that it leaves", async || {
         cluster.state_of("engine-0-0").await == "closed"
     })
     .await;
@@ -69,8 +69,8 @@
 // An operator drains one server; the change must reach all routers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_server_gets_no_new_work() {
-    let mut cluster = Cluster::start(Shape::default()).await;
-    until("the server gets work", async || {
+    let mut cluster = Cluster::start(Topology::default()).await;
+    wait_until("the server gets work", async || {
         send_many(&cluster, 8).await;
         cluster.requests_in(&zone(0)) > 0
     })
@@ -78,7 +78,7 @@
     cluster
         .declare(vec![json!({"type": "drain", "name": "engine-0-0"})])
         .await;
-    cluster.settled().await;
+    cluster.wait_settled().await;
     let before = cluster.requests_in(&zone(0));
     send_many(&cluster, 16).await;
     assert_eq!(cluster.requests_in(&zone(0)), before);
