--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -22,23 +22,23 @@
 pub use guard::Guard;
 use store::Completion;
 
-/// The longest wait before the ledger is looked at again.
+/// Maximum delay until the ledger is checked again.
 const MAX_WAIT: Duration = Duration::from_millis(100);
-/// How often old outcomes are deleted.
+/// Interval between deletions of old outcomes.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(600);
-/// The length of a bucket of outcomes, in seconds.
+/// Length of a bucket of outcomes, in seconds.
 const BUCKET_SECONDS: u64 = 3600;
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug)]
 pub enum Claimed {
-    /// The request may be sent by whoever holds the guard.
+    /// The holder of the guard may send the request.
     Granted(Guard),
-    /// It ran before; this is its outcome.
+    /// The request ran before, with this outcome.
     Recorded(Outcome),
 }
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 enum Message {
     Claim(Claim, oneshot::Sender<Result<Answer, Refusal>>),
@@ -48,7 +48,7 @@
     Unsent(request::Attempt),
 }
 
-/// Speaks to the task.
+/// Handle for sending messages to the task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// The final refusal: the platform does not confirm the claim, or another
-    /// request with the key runs or may have run.
+    /// request with the same key is running or may have run.
     pub async fn claim(&self, request: &Request, key: &str) -> Result<Claimed, Refusal> {
         let attempt = request::Attempt(rand::random());
         let claim = Claim {
@@ -70,7 +70,8 @@
             deadline: request.deadline,
             bucket: bucket(),
         };
-        // A caller that leaves while the claim is written must not keep it.
+        // If the caller disconnects while the claim is being written, dropping
+        // the guard releases the claim.
         let guard = Guard::new(attempt, self.clone());
         let (reply, answer) = oneshot::channel();
         self.send(Message::Claim(claim, reply));
@@ -88,7 +89,7 @@
     }
 
     fn send(&self, message: Message) {
-        // The task ends only with the process.
+        // The receiving task runs until the process ends.
         let _ = self.messages.send(message);
     }
 }
@@ -97,7 +98,7 @@
     Refusal::not_run(Code::NotReady, "The router is shutting down.")
 }
 
-/// The present bucket of outcomes.
+/// The current bucket of outcomes.
 fn bucket() -> Bucket {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -105,7 +106,7 @@
     Bucket(since.as_secs() / BUCKET_SECONDS)
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Claims {
     clock: Clock,
@@ -119,7 +120,7 @@
 }
 
 impl Claims {
-    /// A task without claims, and the handle to it.
+    /// Creates a task without claims, and its handle.
     pub fn new(
         clock: Clock,
         router: host::Id,
@@ -186,13 +187,14 @@
                         self.waiting.insert(attempt, reply);
                     }
                     Err(refusal) => {
-                        // The asker may have gone.
+                        // The requester may have dropped the receiver.
                         let _ = reply.send(Err(refusal));
                     }
                 }
             }
             Message::Start(attempt, reply) => {
-                // As above; the guard that is dropped then takes the claim back.
+                // The requester may have dropped the receiver; dropping its
+                // guard then releases the claim.
                 let _ = reply.send(self.ledger.start(attempt, now));
             }
             Message::Finish(attempt, outcome) => self.ledger.finish(attempt, outcome),
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Starts the next read or write of the table, if there is one to do.
+    /// Starts the next read or write of the table, if one is due.
     fn work(&mut self) {
         let Some(work) = self.ledger.work(self.clock.now()) else {
             return;
@@ -216,7 +218,7 @@
                 Work::Write(batch) => Completion::Wrote(store::write(&table, batch).await),
                 Work::Read(keys) => Completion::Read(store::read(&table, &keys).await),
             };
-            // The task ends only with the process.
+            // The receiving task runs until the process ends.
             let _ = done.send(result);
         });
     }
@@ -235,7 +237,8 @@
             let Some(reply) = self.waiting.remove(&attempt) else {
                 continue;
             };
-            // The asker may have gone; its guard takes the claim back.
+            // The requester may have dropped the receiver; its guard releases
+            // the claim.
             let _ = reply.send(Ok(answer));
         }
     }
--- a/crates/router/src/claims/guard.rs
+++ b/crates/router/src/claims/guard.rs
@@ -6,22 +6,22 @@
 
 use super::{Handle, Message};
 
-/// How far a claimed request has come.
+/// Stage of a claimed request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing was sent.
+    /// No byte of the request has been sent.
     Claimed,
-    /// It may have been sent.
+    /// The request may have been sent.
     Started,
-    /// Its end was told.
+    /// The end of the request has been reported.
     Ended,
 }
 
 /// Holds a claim until the request's outcome is known.
 ///
-/// A claim that nobody gives back keeps the caller from ever repeating its
-/// request. So a guard that is dropped before anything was sent takes the claim
-/// back, and one that is dropped later says that the outcome is unknown.
+/// A claim that is never released keeps the caller from ever repeating its
+/// request. So a guard that is dropped before anything was sent releases the
+/// claim, and one that is dropped later reports the outcome as unknown.
 #[derive(Debug)]
 pub struct Guard {
     attempt: request::Attempt,
@@ -38,10 +38,11 @@
         }
     }
 
-    /// Asks for leave to send the request, at once before its first byte.
+    /// Checks that the request may still be sent; to be called immediately
+    /// before its first byte is sent.
     ///
     /// A request that was started and is known not to have run may be started
-    /// again, at another backend server, by the same guard.
+    /// again at another backend server, by the same guard.
     ///
     /// # Errors
     ///
@@ -54,7 +55,7 @@
         Ok(())
     }
 
-    /// Takes the claim back: the request has not run and will not be sent.
+    /// Releases the claim: the request has not run and will not be sent.
     pub fn not_run(mut self) {
         if self.stage == Stage::Started {
             self.claims.send(Message::Unsent(self.attempt));
--- a/crates/router/src/claims/store.rs
+++ b/crates/router/src/claims/store.rs
@@ -10,17 +10,17 @@
 use tokio::time;
 use units::revision;
 
-/// How long one call to the platform may take.
+/// Timeout of a call to the platform.
 const TIMEOUT: Duration = Duration::from_millis(1000);
-/// The most rows of the index that one sweep reads.
+/// Maximum number of index rows read by one sweep.
 const SWEEP_ROWS: usize = 200;
 
-/// The end of a piece of work.
+/// The result of a read or write of the table.
 #[derive(Debug)]
 pub enum Completion {
-    /// A write ended.
+    /// The result of a write.
     Wrote(Written),
-    /// A read ended; `None`: it was not answered.
+    /// The rows read; `None` if the read failed.
     Read(Option<Vec<Option<Stored>>>),
 }
 
@@ -83,7 +83,7 @@
     })
 }
 
-/// Reads the rows of some claims; `None` when one of them was not answered.
+/// Reads the rows of the given claims; `None` if any of the reads fails.
 pub async fn read(table: &table::Client, keys: &[Key]) -> Option<Vec<Option<Stored>>> {
     let deadline = time::Instant::now() + TIMEOUT;
     let mut rows = Vec::with_capacity(keys.len());
@@ -105,7 +105,7 @@
     Some(Stored { row, generation })
 }
 
-/// Deletes outcomes that are old enough.
+/// Deletes outcomes that are past their retention time.
 pub async fn sweep(table: Arc<table::Client>, current: Bucket) {
     let range = table::Range {
         prefix: String::from(sweep::PREFIX),
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -1,8 +1,8 @@
-//! What the entry router does with a checked request.
+//! Handling of a validated request by its entry router.
 //!
-//! [`Entry`] is what all requests share; `serve` offers a request to one server
-//! after the other, `attempt` makes one offer, `progress` remembers how far the
-//! offers have come.
+//! [`Entry`] holds the state that all requests share. `serve` offers a request
+//! to one server after another, `attempt` makes a single attempt, and
+//! `progress` tracks the attempts made so far.
 
 mod attempt;
 mod progress;
@@ -34,10 +34,11 @@
 pub use attempt::crash_id;
 pub use progress::ending_of;
 
-/// When a caller may come back to a router that is not ready.
+/// Delay after which a caller may retry when the router is not ready or no
+/// backend server is available.
 const NOT_READY_RETRY_MS: u64 = 1000;
 
-/// What all requests share.
+/// State shared by all requests.
 #[derive(Debug)]
 pub struct Entry {
     /// The process's clock.
@@ -48,48 +49,48 @@
     pub host: host::Id,
     /// This router's availability zone.
     pub zone: availability::Zone,
-    /// The configuration and the backend servers.
+    /// The applied configuration and the backend servers.
     pub view: watch::Receiver<Arc<View>>,
-    /// The routers.
+    /// The known routers.
     pub members: watch::Receiver<Arc<Members>>,
     /// The task that admits work to owned servers.
     pub owner: owner::Handle,
-    /// The task that remembers workspaces, ejections and suspects.
+    /// The task that tracks workspaces, ejected servers and suspect requests.
     pub tracker: tracker::Handle,
     /// The task that claims requests that must not run twice.
     pub claims: claims::Handle,
-    /// The idle links to other routers.
+    /// The idle connections to other routers.
     pub links: client::Links,
-    /// The key of fingerprints.
+    /// The key for request fingerprints.
     pub fingerprint_key: seal::Key,
     /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
 }
 
-/// What a caller gets.
+/// The response to a request.
 #[derive(Debug)]
 pub enum Answered {
-    /// The answer of a backend server.
+    /// The response of a backend server.
     Served(Box<Served>),
-    /// The recorded outcome of a request that ran before.
+    /// The recorded outcome of an earlier run of the request.
     Recorded(Outcome),
 }
 
-/// An answer, and what is to be told when it ends.
+/// A response, and the trace that reports its end.
 #[derive(Debug)]
 pub struct Served {
-    /// The answer.
+    /// The response.
     pub answer: Answer,
-    /// What is to be told.
+    /// Reports the end of the response.
     pub trace: Trace,
 }
 
 impl Entry {
-    /// The configuration in force.
+    /// The applied configuration.
     ///
     /// # Errors
     ///
-    /// When there is none yet.
+    /// When no configuration has been applied yet.
     pub fn snapshot(&self) -> Result<Arc<Snapshot>, Refusal> {
         let view = self.view.borrow();
         let snapshot = view.snapshot.clone().filter(|_| view.ready);
@@ -99,14 +100,15 @@
         })
     }
 
-    /// Whether the balancer may send callers here.
+    /// Whether the load balancer may send requests to this router.
     pub fn is_ready(&self) -> bool {
         *self.phase.borrow() == Phase::Serving
             && self.view.borrow().ready
             && self.members.borrow().has_owner()
     }
 
-    /// The keyed hash by which a request is known that crashes servers.
+    /// The keyed hash that identifies a request, to recognize one that crashes
+    /// servers.
     pub fn fingerprint(
         &self,
         workspace: &workspace::Id,
@@ -124,7 +126,7 @@
         request::Fingerprint(self.fingerprint_key.digest(&bytes))
     }
 
-    /// The page `/weir/status`.
+    /// The content of the page `/weir/status`.
     pub async fn status(&self) -> status::Page {
         let members = Arc::clone(&self.members.borrow());
         let revision = self.view.borrow().revision();
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One offer of a request to one server.
+//! One attempt at a request on one server.
 
 use std::sync::Arc;
 
@@ -17,28 +17,28 @@
     view::Target,
 };
 
-/// An attempt that has an answer.
+/// An attempt that got a response.
 pub(super) struct Attempted {
     pub(super) answer: Answer,
-    /// Names the death of the server, if it dies.
+    /// Identifies the crash of the server, if it crashes during the response.
     pub(super) crash_id: u64,
 }
 
-/// An attempt that has none.
+/// An attempt that got no response.
 pub(super) struct Failed {
     pub(super) refusal: Refusal,
-    /// Names the death of the server, if it died.
+    /// Identifies the crash of the server, if it crashed.
     pub(super) crash_id: u64,
 }
 
-/// A slot on a backend server, here or at another router.
+/// A slot on a backend server, granted by this router or by another one.
 enum Grant {
     Local(owner::Permit),
     Remote(Box<client::Admitted>),
 }
 
 impl Grant {
-    /// The way to the owner, for the log.
+    /// How the slot was obtained, for the log.
     fn kind(&self) -> &'static str {
         match self {
             Self::Local(_) => "own",
@@ -168,10 +168,11 @@
     }
 }
 
-/// Names the death of a server, in case it dies with an attempt in flight.
+/// Identifies the crash of a server that has an attempt in flight.
 ///
-/// All routers name it alike, so that it counts once for a request, whoever
-/// notices it. A server without a boot id is told apart by the attempt.
+/// All routers derive the same id, so that a crash counts once against a
+/// request, no matter how many routers notice it. Crashes of a server without a
+/// boot id are identified by the attempt.
 pub fn crash_id(server: &backend::Server, boot: u64, attempt: request::Attempt) -> u64 {
     match boot {
         0 => attempt.0,
--- a/crates/router/src/entry/progress.rs
+++ b/crates/router/src/entry/progress.rs
@@ -1,4 +1,4 @@
-//! How far the offers of one request have come.
+//! The state of one request over its attempts.
 
 use placement::plan;
 use smallvec::SmallVec;
@@ -7,21 +7,22 @@
 
 use crate::{request::Request, tracker::Ending};
 
-/// How far the attempts at a request have come.
+/// The results of the attempts at a request so far.
 pub(super) struct Progress {
     pub(super) refusal: Refusal,
     pub(super) standing: admission::Standing,
     pub(super) attempts: u32,
-    /// Servers that may have run the request, or cannot be reached.
+    /// Servers that may have run the request or cannot be reached.
     pub(super) failed: SmallVec<[backend::Server; 4]>,
-    /// The first server that had no room.
+    /// The first server that was at its limit.
     pub(super) busy: Option<backend::Server>,
-    /// The deaths of servers that had the request in flight.
+    /// The crashes of servers that had the request in flight.
     pub(super) crashes: SmallVec<[u64; 2]>,
 }
 
 impl Progress {
-    /// A progress without attempts; `refusal` is told if there is none.
+    /// Starts without attempts; `refusal` is returned to the caller if none is
+    /// made.
     pub(super) fn new(refusal: Refusal, standing: admission::Standing) -> Self {
         Self {
             refusal,
@@ -33,11 +34,11 @@
         }
     }
 
-    /// Takes over the refusal of a failed attempt.
+    /// Records the refusal of a failed attempt.
     ///
-    /// A server with no room says more to the caller than one that is gone, and
-    /// who owns a server is nothing that a caller can act on. The verdict
-    /// covers all attempts so far.
+    /// A server at its limit is more informative to the caller than an
+    /// unreachable one, and the caller can do nothing about a change of
+    /// ownership. The verdict covers all attempts so far.
     pub(super) fn record_refusal(&mut self, refusal: Refusal) {
         let verdict = self.refusal.verdict.and(refusal.verdict);
         let may_have_run = refusal.verdict == Verdict::MayHaveRun;
@@ -52,15 +53,17 @@
         self.refusal.verdict = verdict;
     }
 
-    /// Notes that a server died with the request in flight.
+    /// Records that a server crashed with the request in flight.
     pub(super) fn record_crash(&mut self, crash: u64) {
         self.standing = admission::Standing::Suspect;
         self.crashes.push(crash);
     }
 
-    /// The final refusal, given what may follow from it.
+    /// The final refusal, without a retry time if the request must not be
+    /// repeated.
     pub(super) fn final_refusal(&self, refusal: Refusal, request: &Request) -> Refusal {
-        // Two servers died with it: sending it again helps nobody.
+        // Two servers crashed with the request in flight; sending it again
+        // would crash more.
         if self.crashes.len() > 1 {
             return Refusal {
                 code: Code::Suspect,
@@ -77,7 +80,7 @@
         refusal
     }
 
-    /// Notes a server that did not take the request.
+    /// Records a server that refused the request without running it.
     pub(super) fn record_not_run(&mut self, server: backend::Server, code: Code) {
         match code {
             Code::Busy if self.busy.is_none() => self.busy = Some(server),
@@ -86,11 +89,12 @@
         }
     }
 
-    /// The server that a candidate stands for.
+    /// The server to offer the request to for a candidate.
     ///
-    /// The last candidate is the home, to wait there. A home that cannot be
-    /// reached would refuse the request although others only had no room at
-    /// that moment, so it waits at the first of those instead.
+    /// The last candidate is the home server, where the request may wait in the
+    /// queue. If the home server is unreachable, the request would be refused
+    /// although other servers were only at their limit at that moment. So it
+    /// waits at the first of those instead.
     pub(super) fn server<'a>(&'a self, candidate: &'a plan::Candidate) -> &'a backend::Server {
         let is_queued = candidate.terms == plan::Terms::Queued;
         match &self.busy {
@@ -100,7 +104,7 @@
     }
 }
 
-/// How an attempt with this refusal counts for its server.
+/// How an attempt that failed with this code counts for its server.
 pub fn ending_of(code: Code) -> Ending {
     match code {
         Code::BackendDied => Ending::Crashed,
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a request from server to server.
+//! Claims a request if needed, and offers it to one server after another.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,7 +21,7 @@
 };
 
 impl Entry {
-    /// Answers a request: claims it first, where it must not run twice.
+    /// Serves a request, and claims it first if it must not run twice.
     ///
     /// # Errors
     ///
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Offers a request to one server after the other.
+    /// Offers a request to one server after another, until one of them responds
+    /// or no further attempt is allowed.
     async fn serve(
         &self,
         request: Request,
@@ -110,7 +111,7 @@
         Err(progress.refusal)
     }
 
-    /// Takes in a failed attempt.
+    /// Records a failed attempt and decides whether another one follows.
     ///
     /// # Errors
     ///
@@ -129,7 +130,8 @@
         progress.record_refusal(failed.refusal);
         let server = target.server.clone();
         if verdict == Verdict::NotRun && code == Code::Suspect {
-            // The owner has heard of deaths that this router has not heard of yet.
+            // The owner knows of crashes that have not been reported to this
+            // router yet.
             return Err(progress.refusal.clone());
         }
         if verdict == Verdict::NotRun {
@@ -163,7 +165,7 @@
         }
     }
 
-    /// The servers to offer a request to, those that are ejected left out.
+    /// The servers to offer a request to, in order, without the ejected ones.
     fn candidates(&self, request: &Request, pool: &Pool) -> Vec<plan::Candidate> {
         let settings = crate::view::settings(&pool.declared);
         // Requests without a chat are spread evenly.
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,4 +1,4 @@
-//! The task that follows the configuration and the host list.
+//! The task that keeps the configuration and the host list up to date.
 
 pub mod update;
 
@@ -23,20 +23,22 @@
 use crate::{clock::Clock, gossip, hop, members::Members, metrics::Metrics, view::View};
 use update::Update;
 
-/// How many changes are kept for peers that are behind.
+/// Number of changes kept for peers with an older revision.
 const CHANGES_KEPT: usize = 512;
-/// How long one call to the platform may take.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The longest wait before the state is looked at again.
+/// Maximum delay until the next step is decided.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// How long a router that starts waits for the host list before it serves without.
+/// How long a starting router waits for the host list before it serves without
+/// it.
 const HOSTS_TIMEOUT: Duration = Duration::from_secs(3);
-/// How many peers are asked for the host list, one after the other.
+/// Maximum number of peers that are asked for the host list, one after the
+/// other.
 const MAX_HOSTS_PEERS: usize = 3;
-/// How often the host list is read.
+/// Interval between reads of the host list.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 pub enum Message {
     /// A peer has a newer revision.
@@ -48,23 +50,23 @@
         /// The revision.
         revision: revision::Id,
     },
-    /// Who polls the table.
+    /// How the polling of the table is shared.
     Polls {
-        /// How many routers of the zone share the polls.
+        /// Number of routers in the zone that share the polling.
         routers: usize,
-        /// Whether this router has the zone's poll duty.
+        /// Whether this router polls on behalf of its zone.
         duty: bool,
     },
-    /// A peer asks what changed after `since`.
+    /// A peer requests the changes after `since`.
     Changes {
-        /// The revision that the peer has.
+        /// The revision that the peer has applied.
         since: revision::Id,
-        /// Where the answer goes.
+        /// Receives the update; `None` if this router holds no configuration.
         reply: oneshot::Sender<Option<Update>>,
     },
 }
 
-/// Where the task reads from.
+/// The sources that the task reads from.
 #[derive(Debug)]
 pub struct Sources {
     /// The platform's table.
@@ -75,22 +77,22 @@
     pub key: seal::Key,
 }
 
-/// What the task tells the others.
+/// The channels on which the task publishes, and what it needs to do so.
 #[derive(Debug)]
 pub struct Outputs {
-    /// The view that follows from what was read.
+    /// The view derived from the configuration and the host list.
     pub view: watch::Sender<Arc<View>>,
     /// The host list as last read.
     pub hosts: watch::Sender<Arc<Vec<hosts::Host>>>,
-    /// The routers, to ask them for the host list.
+    /// The known routers, as a fallback source of the host list.
     pub members: watch::Receiver<Arc<Members>>,
-    /// The task that tells the other routers of the revision.
+    /// The task that announces the applied revision to the other routers.
     pub gossip: mpsc::UnboundedSender<gossip::Message>,
     /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Follower {
     clock: Clock,
@@ -102,16 +104,17 @@
     changes: VecDeque<change::Change>,
     hosts: Arc<Vec<hosts::Host>>,
     ready: bool,
-    /// Whether the host list was read.
+    /// Whether the host list has been read.
     hosts_read: bool,
-    /// When this router serves without it: it may be all that is left in its zone.
+    /// When this router serves without the host list: it may be the only router
+    /// left in its zone.
     hosts_deadline: units::time::Instant,
     next_hosts_read: time::Instant,
     next_step: time::Instant,
 }
 
 impl Follower {
-    /// A task that has read nothing yet.
+    /// Creates a task that has read nothing yet.
     pub fn new(clock: Clock, region: Region, sources: Sources, outputs: Outputs) -> Self {
         let settings = spread::Settings::default();
         Self {
@@ -131,7 +134,7 @@
         }
     }
 
-    /// Runs until all senders of messages are gone.
+    /// Runs until all senders of messages are dropped.
     pub async fn run(mut self, mut messages: mpsc::Receiver<Message>) {
         loop {
             tokio::select! {
@@ -167,13 +170,13 @@
                 self.next_step = time::Instant::now();
             }
             Message::Changes { since, reply } => {
-                // The peer may have gone while its question waited.
+                // The peer may have disconnected while its request waited.
                 let _ = reply.send(self.changes_since(since));
             }
         }
     }
 
-    /// Asks a peer or the table, or waits, as is decided.
+    /// Fetches from a peer, polls the table or waits, as `Spread` decides.
     async fn step(&mut self) {
         let now = self.clock.now();
         match self.spread.step(now) {
@@ -193,7 +196,7 @@
         self.check_ready();
     }
 
-    /// Tells the others once this router may serve.
+    /// Announces that this router is ready, once it is.
     fn check_ready(&mut self) {
         let now = self.clock.now();
         let has_hosts = self.hosts_read || now >= self.hosts_deadline;
@@ -205,11 +208,12 @@
     }
 
     fn notify(&self, message: gossip::Message) {
-        // The task ends only with the process.
+        // The gossip task runs until the process ends.
         let _ = self.outputs.gossip.send(message);
     }
 
-    /// What a peer at `since` has to apply, `None` if nothing is held.
+    /// The update for a peer at revision `since`; `None` if no configuration is
+    /// held.
     fn changes_since(&self, since: revision::Id) -> Option<Update> {
         let snapshot = self.snapshot.as_ref()?;
         if since == snapshot.revision() {
@@ -287,10 +291,10 @@
         Ok(())
     }
 
-    /// Whether `changes` start at the revision held.
+    /// Whether `changes` start at the applied revision.
     ///
-    /// Old change rows are compacted away; a router that was cut off for long
-    /// would otherwise wait for a change that never comes.
+    /// Old change rows are compacted away. A router that was partitioned for
+    /// long would otherwise wait for a change that no longer exists.
     fn is_contiguous(&self, changes: &[change::Change]) -> bool {
         changes
             .first()
@@ -312,11 +316,12 @@
         }
     }
 
-    /// Takes a snapshot that is newer than the one held.
+    /// Applies a snapshot that is newer than the one held.
     ///
-    /// A peer that was cut off may show an old one; taking it would revert an
-    /// accepted configuration, so an older one is left. Revision zero is a
-    /// table in which nothing was ever declared: there is nothing to serve yet.
+    /// A peer that was partitioned may send an old snapshot. Applying it would
+    /// revert an accepted configuration, so older snapshots are ignored.
+    /// Revision zero is a table in which nothing has been declared, so there is
+    /// nothing to serve yet.
     fn apply_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.revision() <= self.revision() || !self.spread.apply(snapshot.revision()) {
             return;
@@ -357,10 +362,11 @@
         }
     }
 
-    /// Asks a peer for the host list while the platform does not give it.
+    /// Fetches the host list from a peer while the platform is unavailable.
     ///
-    /// A router that starts during an outage would know no backend server that
-    /// the configuration does not name, and refuse all work.
+    /// Without it, a router that starts during an outage would know only the
+    /// backend servers that the configuration names, and refuse all requests
+    /// for others.
     async fn fetch_hosts(&mut self) {
         if self.hosts_read {
             return;
--- a/crates/router/src/follow/update.rs
+++ b/crates/router/src/follow/update.rs
@@ -1,20 +1,21 @@
-//! What a router that is behind has to apply.
+//! Configuration updates for routers with an older revision.
 
 use std::sync::Arc;
 
 use config::{change, snapshot::Snapshot};
 use serde::{Deserialize, Serialize};
 
-/// The changes since a revision, or the whole where they are no longer held.
+/// The changes since a revision, or the whole configuration if they are no
+/// longer held.
 #[derive(Clone, Debug)]
 pub enum Update {
     /// The changes, oldest first.
     Changes(Vec<change::Change>),
-    /// The configuration.
+    /// The whole configuration.
     Snapshot(Arc<Snapshot>),
 }
 
-/// The form in which an update travels.
+/// The serialized form of an update.
 #[derive(Serialize, Deserialize)]
 enum Wire {
     Changes(Vec<change::Change>),
@@ -22,11 +23,11 @@
 }
 
 impl Update {
-    /// The update as JSON.
+    /// Serializes the update as JSON.
     ///
     /// # Errors
     ///
-    /// When a resource cannot be written as JSON.
+    /// When a resource cannot be serialized.
     pub fn to_json(&self) -> serde_json::Result<Vec<u8>> {
         let wire = match self {
             Self::Changes(changes) => Wire::Changes(changes.clone()),
@@ -35,11 +36,11 @@
         serde_json::to_vec(&wire)
     }
 
-    /// Reads an update from JSON.
+    /// Parses an update from JSON.
     ///
     /// # Errors
     ///
-    /// When `bytes` are not an update.
+    /// When `bytes` are not a valid update.
     pub fn from_json(bytes: &[u8]) -> serde_json::Result<Self> {
         Ok(match serde_json::from_slice(bytes)? {
             Wire::Changes(changes) => Self::Changes(changes),
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -1,4 +1,5 @@
-//! The task that knows the other routers: it owns the UDP socket of heartbeats.
+//! The membership task: it tracks the other routers and owns the UDP socket for
+//! heartbeats.
 
 use std::{
     net::SocketAddr,
@@ -24,65 +25,66 @@
     tracker,
 };
 
-/// The longest datagram that is read, in bytes.
+/// Maximum size of a received datagram.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// Bytes of the headers of a UDP datagram over IP, which count as traffic too.
+/// Size of the IP and UDP headers of a datagram, which count as control traffic
+/// too.
 const HEADER_BYTES: usize = 28;
-/// How long a strike against a request is remembered.
+/// How long a strike against a request counts.
 const STRIKE_TTL: Duration = Duration::from_secs(600);
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A revision of the configuration is in force here.
+    /// This router applied a revision of the configuration.
     Applied(revision::Id),
-    /// This router may serve.
+    /// This router is ready to serve.
     Ready,
-    /// A backend server died with a request in flight.
+    /// A backend server crashed with a request in flight.
     Strike {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: request::Fingerprint,
-        /// Names the death.
+        /// Identifies the crash.
         crash_id: u64,
     },
     /// This router starts its graceful shutdown.
     Leaving,
-    /// This router ends.
+    /// This router has drained and is about to exit.
     Left,
 }
 
-/// What the task tells the others.
+/// The channels on which the task publishes.
 #[derive(Debug)]
 pub struct Outputs {
-    /// The routers.
+    /// The known routers.
     pub members: watch::Sender<Arc<Members>>,
-    /// The task that follows the configuration.
+    /// The task that keeps the configuration up to date.
     pub follow: mpsc::Sender<follow::Message>,
-    /// The task that holds strikes.
+    /// The task that tracks strikes against requests.
     pub tracker: tracker::Handle,
     /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// Whether the others know that this router serves.
+/// Whether the other routers have been notified that this router serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Readiness {
-    /// It does not serve yet.
+    /// It is not ready to serve.
     Starting,
-    /// It could serve.
+    /// It is ready, but has not announced it.
     Pending,
-    /// They know.
+    /// It has announced that it serves.
     Announced,
 }
 
-/// Who polls the table, as last told.
+/// How the polling of the table is shared, as last published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Polls {
     routers: usize,
     duty: bool,
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Gossip {
     clock: Clock,
@@ -99,7 +101,7 @@
 }
 
 impl Gossip {
-    /// A task that knows nobody yet.
+    /// Creates a task that knows no other routers yet.
     pub fn new(
         clock: Clock,
         socket: UdpSocket,
@@ -124,7 +126,7 @@
         }
     }
 
-    /// Runs until the senders of messages are gone.
+    /// Runs until the senders of messages are dropped.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
@@ -133,8 +135,8 @@
     ) {
         self.handle(Event::Hosts(initial)).await;
         let mut tick = time::interval(fleet::Settings::default().tick);
-        // After a pause of the process one tick shows the gap; a burst of
-        // missed ticks would hide it.
+        // With delayed ticks, a pause of the process shows as a gap before the
+        // next tick. A burst of missed ticks would hide it.
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
@@ -168,10 +170,11 @@
         }
     }
 
-    /// Tells the others that this router serves, once it is sure of its own view.
+    /// Announces that this router serves, once it can trust its own view.
     ///
-    /// A router that says so earlier is taken for an owner and then refuses
-    /// what it is sent, since it does not yet know what it owns.
+    /// A router that announces itself earlier is treated as an owner, but
+    /// refuses the requests sent to it, since it does not know yet which
+    /// servers it owns.
     async fn announce_ready(&mut self) {
         if self.readiness == Readiness::Pending && self.fleet.is_sure(self.clock.now()) {
             self.readiness = Readiness::Announced;
@@ -185,7 +188,7 @@
                 self.applied = revision;
                 Event::Applied(revision)
             }
-            // It is told in its own time, see `announce_ready`.
+            // Announced later, see `announce_ready`.
             Message::Ready => Event::Tick,
             Message::Strike {
                 fingerprint,
@@ -250,12 +253,13 @@
                     address,
                     revision,
                 };
-                // A full channel means that the task is at it already; the
-                // next heartbeat tells of the revision again.
+                // If the channel is full, the task is already working on
+                // updates; the next heartbeat carries the revision again.
                 let _ = self.outputs.follow.try_send(message);
             }
-            // The mean of a pool rides on the answers of owners; the sums over
-            // all pools that heartbeats can carry would mix them.
+            // The load of a pool is carried by the replies of owners.
+            // Heartbeats can carry only sums over all pools, which would mix
+            // the pools.
             Action::Load(_) => {}
             Action::Strike(strike) => self.publish_strikes(strike.fingerprint),
             Action::Reboot(boot) => {
@@ -283,7 +287,8 @@
         self.outputs.tracker.record_strikes(fingerprint, crashes);
     }
 
-    /// Publishes the routers, and who polls the table, if that changed.
+    /// Publishes the known routers and how the polling of the table is shared,
+    /// if they changed.
     fn publish(&mut self) {
         let members = self.members();
         self.outputs.members.send_if_modified(|present| {
@@ -304,7 +309,7 @@
             routers: polls.routers,
             duty: polls.duty,
         };
-        // A full channel: the next tick tells it.
+        // If the channel is full, the next tick sends it again.
         if self.outputs.follow.try_send(message).is_ok() {
             self.polls = polls;
         }
@@ -348,7 +353,7 @@
     }
 }
 
-/// A number that is higher at each start of the process.
+/// An incarnation number that is higher at each start of the process.
 fn boot() -> seal::Boot {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -33,40 +33,42 @@
 pub use permit::{Permit, Slot};
 use probe::Schedule;
 
-/// How often deadlines and bounds are checked.
+/// Interval at which queue deadlines, load probes and load bounds are checked.
 const TICK: Duration = Duration::from_millis(50);
-/// The least mean load for which the skew is told: below it one request more is
-/// a large part of it.
+/// Minimum mean load at which the skew is reported. Below it, a single
+/// additional request changes the ratio considerably.
 const MIN_SKEW_MEAN: f64 = 4.0;
-/// When a caller may come back to a server that is not there.
+/// Delay after which a caller may retry a server that is unreachable or at its
+/// limit.
 const RETRY_AFTER_MS: u64 = 500;
 
-/// The loads of the servers, by pool.
+/// Load of the backend servers, by pool.
 type Loads = BTreeMap<pool::Id, loads::Loads>;
 
-/// What the task reads.
+/// Inputs of the owner task.
 #[derive(Clone, Debug)]
 pub struct Inputs {
-    /// The configuration and the backend servers.
+    /// The applied configuration and the backend servers.
     pub view: watch::Receiver<Arc<View>>,
-    /// The routers.
+    /// The known routers.
     pub members: watch::Receiver<Arc<Members>>,
 }
 
-/// Sends offers to the task.
+/// Handle for sending messages to the owner task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
 }
 
 impl Handle {
-    /// Asks for a slot, and waits in the queue where the terms allow it.
+    /// Requests a slot on a backend server, waiting in its queue if the offer's
+    /// terms allow it.
     ///
-    /// Dropping the future takes the ticket back.
+    /// Dropping the future withdraws the offer.
     ///
     /// # Errors
     ///
-    /// When the offer is not accepted. The request has not run.
+    /// When the offer is rejected. The request has not run.
     pub async fn admit(&self, offer: impl FnOnce(Reply) -> Offer) -> Result<Permit, Rejected> {
         let (reply, answer) = oneshot::channel();
         let stopped = || Rejected {
@@ -78,13 +80,13 @@
         answer.await.map_err(|_| stopped())?
     }
 
-    /// Tells what the servers of another owner carry.
+    /// Records the load of another owner's servers in a pool.
     pub fn record_peer_load(&self, owner: host::Id, pool: pool::Id, load: hop::Load) {
-        // Nobody needs the load when the task has ended.
+        // The load is of no use once the task has ended.
         let _ = self.messages.send(Message::PeerLoad(owner, pool, load));
     }
 
-    /// Waits until nothing runs on a server through this router any more.
+    /// Waits until no owned server has requests in flight or queued.
     pub async fn drained(&self) {
         loop {
             let engines = self.status().await;
@@ -96,7 +98,8 @@
         }
     }
 
-    /// What this router learned of a server that it owned, once it has stopped admitting.
+    /// Returns the state learned about a server that this router owned, once it
+    /// has stopped admitting requests to it.
     pub async fn handover(&self, server: backend::Server) -> Option<hop::Handover> {
         let (reply, answer) = oneshot::channel();
         self.messages
@@ -105,7 +108,7 @@
         answer.await.ok()?
     }
 
-    /// The state of all owned servers.
+    /// Returns the state of all owned servers.
     pub async fn status(&self) -> Vec<status::Engine> {
         let (reply, answer) = oneshot::channel();
         if self.messages.send(Message::Status(reply)).is_err() {
@@ -115,7 +118,7 @@
     }
 }
 
-/// The task's state.
+/// State of the owner task.
 #[derive(Debug)]
 pub struct Owner {
     clock: Clock,
@@ -132,7 +135,7 @@
 }
 
 impl Owner {
-    /// A task that owns nothing yet, and the handle to it.
+    /// Creates a task that owns no servers yet, and its handle.
     pub fn new(
         clock: Clock,
         inputs: Inputs,
@@ -209,13 +212,13 @@
             }
             Message::HandoverRequest(server, reply) => {
                 let engine = self.engines.get(&server);
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(engine.and_then(Engine::handover));
             }
             Message::Status(reply) => {
                 let shown = self.engines.values().filter(|engine| engine.is_shown());
                 let engines = shown.map(|engine| engine.status(now)).collect();
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(engines);
             }
         }
@@ -246,7 +249,7 @@
     fn reject(&mut self, offer: Offer, refusal: Refusal) {
         let engine = self.engines.get(&offer.server);
         let load = engine.and_then(Engine::pool_load);
-        // The asker may have gone.
+        // The requester may have dropped the receiver.
         let _ = offer.reply.send(Err(Rejected { refusal, load }));
     }
 
@@ -279,7 +282,7 @@
         self.execute(server, actions);
     }
 
-    /// Carries out what admission decided for tickets that waited.
+    /// Executes admission's decisions on queued tickets.
     fn execute(&mut self, server: &backend::Server, actions: admission::Actions) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
@@ -313,7 +316,7 @@
         self.metrics.owned(self.totals(now));
     }
 
-    /// Sums up what the owned servers of each pool carry.
+    /// Sums the load of the owned servers by pool.
     fn update_loads(&mut self) {
         let now = self.clock.now();
         let mut own: BTreeMap<pool::Id, TotalLoad> = BTreeMap::new();
@@ -338,7 +341,7 @@
         }
     }
 
-    /// How the owned servers stand, for the metrics.
+    /// Totals over the owned servers, for the metrics.
     fn totals(&self, now: units::time::Instant) -> Owned {
         let mut owned = Owned::default();
         for engine in self.engines.values() {
@@ -378,7 +381,8 @@
         }
     }
 
-    /// Takes up the servers that became this router's and gives up the others.
+    /// Acquires the servers newly assigned to this router and releases those no
+    /// longer assigned to it.
     fn refresh(&mut self) {
         let now = self.clock.now();
         let view = Arc::clone(&self.inputs.view.borrow_and_update());
@@ -415,7 +419,7 @@
         }
     }
 
-    /// Begins to own a server, and asks its earlier owner what it learned.
+    /// Starts owning a server, and requests a handover from its previous owner.
     fn acquire(
         &mut self,
         target: &Target,
@@ -438,7 +442,7 @@
         }
     }
 
-    /// Who owned a server before, and may still admit work to it.
+    /// The previous owner of a server, if it may still admit requests to it.
     fn predecessor(&self, target: &Target, members: &Members) -> Predecessor {
         let peer = match self.owners.get(&target.server) {
             Some(host) if *host == members.own => None,
@@ -469,7 +473,7 @@
     )
 }
 
-/// The refusal for a server that is known to be away.
+/// The refusal for a server known to be unreachable.
 fn unreachable(server: &backend::Server, now: units::time::Instant) -> Refusal {
     Refusal::not_run(
         Code::NoServer,
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -1,4 +1,4 @@
-//! One backend server and what its owner knows of it.
+//! State that the owner keeps of one backend server.
 
 mod offer;
 mod service;
@@ -27,26 +27,29 @@
 use offer::{Waiter, busy};
 use service::{Learned, Reachability, Service};
 
-/// The most idle connections that are kept for one server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE: usize = 32;
-/// How long an earlier owner may still admit work to a server that was taken
-/// over, until all routers agree on the new one.
+/// How long the previous owner of an acquired server may still admit requests
+/// to it, until all routers agree on the new owner.
 const OVERLAP: Duration = Duration::from_millis(1500);
-/// The run time from which a call counts in full for the limit of a plain service.
+/// Run time from which a call counts in full for the growth of a plain
+/// service's limit.
 const SERVICE_GROWTH_TIME: Duration = Duration::from_millis(10);
-/// Where messages to the owner task go.
+/// Sender of messages to the owner task.
 type Sender = mpsc::UnboundedSender<Message>;
 
-/// Who owned a server before.
+/// The previous owner of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Predecessor {
-    /// A router that runs, and may not yet know that it lost the server; its address.
+    /// A live router that may not know yet that it lost the server; its
+    /// address.
     Live(net::SocketAddr),
-    /// Nobody, or a router that is down.
+    /// None, or a router that is down.
     Gone,
 }
 
-/// The chat of an attempt and how long its context is.
+/// The chat of an attempt, the estimated length of its context in tokens, and
+/// how its response is delivered.
 #[derive(Clone, Copy, Debug)]
 struct Context {
     chat: Option<chat::Key>,
@@ -57,17 +60,17 @@
 /// One backend server.
 #[derive(Debug)]
 pub struct Engine {
-    /// What the configuration says of it.
+    /// Its address, zone and state by the configuration and the host list.
     pub target: Target,
-    /// What it takes.
+    /// Admission control for the server.
     pub admission: admission::Server,
     metrics: Arc<Metrics>,
     waiting: BTreeMap<request::Attempt, Waiter>,
     running: BTreeMap<request::Attempt, Context>,
     service: Service,
-    /// What was learned of the server before it was closed.
+    /// State saved when the server was closed, for its reopening.
     learned: Option<Learned>,
-    /// Until when a lost server is remembered for its next owner.
+    /// Until when the state of a lost server is kept for its next owner.
     retain_until: time::Instant,
     reachability: Reachability,
     pool_load: hop::Load,
@@ -81,7 +84,8 @@
 }
 
 impl Engine {
-    /// A server that this router begins to own. It counts as cold.
+    /// Creates the state of a server that this router acquires. It counts as
+    /// cold.
     pub fn new(
         target: Target,
         declared: &resource::Pool,
@@ -117,7 +121,7 @@
         }
     }
 
-    /// Takes over what the configuration says now.
+    /// Applies the current configuration.
     pub fn update(&mut self, target: &Target, declared: &resource::Pool) {
         if self.target.address != target.address {
             self.idle.clear();
@@ -128,7 +132,8 @@
         self.reports_load = declared.reports_load;
     }
 
-    /// What the server adds to the load of its pool, of which the mean is known.
+    /// The server's contribution to the load of its pool, given the pool's mean
+    /// load.
     pub fn load_contribution(&self, mean: f64) -> TotalLoad {
         let limit = self.admission.handover().limit;
         TotalLoad::contribution(self.in_flight(), self.target.weight, limit, mean)
@@ -144,12 +149,12 @@
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether the server gets new work from this router.
+    /// Whether this router admits new requests to the server.
     pub fn is_open(&self) -> bool {
         self.service == Service::Open
     }
 
-    /// Sets what this router's servers of the pool carry together.
+    /// Sets the total load of this router's servers in the pool.
     pub fn set_pool_load(&mut self, own: TotalLoad) {
         self.pool_load = hop::Load {
             requests: own.requests,
@@ -157,12 +162,13 @@
         };
     }
 
-    /// What this router's servers of the pool carry together, where it owns the server.
+    /// The total load of this router's servers in the pool; `None` if it does
+    /// not own this server.
     pub fn pool_load(&self) -> Option<hop::Load> {
         self.is_owned().then_some(self.pool_load)
     }
 
-    /// Notes that an attempt ended.
+    /// Records the end of an attempt.
     pub fn ended(&mut self, ended: &Ended, now: time::Instant) -> Actions {
         let outcome = match ended.outcome {
             Outcome::Completed => admission::Outcome::Completed {
@@ -184,7 +190,7 @@
         actions
     }
 
-    /// Takes in a load report, or that there was none.
+    /// Handles the result of a load probe.
     pub fn reported(
         &mut self,
         report: Result<load::Report, load::Error>,
@@ -223,7 +229,8 @@
         }
     }
 
-    /// Checks deadlines.
+    /// Drops unusable idle connections, refuses queued offers whose caller has gone
+    /// or whose queue deadline has passed, and runs admission's timers.
     pub fn tick(&mut self, now: time::Instant) -> Actions {
         self.idle.retain(Connection::is_usable);
         let is_expired =
@@ -245,7 +252,8 @@
         actions
     }
 
-    /// Sets the most requests that the server may carry by its pool's mean.
+    /// Sets the maximum number of requests that the server may have, as derived
+    /// from the mean load of its pool.
     pub fn set_bound(&mut self, requests: u32, now: time::Instant) -> Actions {
         let bound = admission::Bound {
             requests: Some(requests),
@@ -254,12 +262,12 @@
         self.admission.set_bound(bound, now)
     }
 
-    /// Whether the server is asked for its load.
+    /// Whether the server is probed for its load.
     pub fn is_probed(&self) -> bool {
         self.probe.is_some()
     }
 
-    /// Starts or ends the questions for the server's load.
+    /// Starts or stops probing the server for its load.
     pub fn probe(&mut self, schedule: &Schedule, owner: &Sender) {
         if !self.reports_load || !self.is_owned() {
             self.probe = None;
@@ -270,14 +278,14 @@
         }
     }
 
-    /// Keeps a connection for the next request.
+    /// Keeps an idle connection for reuse.
     pub fn store_connection(&mut self, connection: Connection) {
         if self.idle.len() < MAX_IDLE {
             self.idle.push(connection);
         }
     }
 
-    /// An idle connection that can be used again.
+    /// Takes an idle connection that is still usable.
     fn take_idle(&mut self) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
             if connection.is_usable() {
@@ -287,11 +295,11 @@
         None
     }
 
-    /// Notes that the server has a chat's context in its cache.
+    /// Records that the server has a chat's context in its cache.
     ///
-    /// What the engine says of its use of tokens corrects what was expected. Its
-    /// cache events are not read: at the planned size they alone would take up
-    /// what a router may spend on control traffic.
+    /// The token usage reported by the engine replaces the estimate. The
+    /// engine's cache events are not read: at the planned size of a deployment
+    /// they alone would use up a router's budget for control traffic.
     fn record_served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
         let tokens = usage.map_or(context.tokens, |usage| usage.prompt + usage.output);
         if let Some(chat) = context.chat {
@@ -332,7 +340,7 @@
     }
 }
 
-/// The settings of admission for a server of a pool.
+/// The admission settings for a server of a pool.
 fn settings(declared: &resource::Pool) -> admission::Settings {
     let engine = admission::Settings {
         max_concurrency: declared.max_concurrency,
@@ -340,7 +348,7 @@
     };
     match declared.kind {
         resource::Kind::Engine => engine,
-        // Calls to plain services are short, and so is their start.
+        // Calls to plain services are short, and so is their warm-up.
         resource::Kind::Service => admission::Settings {
             growth_time: SERVICE_GROWTH_TIME,
             ..engine
--- a/crates/router/src/owner/engine/offer.rs
+++ b/crates/router/src/owner/engine/offer.rs
@@ -1,4 +1,4 @@
-//! Offers to one backend server, and who waits for it.
+//! Offers to one backend server, and its queue.
 
 use std::time::Duration;
 
@@ -15,26 +15,28 @@
     view::Target,
 };
 
-/// Who waits in the queue.
+/// An offer that waits in the queue.
 #[derive(Debug)]
 pub(super) struct Waiter {
     pub(super) reply: Reply,
     context: Context,
     offered_at: time::Instant,
-    /// When the request goes to the next server if it still waits.
+    /// When the offer is refused if it still waits; the request is then offered
+    /// to the next server.
     pub(super) queue_deadline: time::Instant,
 }
 
 impl Engine {
-    /// Decides whether an offer is put to admission, and until when it may wait.
+    /// Decides whether an offer is passed to admission, and until when it may
+    /// wait in the queue.
     ///
-    /// The entry may have an older view. Without the first check a server that
-    /// is drained, or whose zone is out, would get new work until every entry
-    /// has heard of it.
+    /// The entry router may have an older view. Without the first check, a
+    /// server that is drained, or whose zone is out of service, would get new
+    /// requests until every entry router has applied the change.
     ///
     /// # Errors
     ///
-    /// Why it is not put to admission.
+    /// The refusal of an offer that is not passed to admission.
     pub fn evaluate(
         &mut self,
         offer: &Offer,
@@ -48,7 +50,8 @@
             if now < until {
                 return Err(unreachable(&self.target.server, now));
             }
-            // A server that does not report is tried by the next request.
+            // A server without load reports is not probed, so the next request
+            // tries it.
             self.mark_reachable(now);
         }
         let snapshot = self.admission.snapshot(now);
@@ -72,7 +75,7 @@
         }
     }
 
-    /// Puts an offer to admission.
+    /// Passes an offer to admission.
     pub fn offer(
         &mut self,
         offer: Offer,
@@ -103,7 +106,7 @@
         offered.others
     }
 
-    /// Gives a permit for an admitted attempt.
+    /// Grants a permit for an admitted attempt.
     fn grant(&mut self, attempt: request::Attempt, waiting: Waiter, clock: Clock, owner: &Sender) {
         self.metrics.waited(clock.now().since(waiting.offered_at));
         self.running.insert(attempt, waiting.context);
@@ -118,18 +121,19 @@
             load: self.pool_load,
         };
         let permit = Permit::new(slot, self.take_idle(), clock, owner.clone());
-        // A permit that nobody takes any more is given back by its drop.
+        // If the requester has dropped the receiver, dropping the permit
+        // releases the slot.
         let _ = waiting.reply.send(Ok(permit));
     }
 
-    /// Tells whoever waits that the request has not run.
+    /// Rejects a queued offer. Its request has not run.
     pub(super) fn refuse(&self, waiting: Waiter, refusal: Refusal) {
         let load = self.pool_load();
-        // The asker may have gone.
+        // The requester may have dropped the receiver.
         let _ = waiting.reply.send(Err(Rejected { refusal, load }));
     }
 
-    /// Carries out an action; what follows from it is returned.
+    /// Executes an action, and returns the actions that follow from it.
     pub fn execute(&mut self, action: Action, clock: Clock, owner: &Sender) -> Actions {
         match action {
             Action::Admit(attempt) => match self.waiting.remove(&attempt) {
--- a/crates/router/src/owner/engine/service.rs
+++ b/crates/router/src/owner/engine/service.rs
@@ -1,4 +1,5 @@
-//! Whether one backend server gets new work, and what is kept while it does not.
+//! Opens and closes one backend server for new requests, and keeps its state
+//! while it is closed.
 
 use std::{mem, time::Duration};
 
@@ -10,17 +11,18 @@
 use super::Engine;
 use crate::{owner::unreachable, view::Target};
 
-/// How long a server that was lost is remembered for its next owner.
+/// How long the state of a lost server is kept for its next owner.
 const RETENTION: Duration = Duration::from_secs(5);
-/// How long a server that does not report its load counts as away.
+/// How long a server without load reports counts as unreachable after a failed
+/// connection.
 const UNREACHABLE_TIME: Duration = Duration::from_secs(1);
 
-/// Whether the server accepts connections, as far as is known.
+/// Whether the server accepts connections, as last observed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Reachability {
-    /// It does.
+    /// It accepts connections, or has not been tried yet.
     Reachable,
-    /// It did not; it is tried again at this instant.
+    /// It refused a connection; it is tried again at this instant.
     Unreachable(time::Instant),
 }
 
@@ -29,13 +31,14 @@
 pub(super) enum Service {
     /// It does.
     Open,
-    /// It does not: the server gets no new work.
+    /// It does not: the server is drained, leaving, or in a zone that is out of
+    /// service.
     Closed,
-    /// It does not: another router owns the server, or it is gone.
+    /// It does not: another router owns the server, or the server is gone.
     Lost,
 }
 
-/// What was learned of a server before it was closed.
+/// State of a server, saved when it is closed.
 #[derive(Clone, Debug)]
 pub(super) struct Learned {
     limit: u32,
@@ -43,7 +46,8 @@
 }
 
 impl Engine {
-    /// Opens or closes the server for new work; `None`: it is no longer owned.
+    /// Opens or closes the server for new requests; a `target` of `None` means
+    /// that this router no longer owns it.
     pub fn set_service(&mut self, target: Option<&Target>, now: time::Instant) -> Actions {
         let service = match target.map(|target| target.state) {
             Some(topology::State::Eligible) => Service::Open,
@@ -73,11 +77,12 @@
         }
     }
 
-    /// Admits work again to a server that was drained, or whose zone was out.
+    /// Admits requests again to a server that was drained, or whose zone was
+    /// out of service.
     ///
-    /// A server that ran on meanwhile is as warm as before. Learning its limit
-    /// from one again would hold it almost idle beside loaded ones; one that
-    /// was started anew is cold.
+    /// A server that kept running is as warm as before. Growing its limit from
+    /// one again would leave it almost idle beside loaded servers. A server
+    /// that was restarted is cold.
     fn reopen(&mut self, now: time::Instant) -> Actions {
         let mut actions = self.admission.start(now);
         let learned = self.learned.take();
@@ -91,26 +96,29 @@
         actions
     }
 
-    /// Whether nothing keeps this router busy with a server that it lost.
+    /// Whether this router lost the server and has no request in flight on it
+    /// or queued for it.
     ///
-    /// If it comes to own the server again, it begins anew: another router may
-    /// have admitted work meanwhile, and may still do so.
+    /// If this router acquires the server again, it starts with new state:
+    /// another router may have admitted requests meanwhile, and may still do
+    /// so.
     pub fn is_released(&self) -> bool {
         self.service == Service::Lost && self.in_flight() == 0 && self.waiting.is_empty()
     }
 
-    /// Whether the server can be forgotten, and its next owner has had time to
-    /// ask for it.
+    /// Whether the state of the server can be dropped: the server is released,
+    /// and its next owner has had time to request the handover.
     pub fn is_expired(&self, now: time::Instant) -> bool {
         self.is_released() && now >= self.retain_until
     }
 
-    /// Whether the server belongs on the status page.
+    /// Whether the server is listed on the status page.
     pub fn is_shown(&self) -> bool {
         !self.is_released()
     }
 
-    /// What the next owner is to know, once this router has stopped admitting.
+    /// The state for the next owner; `None` until this router has stopped
+    /// admitting requests.
     pub fn handover(&self) -> Option<hop::Handover> {
         if self.service != Service::Lost {
             return None;
@@ -122,7 +130,7 @@
         })
     }
 
-    /// Takes over what the earlier owner learned.
+    /// Applies the state learned by the previous owner.
     pub fn apply_handover(&mut self, handover: hop::Handover, now: time::Instant) -> Actions {
         let handover = admission::Handover {
             limit: handover.limit,
@@ -131,10 +139,10 @@
         self.admission.handed_over(handover, now)
     }
 
-    /// Notes that the server does not accept connections.
+    /// Records that the server does not accept connections.
     ///
-    /// Whoever waits for it would wait until its deadline although other
-    /// servers have room, so all that waits is refused at once.
+    /// All queued requests are refused at once. They would otherwise wait until
+    /// their deadlines although other servers have capacity.
     pub(super) fn mark_unreachable(&mut self, now: time::Instant) -> Actions {
         let previous = mem::replace(
             &mut self.reachability,
@@ -156,7 +164,7 @@
             .collect()
     }
 
-    /// Notes that the server accepts connections.
+    /// Records that the server accepts connections.
     pub(super) fn mark_reachable(&mut self, now: time::Instant) -> Actions {
         let previous = mem::replace(&mut self.reachability, Reachability::Reachable);
         if previous == Reachability::Reachable || self.service != Service::Open {
--- a/crates/router/src/owner/handover.rs
+++ b/crates/router/src/owner/handover.rs
@@ -1,4 +1,4 @@
-//! The question to the earlier owner of a server.
+//! Requests the state of a server from its previous owner.
 
 use std::{net, time::Duration};
 
@@ -9,8 +9,9 @@
 use super::Message;
 use crate::hop::client;
 
-/// The pauses before the questions. The earlier owner may not know at first
-/// that it lost the server, and says nothing until it has stopped.
+/// Delays before the attempts. The previous owner may at first not know that it
+/// has lost the server, and returns nothing until it has stopped admitting
+/// requests to it.
 const DELAYS: [Duration; 4] = [
     Duration::from_millis(50),
     Duration::from_millis(200),
@@ -18,10 +19,11 @@
     Duration::from_millis(600),
 ];
 
-/// Asks the router at `address` what it learned of `server`, and tells `owner`.
+/// Requests the handover of `server` from the router at `address`, and passes
+/// it to the `owner` task.
 ///
-/// Without it a new owner learns the server's limit from one again, which takes
-/// half a minute in which the server stands almost idle.
+/// Without a handover, a new owner grows the server's limit from one again,
+/// which leaves the server almost idle for half a minute.
 pub async fn request(
     server: backend::Server,
     address: net::SocketAddr,
@@ -39,7 +41,7 @@
                     limit = handover.limit,
                     in_flight = handover.in_flight
                 );
-                // The task ends only with the process.
+                // The owner task runs until the process ends.
                 let _ = owner.send(Message::HandoverReceived(server, handover));
                 return;
             }
--- a/crates/router/src/owner/message.rs
+++ b/crates/router/src/owner/message.rs
@@ -1,4 +1,4 @@
-//! What the owner task is told and what it answers.
+//! Messages to the owner task and its replies.
 
 use tokio::sync::oneshot;
 use units::{backend, chat, host, pool, request, time};
@@ -14,64 +14,67 @@
 /// How an admitted attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer arrived.
+    /// The complete response arrived.
     Completed,
-    /// The server broke the connection or answered wrongly.
+    /// The server broke the connection or sent an invalid response.
     Failed,
     /// The server does not accept connections.
     Unreachable,
-    /// The caller's deadline passed first.
+    /// The caller's deadline passed before the response was complete.
     DeadlineExceeded,
-    /// The caller left, or the connection alone was at fault.
+    /// The caller disconnected, or the connection failed through no fault of
+    /// the server.
     Cancelled,
 }
 
-/// An attempt that asks for a slot.
+/// An attempt that requests a slot on a backend server.
 #[derive(Debug)]
 pub struct Offer {
     /// The server.
     pub server: backend::Server,
-    /// What admission has to know.
+    /// The attempt's ticket for admission.
     pub ticket: admission::Ticket,
-    /// The chat, on routes to engines.
+    /// The chat that the request belongs to, on routes to engines.
     pub chat: Option<chat::Key>,
-    /// In which shape the answer comes.
+    /// How the response is delivered.
     pub delivery: Delivery,
-    /// Under which terms it may be accepted.
+    /// The terms under which the owner may accept the offer.
     pub terms: hop::Terms,
-    /// Where the answer goes.
+    /// Receives the permit or the rejection.
     pub reply: Reply,
 }
 
-/// In which shape an answer comes.
+/// How a response is delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// Token by token.
+    /// As a stream, token by token.
     Streamed,
-    /// In one piece, when it is finished.
+    /// In one piece, once it is complete.
     Buffered,
 }
 
-/// Where the answer to an offer goes.
+/// Sender for the reply to an offer.
 pub type Reply = oneshot::Sender<Result<Permit, Rejected>>;
 
-/// An offer that was not accepted. The request has not run.
+/// An offer that was not accepted. Its request has not run.
 #[derive(Clone, Debug)]
 pub struct Rejected {
-    /// What the caller is told if nobody else accepts it.
+    /// The refusal to return to the caller if no other server accepts the
+    /// request.
     pub refusal: Refusal,
-    /// What the owner's servers of the pool carry, where it owns the server.
+    /// Total load of the owner's servers in the pool; `None` if it does not own
+    /// the server.
     pub load: Option<hop::Load>,
 }
 
-/// How many tokens an engine used for a request.
+/// Token usage that an engine reported for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Usage {
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// Those of them that were cached.
+    /// Prompt tokens found in the engine's prefix cache.
     pub cached: u32,
-    /// Tokens of the answer.
+    /// Tokens of the response.
     pub output: u32,
 }
 
@@ -84,33 +87,35 @@
     pub attempt: request::Attempt,
     /// How it ended.
     pub outcome: Outcome,
-    /// When the first byte of the answer's body arrived.
+    /// When the first byte of the response body arrived.
     pub first_byte_at: time::Instant,
     /// When it ended.
     pub ended_at: time::Instant,
-    /// What the engine says of its use of tokens.
+    /// Token usage reported by the engine.
     pub usage: Option<Usage>,
-    /// The connection, where it can be used again.
+    /// The connection, if it can be reused.
     pub connection: Option<Connection>,
 }
 
-/// What the owner task is told.
+/// A message to the owner task.
 #[derive(Debug)]
 pub enum Message {
-    /// An attempt asks for a slot.
+    /// An attempt requests a slot.
     Offer(Box<Offer>),
-    /// The first byte of an attempt's answer arrived.
+    /// The first byte of an attempt's response body arrived.
     FirstByte(backend::Server, request::Attempt),
     /// An attempt ended.
     Ended(Ended),
-    /// A server reported its load, or did not.
+    /// The result of probing a server for its load.
     Reported(backend::Server, Result<load::Report, load::Error>),
-    /// What another owner's servers of a pool carry, heard with an answer.
+    /// The load of another owner's servers in a pool, as reported in its
+    /// replies.
     PeerLoad(host::Id, pool::Id, hop::Load),
-    /// What the earlier owner of a server learned of it.
+    /// The state that the previous owner of a server learned about it.
     HandoverReceived(backend::Server, hop::Handover),
-    /// The next owner of a server asks what this router learned of it.
+    /// The next owner of a server requests the state that this router learned
+    /// about it.
     HandoverRequest(backend::Server, oneshot::Sender<Option<hop::Handover>>),
-    /// A question for the state of all owned servers.
+    /// A request for the state of all owned servers.
     Status(oneshot::Sender<Vec<status::Engine>>),
 }
--- a/crates/router/src/owner/permit.rs
+++ b/crates/router/src/owner/permit.rs
@@ -9,25 +9,25 @@
 use super::message::{Ended, Message, Outcome, Usage};
 use crate::{backend::Connection, clock::Clock};
 
-/// What the owner knows of a slot that it gives.
+/// A granted slot on a backend server.
 #[derive(Debug)]
 pub struct Slot {
     /// The server.
     pub server: backend::Server,
     /// The attempt.
     pub attempt: request::Attempt,
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub address: net::SocketAddr,
     /// The server's boot id as last reported.
     pub boot: Option<String>,
-    /// What the owner's servers of the pool carry.
+    /// Total load of the owner's servers in the pool.
     pub load: hop::Load,
 }
 
-/// Holds a slot of a backend server until it is finished or dropped.
+/// Holds a slot on a backend server until it is finished or dropped.
 ///
-/// A slot that is never given back would shrink the server's limit for good.
-/// So a permit that is dropped on any path counts as cancelled.
+/// A slot that is never released would reduce the server's usable limit for
+/// good. So a permit that is dropped on any path is reported as cancelled.
 #[derive(Debug)]
 pub struct Permit {
     slot: Slot,
@@ -66,7 +66,7 @@
         self.slot.attempt
     }
 
-    /// Where the server listens.
+    /// The address on which the server listens.
     pub fn address(&self) -> net::SocketAddr {
         self.slot.address
     }
@@ -82,17 +82,18 @@
             .map_or(0, |boot| xxhash_rust::xxh3::xxh3_64(boot.as_bytes()))
     }
 
-    /// What the owner's servers of the pool carried when the slot was given.
+    /// Total load of the owner's servers in the pool when the slot was granted.
     pub fn load(&self) -> hop::Load {
         self.slot.load
     }
 
-    /// An idle connection to the server, if there is one.
+    /// Takes the idle connection to the server, if there is one.
     pub fn take_connection(&mut self) -> Option<Connection> {
         self.idle.take()
     }
 
-    /// Notes that a byte of the answer's body arrived.
+    /// Records that the first byte of the response body arrived; later calls
+    /// have no effect.
     pub fn record_first_byte(&mut self) {
         if self.first_byte_at.is_some() {
             return;
@@ -100,17 +101,18 @@
         self.first_byte_at = Some(self.clock.now());
         if let Some(owner) = &self.owner {
             let message = Message::FirstByte(self.slot.server.clone(), self.slot.attempt);
-            // As in `report`.
+            // The owner task may have ended, as in `report`.
             let _ = owner.send(message);
         }
     }
 
-    /// Notes what the engine says of its use of tokens.
+    /// Records the token usage reported by the engine.
     pub fn set_usage(&mut self, usage: Option<Usage>) {
         self.usage = usage;
     }
 
-    /// Gives the slot back, and the connection where it can be used again.
+    /// Releases the slot, and returns the connection to the owner if it can be
+    /// reused.
     pub fn finish(mut self, outcome: Outcome, connection: Option<Connection>) {
         self.report(outcome, connection);
     }
@@ -129,8 +131,8 @@
             usage: self.usage,
             connection,
         };
-        // The owner task outlives all permits but at the process's end, when
-        // nobody needs the slot any more.
+        // The owner task outlives all permits except at process exit, when the
+        // slots are no longer needed.
         let _ = owner.send(Message::Ended(ended));
     }
 }
--- a/crates/router/src/owner/probe.rs
+++ b/crates/router/src/owner/probe.rs
@@ -1,4 +1,4 @@
-//! The task that asks one backend server for its load.
+//! Periodic load probes of one backend server.
 
 use std::{net, sync::Arc, time::Duration};
 
@@ -13,24 +13,27 @@
 use super::Message;
 use crate::backend::load;
 
-/// The least time between two questions to a server.
+/// Minimum interval between two probes of the same server.
 const MIN_INTERVAL: Duration = Duration::from_secs(2);
-/// The time between two questions of one router to any of its servers.
+/// Interval between two probes by one router, whichever of its servers they go
+/// to.
 ///
-/// A question and its answer take about 220 bytes, so that probes stay at a
-/// small part of what a router may spend on control, however many servers it owns.
+/// A probe and its response take about 220 bytes. The interval keeps probes to
+/// a small part of a router's budget for control traffic, however many servers
+/// it owns.
 const INTERVAL_PER_SERVER: Duration = Duration::from_millis(1500);
-/// How often a server is asked that does not accept connections.
+/// Interval between probes of a server that does not accept connections.
 const UNREACHABLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks a server for its load until it is dropped.
+/// Probes a server for its load until dropped.
 #[derive(Debug)]
 pub struct Probe {
     task: JoinHandle<()>,
 }
 
 impl Probe {
-    /// Asks `server` at `address` and tells `owner`.
+    /// Starts probing `server` at `address`, and reports the results to
+    /// `owner`.
     pub fn start(
         server: backend::Server,
         address: net::SocketAddr,
@@ -45,7 +48,7 @@
     }
 }
 
-/// What the probes of one router share.
+/// Probe interval and traffic counter shared by all probes of one router.
 #[derive(Debug)]
 pub struct Schedule {
     traffic: Arc<Traffic>,
@@ -53,7 +56,7 @@
 }
 
 impl Schedule {
-    /// A pace for probes whose bytes are counted in `traffic`.
+    /// Creates a schedule for probes whose bytes are counted in `traffic`.
     pub fn new(traffic: Arc<Traffic>) -> Self {
         Self {
             traffic,
@@ -61,7 +64,7 @@
         }
     }
 
-    /// Sets how many servers share the questions of this router.
+    /// Sets the number of servers that share this router's rate of probes.
     pub fn set_server_count(&self, servers: usize) {
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
         let interval = INTERVAL_PER_SERVER.saturating_mul(servers);
@@ -75,8 +78,8 @@
     }
 }
 
-/// Asks over one kept connection, since a new one for each question costs more
-/// bytes than the question.
+/// Probes over one persistent connection, since opening a new one for each
+/// probe costs more bytes than the probe itself.
 async fn poll(
     server: backend::Server,
     mut client: load::Client,
--- a/crates/router/src/tracker.rs
+++ b/crates/router/src/tracker.rs
@@ -1,6 +1,6 @@
-//! The task that keeps what the entry has to remember between requests:
-//! in-flight counts and retry budgets of workspaces, ejected backend servers,
-//! and requests that are suspected of crashing servers.
+//! The task that keeps the state of the entry router across requests: in-flight
+//! counts and retry budgets of workspaces, ejected backend servers, and
+//! requests that are suspected of crashing servers.
 
 mod guard;
 
@@ -22,36 +22,37 @@
 use crate::{clock::Clock, gossip, view::View};
 pub use guard::{AttemptEnded, Ending, Guard, RequestEnded};
 
-/// How often ejections are published.
+/// Interval at which ejections are published.
 const TICK: Duration = Duration::from_millis(200);
-/// When a caller may come back to a workspace that is at its limit.
+/// Delay after which a caller may retry when its workspace is at its limit.
 const LIMIT_RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// The backend servers that are left out because they fail.
+/// The backend servers ejected by outlier detection.
 pub type Ejected = BTreeSet<backend::Server>;
 
-/// A failed attempt that asks whether another one follows.
+/// A failed attempt, for the decision whether it is retried.
 #[derive(Clone, Debug)]
 pub struct Failure {
-    /// The workspace that pays.
+    /// The workspace whose retry budget is charged.
     pub workspace: workspace::Id,
-    /// What the attempt failed of.
+    /// Why the attempt failed.
     pub cause: recovery::Cause,
-    /// What the caller gets if there is no further attempt.
+    /// The refusal to return to the caller if no further attempt is made.
     pub refusal: Refusal,
     /// Whether the request may run twice.
     pub idempotent: bool,
-    /// Attempts that have reached for a backend server.
+    /// Number of attempts so far that were sent, or tried to connect, to a
+    /// backend server.
     pub attempts: u32,
-    /// Refusals by owners.
+    /// Number of refusals by owners.
     pub refusals: u32,
-    /// Backend servers that have not been tried.
+    /// Number of backend servers that have not been tried.
     pub candidates: usize,
-    /// When the caller gives up.
+    /// The deadline of the request.
     pub deadline: units::time::Instant,
 }
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 enum Message {
     Begin {
@@ -75,13 +76,13 @@
 /// A request that may be served.
 #[derive(Debug)]
 pub struct Begun {
-    /// To be held until the answer's end.
+    /// Held until the end of the response.
     pub guard: Guard,
     /// Whether it is suspected of crashing servers.
     pub standing: admission::Standing,
 }
 
-/// Speaks to the task.
+/// Handle for sending messages to the task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
@@ -89,12 +90,13 @@
 }
 
 impl Handle {
-    /// The servers that are left out at present.
+    /// The backend servers that are currently ejected.
     pub fn ejected(&self) -> Arc<Ejected> {
         Arc::clone(&self.ejected.borrow())
     }
 
-    /// Begins a request, unless its workspace is at its limit or it has crashed servers.
+    /// Counts a request as in flight, unless its workspace is at its limit or
+    /// the request has crashed servers.
     ///
     /// # Errors
     ///
@@ -115,7 +117,7 @@
         answer.await.map_err(|_| stopped())?
     }
 
-    /// Asks what follows a failed attempt.
+    /// Decides whether a failed attempt is retried.
     pub async fn decide(&self, failure: Failure) -> Retry {
         let (reply, answer) = oneshot::channel();
         let refusal = failure.refusal.clone();
@@ -123,22 +125,23 @@
         answer.await.unwrap_or(Retry::GiveUp(refusal))
     }
 
-    /// Tells how an attempt on a server went.
+    /// Reports how an attempt on a server ended.
     pub fn attempt_ended(&self, ended: AttemptEnded) {
         self.send(Message::AttemptEnded(ended));
     }
 
-    /// Tells the deaths, by their short names, that the fleet counts against a request.
+    /// Reports the crashes that the fleet counts against a request, by their
+    /// short ids.
     pub fn record_strikes(&self, fingerprint: request::Fingerprint, crashes: Vec<u32>) {
         self.send(Message::Strikes(fingerprint, crashes));
     }
 
-    /// Tells that a server died with a request in flight.
+    /// Reports that a server crashed with a request in flight.
     pub fn record_crash(&self, fingerprint: request::Fingerprint, crash_id: u64) {
         self.send(Message::Crashed(fingerprint, crash_id));
     }
 
-    /// Takes note of the deaths that another router saw, and checks the request.
+    /// Records the crashes that another router saw, and checks the request.
     ///
     /// # Errors
     ///
@@ -162,12 +165,12 @@
     }
 
     fn send(&self, message: Message) {
-        // The task ends only with the process.
+        // The receiving task runs until the process ends.
         let _ = self.messages.send(message);
     }
 }
 
-/// The short name of a death, as heartbeats carry it.
+/// The short id of a crash, as carried by heartbeats.
 fn short_id(crash_id: u64) -> u32 {
     let [a, b, c, d, ..] = crash_id.to_le_bytes();
     u32::from_le_bytes([a, b, c, d])
@@ -177,7 +180,7 @@
     Refusal::not_run(Code::NotReady, "The router is shutting down.")
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Tracker {
     clock: Clock,
@@ -194,7 +197,7 @@
 }
 
 impl Tracker {
-    /// A task that remembers nothing yet, and the handle to it.
+    /// Creates a task with empty state, and its handle.
     pub fn new(
         clock: Clock,
         view: watch::Receiver<Arc<View>>,
@@ -251,12 +254,12 @@
                 reply,
             } => {
                 let begun = self.begin(workspace, limit, fingerprint);
-                // The asker may have gone; the guard in the answer gives the
-                // count back when it is dropped.
+                // The requester may have dropped the receiver; dropping the
+                // guard in the reply then decrements the count.
                 let _ = reply.send(begun);
             }
             Message::Decide(failure, reply) => {
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(self.decide(&failure));
             }
             Message::RequestEnded(ended) => self.request_ended(&ended),
@@ -275,7 +278,7 @@
                 for crash_id in crashes {
                     self.record_crash(fingerprint, crash_id);
                 }
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(self.check(fingerprint));
             }
         }
@@ -288,14 +291,15 @@
         }
     }
 
-    /// Notes a death that this router saw or was told of, and tells the fleet.
+    /// Records a crash that this router saw or that an entry router reported,
+    /// and notifies the fleet if it is new.
     fn record_crash(&mut self, fingerprint: request::Fingerprint, crash_id: u64) {
         if self.add_strike(fingerprint, short_id(crash_id)) {
             let message = gossip::Message::Strike {
                 fingerprint,
                 crash_id,
             };
-            // The task ends only with the process.
+            // The receiving task runs until the process ends.
             let _ = self.gossip.send(message);
         }
     }
@@ -358,8 +362,8 @@
         }
     }
 
-    /// Notes how an attempt went, for the ejection of its server and the
-    /// suspicion against its request.
+    /// Records how an attempt ended, for the outlier detection of its server
+    /// and the suspicion against its request.
     fn attempt_ended(&mut self, ended: &AttemptEnded) {
         let now = self.clock.now();
         let detector = self.detectors.get_mut(&ended.pool);
--- a/crates/router/src/tracker/guard.rs
+++ b/crates/router/src/tracker/guard.rs
@@ -1,17 +1,17 @@
-//! What the tracker is told when a request or an attempt ends.
+//! Reports to the tracker when a request or an attempt ends.
 
 use units::{backend, pool, request, workspace};
 
 use super::Handle;
 
-/// How an attempt on a server went.
+/// How an attempt on a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Its whole answer arrived.
+    /// Its complete response arrived.
     Completed,
     /// The server failed.
     Failed,
-    /// The server died.
+    /// The server crashed.
     Crashed,
 }
 
@@ -24,9 +24,9 @@
     pub server: backend::Server,
     /// The request.
     pub fingerprint: request::Fingerprint,
-    /// Names the death of the server, if it died.
+    /// Identifies the crash of the server, if it crashed.
     pub crash_id: u64,
-    /// How it went.
+    /// How it ended.
     pub ending: Ending,
 }
 
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Tells how an attempt at this request went.
+    /// Reports how an attempt at this request ended.
     pub fn attempt_ended(
         &self,
         pool: pool::Id,
