--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -53,7 +53,7 @@
     pub view: watch::Receiver<Arc<View>>,
     /// The known routers.
     pub members: watch::Receiver<Arc<Members>>,
-    /// The task that admits work to owned servers.
+    /// The task that admits requests to owned servers.
     pub owner: owner::Handle,
     /// The task that tracks workspaces, ejected servers and suspect requests.
     pub tracker: tracker::Handle,
--- a/crates/router/src/entry/progress.rs
+++ b/crates/router/src/entry/progress.rs
@@ -63,7 +63,7 @@
     /// repeated.
     pub(super) fn final_refusal(&self, refusal: Refusal, request: &Request) -> Refusal {
         // Two servers crashed with the request in flight; sending it again
-        // would crash more.
+        // would probably crash more.
         if self.crashes.len() > 1 {
             return Refusal {
                 code: Code::Suspect,
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -1,4 +1,4 @@
-//! The task that admits work to the backend servers that this router owns.
+//! The task that admits requests to the backend servers that this router owns.
 
 mod engine;
 mod handover;
--- a/crates/router/src/owner/engine/service.rs
+++ b/crates/router/src/owner/engine/service.rs
@@ -26,15 +26,16 @@
     Unreachable(time::Instant),
 }
 
-/// Whether this router admits work to the server.
+/// Whether this router admits requests to the server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Service {
-    /// It does.
+    /// The server gets new requests.
     Open,
-    /// It does not: the server is drained, leaving, or in a zone that is out of
-    /// service.
+    /// The server gets no new requests: it is drained, leaving, or in a zone that
+    /// is out of service.
     Closed,
-    /// It does not: another router owns the server, or the server is gone.
+    /// The server gets none from this router: another router owns it, or it is
+    /// gone.
     Lost,
 }
 
--- a/crates/router/tests/fleet/claims.rs
+++ b/crates/router/tests/fleet/claims.rs
@@ -9,14 +9,15 @@
     cluster::{Cluster, Topology},
 };
 
-// A dispatcher's browser sends the same booking again, to whichever router the
-// balancer picks. The truck must come once, and both see the confirmation.
+// A caller repeats a booking through any router. It must run once, and both
+// calls must get the same confirmation.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeated_booking_runs_once_and_gets_the_first_response() {
     let cluster = Cluster::start(Topology::default()).await;
     let first = cluster.send_until_served(0, &Call::booking("pickup")).await;
     for round in 0..4 {
-        // Until the outcome is recorded the answer is that it is running.
+        // Until the outcome is recorded, the response says that the booking is
+        // running.
         let call = Call::booking("pickup");
         let again = cluster.wait_for(round % 2, &call, 200).await;
         assert_eq!(again.body, first.body);
@@ -25,8 +26,8 @@
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
-// Both routers get the same booking at the same moment. One runs it; the other
-// must neither run it nor claim that it has not run.
+// Two routers get the same booking at the same moment. One runs it; the other
+// must neither run it nor report that it has not run.
 #[tokio::test(flavor = "multi_thread")]
 async fn one_of_two_concurrent_repeats_runs() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -47,8 +48,8 @@
     }
 }
 
-// The service books and its answer is lost. Whoever sends the booking again,
-// through any router, is told that it may have run, and no second truck comes.
+// A service runs a booking and its response is lost. Repeats through any router
+// must be refused as possibly run, and must not run the booking again.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_repeat_of_a_booking_with_a_lost_response_never_runs() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -70,8 +71,9 @@
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
-// The platform is down, so nobody can claim. A booking with a key is refused at
-// once and truthfully, chats go on, and the same booking runs later.
+// The platform is down, so no request can be claimed. A booking with a key must
+// be refused at once with the correct verdict, chats must still be served, and
+// the same booking must run later.
 #[tokio::test(flavor = "multi_thread")]
 async fn bookings_are_refused_at_once_while_the_platform_is_down() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -91,8 +93,9 @@
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
-// The platform commits a claim and loses the answer. The router must find out
-// whose claim stands, and the booking runs exactly once.
+// The platform commits a claim and its response is lost. The router must find
+// out by a read whose claim was committed, and the booking must run exactly
+// once.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_whose_commit_response_is_lost_is_resolved_by_a_read() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -114,9 +117,9 @@
     }
 }
 
-// The router that claimed a booking and sent it loses power before it can
-// record the outcome. Nobody knows whether the truck comes, so nobody may send
-// the booking again, and the caller is told just that.
+// The router that claimed and sent a booking loses power before it records the
+// outcome. Whether the booking ran is unknown, so no router may send it again,
+// and the caller must be told that it may have run.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_outcome_of_a_dead_routers_booking_stays_unknown() {
     let mut cluster = Cluster::start(Topology {
@@ -144,8 +147,9 @@
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
-// No service can be reached when the booking comes, so it has not run and the
-// caller is told so. The claim must not keep it from running later.
+// No service is reachable when the booking arrives, so it has not run, and the
+// caller learns this. The claim must be released, so that the booking can run
+// later.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_that_did_not_run_can_be_sent_again() {
     let cluster = Cluster::start(Topology::one_zone()).await;
--- a/crates/router/tests/fleet/cluster.rs
+++ b/crates/router/tests/fleet/cluster.rs
@@ -1,4 +1,5 @@
-//! Routers beside stand-ins of the platform, engines and plain services.
+//! A test deployment: routers with stand-ins of the platform, the engines and
+//! the plain services.
 
 use std::{
     collections::BTreeSet,
@@ -14,11 +15,12 @@
     process::Process,
 };
 
-/// How long a test waits for a state before it fails: longer than any fault
-/// takes to be noticed on a busy machine.
+/// How long a test waits for a state before it fails. It is longer than the
+/// detection of any fault takes on a busy machine.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// How many of each there are in each availability zone.
+/// The size of a test deployment: the number of zones, and of routers and
+/// engines in each zone.
 #[derive(Clone, Debug)]
 pub struct Topology {
     pub zones: usize,
@@ -39,7 +41,8 @@
 }
 
 impl Topology {
-    /// One of each, so that a fault hits whatever serves.
+    /// One zone with one router, engine and service, so that a fault always
+    /// hits the serving instance.
     pub fn one_zone() -> Self {
         Self {
             zones: 1,
@@ -57,14 +60,14 @@
     revision: u64,
 }
 
-/// An engine and where it is.
+/// An engine and its zone.
 pub struct Engine {
     pub name: String,
     pub zone: String,
     pub handle: engine::Handle,
 }
 
-/// A plain service and where it is.
+/// A plain service and its zone.
 pub struct Service {
     pub name: String,
     pub zone: String,
@@ -92,7 +95,8 @@
         for index in 0..topology.zones {
             cluster.start_servers(index, &topology).await;
         }
-        // A router that reads the list knows all backend servers from its start.
+        // The list is set first, so that the routers know all backend servers
+        // from their start.
         cluster.list_hosts(&[]);
         for index in 0..topology.zones {
             for number in 0..topology.routers {
@@ -142,7 +146,8 @@
         self.routers.push(process);
     }
 
-    /// Gives the platform its list of hosts; the backend servers in `leaving` are about to stop.
+    /// Sets the platform's host list; the backend servers in `leaving` are
+    /// listed as about to stop.
     pub fn list_hosts(&self, leaving: &[&str]) {
         let state = |name: &str| match leaving.contains(&name) {
             true => String::from("leaving"),
@@ -171,7 +176,7 @@
         self.platform.set_hosts(hosts);
     }
 
-    /// Puts resources into the platform's table, as an accepted change.
+    /// Writes resources to the platform's table, as an accepted change.
     pub async fn declare(&mut self, resources: Vec<Value>) {
         let from = self.revision;
         self.revision += 1;
@@ -207,18 +212,19 @@
             .unwrap_or_default()
     }
 
-    /// Waits until each router has the present revision and knows all others as ready.
+    /// Waits until each router has applied the current revision and sees all
+    /// others as ready.
     pub async fn wait_settled(&self) {
         let all: Vec<usize> = (0..self.routers.len()).collect();
         self.wait_settled_among(&all).await;
     }
 
-    /// The same for some of the routers.
+    /// Like `wait_settled`, for the given routers only.
     pub async fn wait_settled_among(&self, routers: &[usize]) {
         let expected = routers.len();
         for router in routers {
             wait_until(
-                "a router has the revision and knows the others",
+                "a router has the revision and sees the others as ready",
                 async || {
                     let status = self.status(*router).await;
                     let members = status["members"].as_array().cloned().unwrap_or_default();
@@ -236,7 +242,7 @@
         .await;
     }
 
-    /// How many backend servers some routers own together.
+    /// The number of backend servers that the given routers own together.
     async fn owned_count(&self, routers: &[usize]) -> usize {
         let mut owned = BTreeSet::new();
         for router in routers {
@@ -248,7 +254,7 @@
         owned.len()
     }
 
-    /// Which router owns a backend server.
+    /// The index of the router that owns a backend server.
     pub async fn owner_of(&self, server: &str) -> usize {
         for router in 0..self.routers.len() {
             let status = self.status(router).await;
@@ -257,10 +263,10 @@
                 return router;
             }
         }
-        panic!("nobody owns {server}");
+        panic!("no router owns {server}");
     }
 
-    /// Waits until all backend servers are in one of some states.
+    /// Waits until the state of each backend server is one of `states`.
     pub async fn wait_for_states(&self, states: &[&str]) {
         wait_until("all servers are in the expected state", async || {
             for server in self.server_names() {
@@ -280,7 +286,8 @@
         engines.chain(services).collect()
     }
 
-    /// What the owner of a backend server says of it.
+    /// The state of a backend server on its owner's status page, empty if no
+    /// router owns it.
     pub async fn state_of(&self, server: &str) -> String {
         for router in 0..self.routers.len() {
             let status = self.status(router).await;
@@ -299,8 +306,8 @@
         answer.expect("the router answers")
     }
 
-    /// Sends a call to one router until it is served, as a caller would that is
-    /// told that its request has not run.
+    /// Sends a call to one router, and repeats it until it is served, as a
+    /// caller may while the verdict is `not_run`.
     pub async fn send_until_served(&self, router: usize, call: &Call) -> Answer {
         let started = Instant::now();
         loop {
@@ -315,7 +322,8 @@
         }
     }
 
-    /// Sends a call to one router until it is answered with `status`.
+    /// Sends a call to one router, and repeats it until the response has
+    /// `status`.
     pub async fn wait_for(&self, router: usize, call: &Call, status: u16) -> Answer {
         let started = Instant::now();
         loop {
@@ -328,13 +336,13 @@
         }
     }
 
-    /// How often a booking ran, over all services.
+    /// The number of times that a booking ran, over all services.
     pub fn runs(&self, key: &str) -> u64 {
         let ledgers = self.services.iter().map(|service| service.handle.ledger());
         ledgers.map(|ledger| ledger.runs(key)).sum()
     }
 
-    /// Requests that reached the engines of a zone.
+    /// The number of requests that reached the engines of a zone.
     pub fn requests_in(&self, zone: &str) -> u64 {
         let engines = self.engines.iter().filter(|engine| engine.zone == zone);
         engines
@@ -349,7 +357,7 @@
     while !condition().await {
         assert!(
             started.elapsed() < WAIT_TIMEOUT,
-            "waited in vain until {what}"
+            "timed out waiting until {what}"
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/crates/router/tests/fleet/failures.rs
+++ b/crates/router/tests/fleet/failures.rs
@@ -9,7 +9,8 @@
     cluster::{Cluster, Topology, wait_until, zone},
 };
 
-/// An engine slow enough that a test can act in the middle of a stream.
+/// Settings of an engine that is slow enough for a test to act in the middle of
+/// a stream.
 fn slow_engine() -> engine::Settings {
     engine::Settings {
         token_interval: Duration::from_millis(20),
@@ -17,7 +18,7 @@
     }
 }
 
-/// The index of the engine that began to run a request.
+/// Waits until an engine runs a request, and returns its index.
 async fn busy_engine(cluster: &Cluster) -> usize {
     let started = |cluster: &Cluster| {
         let mut engines = cluster.engines.iter();
@@ -33,8 +34,8 @@
     started(cluster).expect("an engine runs it")
 }
 
-// An engine loses power while it streams an answer. The caller has half of the
-// answer on its screen and must not take it for the whole one.
+// An engine loses power while it streams a response. The caller has received
+// half of it, and must be able to see that the rest is missing.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_whose_engine_dies_never_ends_cleanly() {
     let cluster = Cluster::start(Topology {
@@ -48,7 +49,7 @@
     let engine = busy_engine(&cluster).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     cluster.engines[engine].handle.fault(engine::Fault::Crash);
-    let answer = caller.await.expect("no panic").expect("a head");
+    let answer = caller.await.expect("no panic").expect("a response head");
     assert!(!answer.whole, "the connection must be reset");
     assert!(!answer.body.contains("[DONE]"));
     assert!(
@@ -56,15 +57,16 @@
         "{}",
         answer.body
     );
-    // Whoever asks next is served by the other engine.
+    // The next request is served by the other engine.
     let next = cluster
         .send_until_served(1, &Call::chat("c", "hello", 3))
         .await;
     assert_eq!(next.text(), answer::text("hello", 3));
 }
 
-// An engine ends a stream in the middle, though its connection closes in order.
-// Without a look at the last event the caller would take the half for the whole.
+// An engine ends a stream early but closes the connection properly. Unless the
+// router checks for the final event of the stream, the caller takes the
+// truncated response for a complete one.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_truncated_stream_is_reported_as_broken() {
     let cluster = Cluster::start(Topology::one_zone()).await;
@@ -81,8 +83,9 @@
     }
 }
 
-// A connection breaks in the middle of a stream while the engine is well and
-// keeps the answer. The caller sees one whole stream, without a gap or a repeat.
+// A connection breaks in the middle of a stream, while the engine keeps running
+// and keeps the response for a resumption. The caller must receive one complete
+// stream without gaps or repeats.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cut_stream_is_resumed_without_a_gap() {
     let cluster = Cluster::start(Topology::one_zone()).await;
@@ -96,9 +99,10 @@
     assert_eq!(answer.streamed_text(), answer::text("hello", 20));
 }
 
-// Something between router and engine loses track of open connections: they
-// stay open, and nothing arrives on them any more, while new ones work. The
-// caller would wait for its deadline; the engine must not be taken for dead.
+// A network device between router and engine loses the state of open
+// connections: they stay open, but nothing arrives on them any more, while new
+// connections work. The caller must not wait for its deadline, and the engine
+// must not be treated as crashed.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_on_a_silent_connection_is_resumed_on_another() {
     let cluster = Cluster::start(Topology {
@@ -115,7 +119,7 @@
     cluster.engines[engine]
         .handle
         .fault(engine::Fault::SilentConnections);
-    let answer = caller.await.expect("no panic").expect("an answer");
+    let answer = caller.await.expect("no panic").expect("a response");
     assert!(answer.whole, "{}", answer.body);
     assert_eq!(answer.streamed_text(), answer::text("hello", 60));
     let again = cluster
@@ -124,9 +128,10 @@
     assert_eq!(again.text(), answer::text("hello", 3));
 }
 
-// All open connections to a service go silent while it is well. A booking on
-// one of them gets no answer; the caller is told after a while that it may have
-// run, instead of being held until its deadline, and the next one is served.
+// All open connections to a service go silent while the service keeps running,
+// so a booking on one of them gets no response. The caller must get the verdict
+// that it may have run well before its deadline, and the next booking must be
+// served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_on_a_silent_connection_is_answered_before_its_deadline() {
     let mut cluster = Cluster::start(Topology::one_zone()).await;
@@ -152,8 +157,9 @@
     assert_eq!(cluster.runs("next"), 1);
 }
 
-// Two answers are crossed inside an engine or on the way from it. A member of
-// one workspace would read the diary of another.
+// Two responses are swapped inside an engine or between engine and router.
+// Without a check, a caller of one workspace would receive the response to
+// another.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_crossed_response_reaches_no_caller() {
     let cluster = Cluster::start(Topology::one_zone()).await;
@@ -172,8 +178,8 @@
     }
 }
 
-// A service books a pickup and loses the answer. The dispatcher sees an error
-// and must learn that the booking may exist; a second run would send two trucks.
+// A service books a pickup and its response is lost. The caller must learn that
+// the booking may have run; a retry would book a second truck.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_whose_response_is_lost_runs_once_and_is_reported() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -191,8 +197,8 @@
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
-// An engine dies while nobody uses it. The next caller of one of its chats
-// must not notice: its request has not run and goes to another engine.
+// An engine crashes while it is idle. The next request of one of its chats has
+// not run, so it must go to another engine without an error to the caller.
 #[tokio::test(flavor = "multi_thread")]
 async fn callers_do_not_notice_an_idle_engine_that_died() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -209,8 +215,9 @@
     }
 }
 
-// A router's host loses power. It owned backend servers; the others notice,
-// take them over, and callers that the balancer sends elsewhere are served.
+// The host of a router that owns backend servers loses power. The other routers
+// must detect this, take over its servers, and serve the callers that the load
+// balancer sends to them.
 #[tokio::test(flavor = "multi_thread")]
 async fn the_servers_of_a_dead_router_are_taken_over() {
     let mut cluster = Cluster::start(Topology {
@@ -235,9 +242,9 @@
     }
 }
 
-// A router's host is paused for seconds and goes on. While it stands still its
-// callers wait, but nobody else does; afterwards it serves again, and nothing
-// has run twice.
+// A router's host is paused for seconds and resumes. Meanwhile only callers of
+// that router may be delayed; afterwards it serves again, and no booking has
+// run twice.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_router_does_not_block_the_others() {
     let cluster = Cluster::start(Topology {
@@ -247,7 +254,7 @@
     .await;
     let frozen = cluster.owner_of("service-0").await;
     let others: Vec<usize> = (0..4).filter(|router| *router != frozen).collect();
-    // Links to the frozen router are open when it stops.
+    // Connections to the frozen router are open when it stops.
     for round in 0..12 {
         let call = Call::get("/lookups/1");
         cluster
@@ -286,9 +293,8 @@
     assert_eq!(cluster.runs("after"), 1);
 }
 
-// The platform is down for long. Chats and lookups go on with the
-// configuration that is in force; a router that starts meanwhile gets it from
-// the others.
+// The platform is down for a long time. Chats and lookups must be served with
+// the configuration that was last applied.
 #[tokio::test(flavor = "multi_thread")]
 async fn chats_are_served_while_the_platform_is_down() {
     let cluster = Cluster::start(Topology::default()).await;
@@ -306,8 +312,8 @@
     assert_eq!(cluster.status(0).await["ready"], true);
 }
 
-// A router is replaced while the platform is down. It knows some others from
-// its settings, takes configuration and host list from them, and serves.
+// A router starts while the platform is down. It must fetch the configuration
+// and the host list from the peers in its settings, and serve.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_during_an_outage_syncs_from_its_peers() {
     let mut cluster = Cluster::start(Topology::default()).await;
@@ -321,9 +327,9 @@
     cluster.send_until_served(2, &Call::get("/lookups/1")).await;
 }
 
-// One request makes every engine crash that runs it, and its caller sends it
-// again and again. After two crashes it is refused everywhere at once; the
-// chats of others are served.
+// One request crashes every engine that runs it, and its caller keeps repeating
+// it. After two crashes all routers must refuse it at once, while other chats
+// are served.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_refused_after_crashing_two_engines() {
     let cluster = Cluster::start(Topology {
@@ -341,7 +347,8 @@
         let answer = cluster.send(round % 2, &poison).await;
         assert_ne!(answer.status, 200);
         if answer.error("code") == "suspect" {
-            // The one that crashed two engines is told so; later ones have not run.
+            // The request that crashed two engines gets this verdict; later
+            // ones have not run.
             let verdict = if round == 0 {
                 "may_have_run"
             } else {
--- a/crates/router/tests/fleet/zones.rs
+++ b/crates/router/tests/fleet/zones.rs
@@ -17,9 +17,10 @@
     }
 }
 
-// Operators take a zone out at short notice while callers go on. Once all
-// routers have the change, no new work reaches the zone, no caller notices, and
-// the zone takes part again when it is put back in.
+// Operators take a zone out of service while callers send requests. Once all
+// routers have applied the change, the zone must get no new requests, no
+// request may fail, and the zone must get requests again when it is back in
+// service.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_zone_out_of_service_gets_no_new_work() {
     let mut cluster = Cluster::start(Topology::default()).await;
@@ -50,14 +51,14 @@
     .await;
 }
 
-// The platform says that a backend server will stop soon. If it went on
-// getting work, its last requests would be cut off.
+// The platform lists a backend server as about to stop. If it still got new
+// requests, its last ones would be cut off.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_server_gets_no_new_work() {
     let cluster = Cluster::start(Topology::default()).await;
     send_many(&cluster, 8).await;
     cluster.list_hosts(&["engine-0-0"]);
-    wait_until("the server's owner knows that it leaves", async || {
+    wait_until("the server's owner has closed it", async || {
         cluster.state_of("engine-0-0").await == "closed"
     })
     .await;
@@ -66,7 +67,7 @@
     assert_eq!(cluster.requests_in(&zone(0)), before);
 }
 
-// An operator drains one server; the change must reach all routers.
+// An operator drains one server. The change must reach all routers.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_server_gets_no_new_work() {
     let mut cluster = Cluster::start(Topology::default()).await;
