--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -121,10 +121,10 @@
     let workspace = checked.workspace.clone();
     let route = checked.route.clone();
     let started = entry.clock.now();
-    let result = entry.answer(checked).await;
+    let result = entry.handle(checked).await;
     let head_ms = entry.clock.now().since(started).as_millis();
     match result {
-        Ok(entry::Answered::Recorded(outcome)) => {
+        Ok(entry::Reply::Recorded(outcome)) => {
             logging::event!(
                 info,
                 "request_replayed",
@@ -133,7 +133,7 @@
             );
             answer::replay(outcome)
         }
-        Ok(entry::Answered::Served(served)) => {
+        Ok(entry::Reply::Served(served)) => {
             logging::event!(
                 info,
                 "request_answered",
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -69,7 +69,7 @@
 
 /// The response to a request.
 #[derive(Debug)]
-pub enum Answered {
+pub enum Reply {
     /// The response of a backend server.
     Served(Box<Served>),
     /// The recorded outcome of an earlier run of the request.
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -18,14 +18,14 @@
 };
 
 /// An attempt that got a response.
-pub(super) struct Attempted {
+pub(super) struct Success {
     pub(super) answer: Answer,
     /// Identifies the crash of the server, if it crashes during the response.
     pub(super) crash_id: u64,
 }
 
 /// An attempt that got no response.
-pub(super) struct Failed {
+pub(super) struct Failure {
     pub(super) refusal: Refusal,
     /// Identifies the crash of the server, if it crashed.
     pub(super) crash_id: u64,
@@ -56,7 +56,7 @@
         terms: plan::Terms,
         progress: &Progress,
         claim: &mut Option<claims::Guard>,
-    ) -> Result<Attempted, Failed> {
+    ) -> Result<Success, Failure> {
         let open = self.open(request, target, terms, progress);
         let grant = match self.admit(&open, target).await {
             Ok(grant) => grant,
@@ -69,7 +69,7 @@
                     terms = format!("{terms:?}"),
                     code = rejected.refusal.code
                 );
-                return Err(Failed {
+                return Err(Failure {
                     refusal: rejected.refusal,
                     crash_id: open.attempt.0,
                 });
@@ -90,7 +90,7 @@
         );
         if let Some(claim) = claim {
             let started = claim.start().await;
-            started.map_err(|refusal| Failed { refusal, crash_id })?;
+            started.map_err(|refusal| Failure { refusal, crash_id })?;
         }
         let ran = match grant {
             Grant::Local(permit) => {
@@ -99,8 +99,8 @@
             Grant::Remote(admitted) => admitted.send(&request.body, self.clock).await,
         };
         match ran {
-            Ok(answer) => Ok(Attempted { answer, crash_id }),
-            Err(refusal) => Err(Failed { refusal, crash_id }),
+            Ok(answer) => Ok(Success { answer, crash_id }),
+            Err(refusal) => Err(Failure { refusal, crash_id }),
         }
     }
 
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -7,8 +7,8 @@
 use verdict::{Code, Refusal, Verdict};
 
 use super::{
-    Answered, Entry, NOT_READY_RETRY_MS, Served,
-    attempt::Failed,
+    Entry, NOT_READY_RETRY_MS, Reply, Served,
+    attempt::Failure,
     progress::{Progress, ending_of},
 };
 use crate::{
@@ -26,21 +26,21 @@
     /// # Errors
     ///
     /// The final refusal, whose verdict covers all attempts.
-    pub async fn answer(&self, request: Request) -> Result<Answered, Refusal> {
+    pub async fn handle(&self, request: Request) -> Result<Reply, Refusal> {
         let key = request.key.as_ref();
         let key = key.filter(|_| request.repeat == Repeat::Forbidden);
         let Some(key) = key else {
-            let served = self.serve(request, &mut None).await?;
-            return Ok(Answered::Served(Box::new(served)));
+            let served = self.dispatch(request, &mut None).await?;
+            return Ok(Reply::Served(Box::new(served)));
         };
         let mut claim = match self.claims.claim(&request, key).await? {
             Claimed::Granted(guard) => Some(guard),
-            Claimed::Recorded(outcome) => return Ok(Answered::Recorded(outcome)),
+            Claimed::Recorded(outcome) => return Ok(Reply::Recorded(outcome)),
         };
-        match self.serve(request, &mut claim).await {
+        match self.dispatch(request, &mut claim).await {
             Ok(served) => {
                 let trace = served.trace.recorded(claim.take(), &served.answer);
-                Ok(Answered::Served(Box::new(Served { trace, ..served })))
+                Ok(Reply::Served(Box::new(Served { trace, ..served })))
             }
             Err(refusal) => {
                 if let Some(claim) = claim.filter(|_| refusal.verdict == Verdict::NotRun) {
@@ -53,7 +53,7 @@
 
     /// Offers a request to one server after another, until one of them responds
     /// or no further attempt is allowed.
-    async fn serve(
+    async fn dispatch(
         &self,
         request: Request,
         claim: &mut Option<claims::Guard>,
@@ -119,7 +119,7 @@
     async fn handle_failure(
         &self,
         progress: &mut Progress,
-        failed: Failed,
+        failed: Failure,
         request: &Request,
         target: &Target,
         guard: &tracker::Guard,
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -109,7 +109,7 @@
         own: heartbeat::Identity,
         outputs: Outputs,
     ) -> Self {
-        let boot = boot();
+        let boot = incarnation();
         let settings = fleet::Settings::default();
         Self {
             clock,
@@ -354,7 +354,7 @@
 }
 
 /// An incarnation number that is higher at each start of the process.
-fn boot() -> seal::Boot {
+fn incarnation() -> seal::Boot {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -87,7 +87,7 @@
     }
 
     /// Waits until no owned server has requests in flight or queued.
-    pub async fn drained(&self) {
+    pub async fn wait_drained(&self) {
         loop {
             let engines = self.status().await;
             let busy = |engine: &status::Engine| engine.in_flight > 0 || engine.queued > 0;
@@ -228,7 +228,7 @@
         let now = self.clock.now();
         let server = offer.server.clone();
         let evaluated = match self.engines.get_mut(&server) {
-            None => Err(moved(&server)),
+            None => Err(not_owned(&server)),
             Some(engine) => {
                 let loads = self.loads.get(&engine.target.pool);
                 let total = loads.map(loads::Loads::total).unwrap_or_default();
@@ -466,7 +466,7 @@
     }
 }
 
-fn moved(server: &backend::Server) -> Refusal {
+fn not_owned(server: &backend::Server) -> Refusal {
     Refusal::not_run(
         Code::Moved,
         format!("Backend server {server} is not owned by this router."),
--- a/crates/router/src/owner/engine/offer.rs
+++ b/crates/router/src/owner/engine/offer.rs
@@ -11,7 +11,9 @@
 use super::{Context, Engine, Reachability, Sender, Service};
 use crate::{
     clock::Clock,
-    owner::{Delivery, Offer, Permit, RETRY_AFTER_MS, Rejected, Reply, Slot, moved, unreachable},
+    owner::{
+        Delivery, Offer, Permit, RETRY_AFTER_MS, Rejected, Reply, Slot, not_owned, unreachable,
+    },
     view::Target,
 };
 
@@ -44,7 +46,7 @@
         now: time::Instant,
     ) -> Result<time::Instant, Refusal> {
         if self.service != Service::Open {
-            return Err(moved(&self.target.server));
+            return Err(not_owned(&self.target.server));
         }
         if let Reachability::Unreachable(until) = self.reachability {
             if now < until {
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -229,7 +229,7 @@
         let drained = async {
             // A panic of the task was logged already.
             let _ = self.callers.await;
-            self.entry.owner.drained().await;
+            self.entry.owner.wait_drained().await;
         };
         if time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
             logging::event!(warn, "drain_timed_out");
