--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -44,7 +44,7 @@
     /// A live router that may not know yet that it lost the server; its
     /// address.
     Live(net::SocketAddr),
-    /// None, or a router that is down.
+    /// The server had no owner, or its owner is down.
     Gone,
 }
 
@@ -57,7 +57,7 @@
     delivery: Delivery,
 }
 
-/// One backend server.
+/// One backend server: an engine or a plain service.
 #[derive(Debug)]
 pub struct Engine {
     /// Its address, zone and state by the configuration and the host list.
