--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -20,25 +20,25 @@
 
 use crate::{clock::Clock, members::Members, request::Request};
 pub use guard::Guard;
-use store::Done;
+use store::Completion;
 
-/// The longest wait before the ledger is looked at again.
+/// Maximum delay until the ledger is checked again.
 const MAX_WAIT: Duration = Duration::from_millis(100);
-/// How often old outcomes are deleted.
+/// Interval between deletions of old outcomes.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(600);
-/// The length of a bucket of outcomes, in seconds.
+/// Length of a bucket of outcomes, in seconds.
 const BUCKET_SECONDS: u64 = 3600;
 
-/// What became of a claim.
+/// The result of a claim.
 #[derive(Debug)]
 pub enum Claimed {
-    /// The request may be sent by whoever holds the guard.
+    /// The holder of the guard may send the request.
     Granted(Guard),
-    /// It ran before; this is its outcome.
+    /// The request ran before, with this outcome.
     Recorded(Outcome),
 }
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 enum Message {
     Claim(Claim, oneshot::Sender<Result<Answer, Refusal>>),
@@ -48,7 +48,7 @@
     Unsent(request::Attempt),
 }
 
-/// Speaks to the task.
+/// Handle for sending messages to the task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
@@ -60,7 +60,7 @@
     /// # Errors
     ///
     /// The final refusal: the platform does not confirm the claim, or another
-    /// request with the key runs or may have run.
+    /// request with the same key is running or may have run.
     pub async fn claim(&self, request: &Request, key: &str) -> Result<Claimed, Refusal> {
         let attempt = request::Attempt(rand::random());
         let claim = Claim {
@@ -70,10 +70,11 @@
             deadline: request.deadline,
             bucket: bucket(),
         };
-        // A caller that leaves while the claim is written must not keep it.
+        // If the caller disconnects while the claim is being written, dropping
+        // the guard releases the claim.
         let guard = Guard::new(attempt, self.clone());
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Claim(claim, reply));
+        self.send(Message::Claim(claim, reply));
         match answer.await.map_err(|_| stopped())?? {
             Answer::Granted { .. } => Ok(Claimed::Granted(guard)),
             Answer::Recorded(outcome) => Ok(Claimed::Recorded(outcome)),
@@ -83,12 +84,12 @@
 
     async fn start(&self, attempt: request::Attempt) -> Result<(), Refusal> {
         let (reply, answer) = oneshot::channel();
-        self.tell(Message::Start(attempt, reply));
+        self.send(Message::Start(attempt, reply));
         answer.await.map_err(|_| stopped())?
     }
 
-    fn tell(&self, message: Message) {
-        // The task ends only with the process.
+    fn send(&self, message: Message) {
+        // The receiving task runs until the process ends.
         let _ = self.messages.send(message);
     }
 }
@@ -97,7 +98,7 @@
     Refusal::not_run(Code::NotReady, "The router is shutting down.")
 }
 
-/// The present bucket of outcomes.
+/// The current bucket of outcomes.
 fn bucket() -> Bucket {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -105,7 +106,7 @@
     Bucket(since.as_secs() / BUCKET_SECONDS)
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Claims {
     clock: Clock,
@@ -113,13 +114,13 @@
     table: Arc<table::Client>,
     waiting: BTreeMap<request::Attempt, oneshot::Sender<Result<Answer, Refusal>>>,
     messages: mpsc::UnboundedReceiver<Message>,
-    done: mpsc::UnboundedReceiver<Done>,
-    done_sender: mpsc::UnboundedSender<Done>,
+    done: mpsc::UnboundedReceiver<Completion>,
+    done_sender: mpsc::UnboundedSender<Completion>,
     members: watch::Receiver<Arc<Members>>,
 }
 
 impl Claims {
-    /// A task without claims, and the handle to it.
+    /// Creates a task without claims, and its handle.
     pub fn new(
         clock: Clock,
         router: host::Id,
@@ -186,13 +187,14 @@
                         self.waiting.insert(attempt, reply);
                     }
                     Err(refusal) => {
-                        // The asker may have gone.
+                        // The requester may have dropped the receiver.
                         let _ = reply.send(Err(refusal));
                     }
                 }
             }
             Message::Start(attempt, reply) => {
-                // As above; the guard that is dropped then takes the claim back.
+                // The requester may have dropped the receiver; dropping its
+                // guard then releases the claim.
                 let _ = reply.send(self.ledger.start(attempt, now));
             }
             Message::Finish(attempt, outcome) => self.ledger.finish(attempt, outcome),
@@ -204,7 +206,7 @@
         }
     }
 
-    /// Starts the next read or write of the table, if there is one to do.
+    /// Starts the next read or write of the table, if one is due.
     fn work(&mut self) {
         let Some(work) = self.ledger.work(self.clock.now()) else {
             return;
@@ -213,19 +215,19 @@
         let done = self.done_sender.clone();
         tokio::spawn(async move {
             let result = match work {
-                Work::Write(batch) => Done::Wrote(store::write(&table, batch).await),
-                Work::Read(keys) => Done::Read(store::read(&table, &keys).await),
+                Work::Write(batch) => Completion::Wrote(store::write(&table, batch).await),
+                Work::Read(keys) => Completion::Read(store::read(&table, &keys).await),
             };
-            // The task ends only with the process.
+            // The receiving task runs until the process ends.
             let _ = done.send(result);
         });
     }
 
-    fn done(&mut self, done: Done) {
+    fn done(&mut self, done: Completion) {
         let now = self.clock.now();
         let settled = match done {
-            Done::Wrote(written) => self.ledger.wrote(written, now),
-            Done::Read(rows) => self.ledger.read(rows, now),
+            Completion::Wrote(written) => self.ledger.wrote(written, now),
+            Completion::Read(rows) => self.ledger.read(rows, now),
         };
         self.settle(settled);
     }
@@ -235,7 +237,8 @@
             let Some(reply) = self.waiting.remove(&attempt) else {
                 continue;
             };
-            // The asker may have gone; its guard takes the claim back.
+            // The requester may have dropped the receiver; its guard releases
+            // the claim.
             let _ = reply.send(Ok(answer));
         }
     }
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -1,4 +1,4 @@
-//! One offer of a request to one server.
+//! One attempt at a request on one server.
 
 use std::sync::Arc;
 
@@ -17,32 +17,32 @@
     view::Target,
 };
 
-/// An attempt that has an answer.
-pub(super) struct Attempted {
+/// An attempt that got a response.
+pub(super) struct Success {
     pub(super) answer: Answer,
-    /// Names the death of the server, if it dies.
-    pub(super) cause: u64,
+    /// Identifies the crash of the server, if it crashes during the response.
+    pub(super) crash_id: u64,
 }
 
-/// An attempt that has none.
-pub(super) struct Failed {
+/// An attempt that got no response.
+pub(super) struct Failure {
     pub(super) refusal: Refusal,
-    /// Names the death of the server, if it died.
-    pub(super) cause: u64,
+    /// Identifies the crash of the server, if it crashed.
+    pub(super) crash_id: u64,
 }
 
-/// A slot on a backend server, here or at another router.
+/// A slot on a backend server, granted by this router or by another one.
 enum Grant {
-    Own(owner::Permit),
-    Other(Box<client::Admitted>),
+    Local(owner::Permit),
+    Remote(Box<client::Admitted>),
 }
 
 impl Grant {
-    /// The way to the owner, for the log.
-    fn way(&self) -> &'static str {
+    /// How the slot was obtained, for the log.
+    fn kind(&self) -> &'static str {
         match self {
-            Self::Own(_) => "own",
-            Self::Other(_) => "hop",
+            Self::Local(_) => "own",
+            Self::Remote(_) => "hop",
         }
     }
 }
@@ -56,7 +56,7 @@
         terms: plan::Terms,
         progress: &Progress,
         claim: &mut Option<claims::Guard>,
-    ) -> Result<Attempted, Failed> {
+    ) -> Result<Success, Failure> {
         let open = self.open(request, target, terms, progress);
         let grant = match self.admit(&open, target).await {
             Ok(grant) => grant,
@@ -69,36 +69,38 @@
                     terms = format!("{terms:?}"),
                     code = rejected.refusal.code
                 );
-                return Err(Failed {
+                return Err(Failure {
                     refusal: rejected.refusal,
-                    cause: open.attempt.0,
+                    crash_id: open.attempt.0,
                 });
             }
         };
         let boot = match &grant {
-            Grant::Own(permit) => permit.boot_hash(),
-            Grant::Other(admitted) => admitted.boot,
+            Grant::Local(permit) => permit.boot_hash(),
+            Grant::Remote(admitted) => admitted.boot,
         };
-        let cause = death(&target.server, boot, open.attempt);
+        let crash_id = crash_id(&target.server, boot, open.attempt);
         logging::event!(
             debug,
             "attempt_admitted",
             request = request.id,
             attempt = open.attempt,
             server = target.server,
-            way = grant.way()
+            way = grant.kind()
         );
         if let Some(claim) = claim {
             let started = claim.start().await;
-            started.map_err(|refusal| Failed { refusal, cause })?;
+            started.map_err(|refusal| Failure { refusal, crash_id })?;
         }
         let ran = match grant {
-            Grant::Own(permit) => http::run(permit, &open, request.body.clone(), self.clock).await,
-            Grant::Other(admitted) => admitted.send(&request.body, self.clock).await,
+            Grant::Local(permit) => {
+                http::run(permit, &open, request.body.clone(), self.clock).await
+            }
+            Grant::Remote(admitted) => admitted.send(&request.body, self.clock).await,
         };
         match ran {
-            Ok(answer) => Ok(Attempted { answer, cause }),
-            Err(refusal) => Err(Failed { refusal, cause }),
+            Ok(answer) => Ok(Success { answer, crash_id }),
+            Err(refusal) => Err(Failure { refusal, crash_id }),
         }
     }
 
@@ -116,7 +118,7 @@
         if owner.host == self.host {
             let clock = self.clock;
             let admitted = self.owner.admit(|reply| server::offer(open, reply, &clock));
-            return admitted.await.map(Grant::Own);
+            return admitted.await.map(Grant::Local);
         }
         let admitted = client::admit(&self.links, owner.address, open, &self.clock).await;
         let load = match &admitted {
@@ -125,9 +127,9 @@
         };
         if let Some(load) = load {
             let pool = target.pool.clone();
-            self.owner.heard(owner.host.clone(), pool, load);
+            self.owner.record_peer_load(owner.host.clone(), pool, load);
         }
-        admitted.map(|admitted| Grant::Other(Box::new(admitted)))
+        admitted.map(|admitted| Grant::Remote(Box::new(admitted)))
     }
 
     fn open(
@@ -154,7 +156,7 @@
                 plan::Terms::Queued => hop::Terms::Queued,
             },
             fingerprint: request.fingerprint,
-            deaths: progress.deaths.clone(),
+            deaths: progress.crashes.clone(),
             suspect: progress.standing == admission::Standing::Suspect,
             idempotent: request.repeat == Repeat::Allowed,
             events: request.events,
@@ -166,11 +168,12 @@
     }
 }
 
-/// Names the death of a server, in case it dies with an attempt in flight.
+/// Identifies the crash of a server that has an attempt in flight.
 ///
-/// All routers name it alike, so that it counts once for a request, whoever
-/// notices it. A server without a boot id is told apart by the attempt.
-pub fn death(server: &backend::Server, boot: u64, attempt: request::Attempt) -> u64 {
+/// All routers derive the same id, so that a crash counts once against a
+/// request, no matter how many routers notice it. Crashes of a server without a
+/// boot id are identified by the attempt.
+pub fn crash_id(server: &backend::Server, boot: u64, attempt: request::Attempt) -> u64 {
     match boot {
         0 => attempt.0,
         boot => recovery::Crash::new(server, boot).0,
--- a/crates/router/src/entry/progress.rs
+++ b/crates/router/src/entry/progress.rs
@@ -1,4 +1,4 @@
-//! How far the offers of one request have come.
+//! The state of one request over its attempts.
 
 use placement::plan;
 use smallvec::SmallVec;
@@ -7,21 +7,22 @@
 
 use crate::{request::Request, tracker::Ending};
 
-/// How far the attempts at a request have come.
+/// The results of the attempts at a request so far.
 pub(super) struct Progress {
     pub(super) refusal: Refusal,
     pub(super) standing: admission::Standing,
     pub(super) attempts: u32,
-    /// Servers that may have run the request, or cannot be reached.
+    /// Servers that may have run the request or cannot be reached.
     pub(super) failed: SmallVec<[backend::Server; 4]>,
-    /// The first server that had no room.
+    /// The first server that was at its limit.
     pub(super) busy: Option<backend::Server>,
-    /// The deaths of servers that had the request in flight.
-    pub(super) deaths: SmallVec<[u64; 2]>,
+    /// The crashes of servers that had the request in flight.
+    pub(super) crashes: SmallVec<[u64; 2]>,
 }
 
 impl Progress {
-    /// A progress without attempts; `refusal` is told if there is none.
+    /// Starts without attempts; `refusal` is returned to the caller if none is
+    /// made.
     pub(super) fn new(refusal: Refusal, standing: admission::Standing) -> Self {
         Self {
             refusal,
@@ -29,39 +30,41 @@
             attempts: 0,
             failed: SmallVec::new(),
             busy: None,
-            deaths: SmallVec::new(),
+            crashes: SmallVec::new(),
         }
     }
 
-    /// Takes over the refusal of a failed attempt.
+    /// Records the refusal of a failed attempt.
     ///
-    /// A server with no room says more to the caller than one that is gone, and
-    /// who owns a server is nothing that a caller can act on. The verdict
-    /// covers all attempts so far.
-    pub(super) fn refuse(&mut self, refusal: Refusal) {
+    /// A server at its limit is more informative to the caller than an
+    /// unreachable one, and the caller can do nothing about a change of
+    /// ownership. The verdict covers all attempts so far.
+    pub(super) fn record_refusal(&mut self, refusal: Refusal) {
         let verdict = self.refusal.verdict.and(refusal.verdict);
         let may_have_run = refusal.verdict == Verdict::MayHaveRun;
-        let says_less = match refusal.code {
+        let is_less_informative = match refusal.code {
             Code::Moved => true,
             Code::NoServer => self.busy.is_some(),
             _ => false,
         };
-        if may_have_run || !says_less {
+        if may_have_run || !is_less_informative {
             self.refusal = refusal;
         }
         self.refusal.verdict = verdict;
     }
 
-    /// Notes that a server died with the request in flight.
-    pub(super) fn died(&mut self, death: u64) {
+    /// Records that a server crashed with the request in flight.
+    pub(super) fn record_crash(&mut self, crash: u64) {
         self.standing = admission::Standing::Suspect;
-        self.deaths.push(death);
+        self.crashes.push(crash);
     }
 
-    /// The final refusal, given what may follow from it.
-    pub(super) fn finish(&self, refusal: Refusal, request: &Request) -> Refusal {
-        // Two servers died with it: sending it again helps nobody.
-        if self.deaths.len() > 1 {
+    /// The final refusal, without a retry time if the request must not be
+    /// repeated.
+    pub(super) fn final_refusal(&self, refusal: Refusal, request: &Request) -> Refusal {
+        // Two servers crashed with the request in flight; sending it again
+        // would probably crash more.
+        if self.crashes.len() > 1 {
             return Refusal {
                 code: Code::Suspect,
                 retry_at: None,
@@ -77,8 +80,8 @@
         refusal
     }
 
-    /// Notes a server that did not take the request.
-    pub(super) fn spill(&mut self, server: backend::Server, code: Code) {
+    /// Records a server that refused the request without running it.
+    pub(super) fn record_not_run(&mut self, server: backend::Server, code: Code) {
         match code {
             Code::Busy if self.busy.is_none() => self.busy = Some(server),
             Code::Busy => {}
@@ -86,24 +89,25 @@
         }
     }
 
-    /// The server that a candidate stands for.
+    /// The server to offer the request to for a candidate.
     ///
-    /// The last candidate is the home, to wait there. A home that cannot be
-    /// reached would refuse the request although others only had no room at
-    /// that moment, so it waits at the first of those instead.
+    /// The last candidate is the home server, where the request may wait in the
+    /// queue. If the home server is unreachable, the request would be refused
+    /// although other servers were only at their limit at that moment. So it
+    /// waits at the first of those instead.
     pub(super) fn server<'a>(&'a self, candidate: &'a plan::Candidate) -> &'a backend::Server {
-        let waits = candidate.terms == plan::Terms::Queued;
+        let is_queued = candidate.terms == plan::Terms::Queued;
         match &self.busy {
-            Some(busy) if waits && self.failed.contains(&candidate.server) => busy,
+            Some(busy) if is_queued && self.failed.contains(&candidate.server) => busy,
             _ => &candidate.server,
         }
     }
 }
 
-/// How an attempt with this refusal counts for its server.
+/// How an attempt that failed with this code counts for its server.
 pub fn ending_of(code: Code) -> Ending {
     match code {
-        Code::BackendDied => Ending::Died,
+        Code::BackendDied => Ending::Crashed,
         _ => Ending::Failed,
     }
 }
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -1,4 +1,4 @@
-//! The way of a request from server to server.
+//! Claims a request if needed, and offers it to one server after another.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,8 +7,8 @@
 use verdict::{Code, Refusal, Verdict};
 
 use super::{
-    Answered, Entry, NOT_READY_MS, Served,
-    attempt::Failed,
+    Entry, NOT_READY_RETRY_MS, Reply, Served,
+    attempt::Failure,
     progress::{Progress, ending_of},
 };
 use crate::{
@@ -21,26 +21,26 @@
 };
 
 impl Entry {
-    /// Answers a request: claims it first, where it must not run twice.
+    /// Serves a request, and claims it first if it must not run twice.
     ///
     /// # Errors
     ///
     /// The final refusal, whose verdict covers all attempts.
-    pub async fn answer(&self, request: Request) -> Result<Answered, Refusal> {
+    pub async fn handle(&self, request: Request) -> Result<Reply, Refusal> {
         let key = request.key.as_ref();
         let key = key.filter(|_| request.repeat == Repeat::Forbidden);
         let Some(key) = key else {
-            let served = self.serve(request, &mut None).await?;
-            return Ok(Answered::Served(Box::new(served)));
+            let served = self.dispatch(request, &mut None).await?;
+            return Ok(Reply::Served(Box::new(served)));
         };
         let mut claim = match self.claims.claim(&request, key).await? {
             Claimed::Granted(guard) => Some(guard),
-            Claimed::Recorded(outcome) => return Ok(Answered::Recorded(outcome)),
+            Claimed::Recorded(outcome) => return Ok(Reply::Recorded(outcome)),
         };
-        match self.serve(request, &mut claim).await {
+        match self.dispatch(request, &mut claim).await {
             Ok(served) => {
                 let trace = served.trace.recorded(claim.take(), &served.answer);
-                Ok(Answered::Served(Box::new(Served { trace, ..served })))
+                Ok(Reply::Served(Box::new(Served { trace, ..served })))
             }
             Err(refusal) => {
                 if let Some(claim) = claim.filter(|_| refusal.verdict == Verdict::NotRun) {
@@ -51,8 +51,9 @@
         }
     }
 
-    /// Offers a request to one server after the other.
-    async fn serve(
+    /// Offers a request to one server after another, until one of them responds
+    /// or no further attempt is allowed.
+    async fn dispatch(
         &self,
         request: Request,
         claim: &mut Option<claims::Guard>,
@@ -81,14 +82,14 @@
                 continue;
             }
             if self.clock.now() >= request.deadline {
-                return Err(self.too_late(progress.refusal.verdict));
+                return Err(self.deadline_exceeded(progress.refusal.verdict));
             }
             let attempted = self
                 .attempt(&request, target, candidate.terms, &progress, claim)
                 .await;
             let failed = match attempted {
                 Ok(attempted) => {
-                    let trace = Trace::new(begun.guard, target, attempted.cause);
+                    let trace = Trace::new(begun.guard, target, attempted.crash_id);
                     return Ok(Served {
                         answer: attempted.answer,
                         trace,
@@ -96,44 +97,52 @@
                 }
                 Err(failed) => failed,
             };
-            let left = candidates.len() - index - 1;
-            self.judge(&mut progress, failed, &request, target, &begun.guard, left)
-                .await?;
+            let remaining = candidates.len() - index - 1;
+            self.handle_failure(
+                &mut progress,
+                failed,
+                &request,
+                target,
+                &begun.guard,
+                remaining,
+            )
+            .await?;
         }
         Err(progress.refusal)
     }
 
-    /// Takes in a failed attempt.
+    /// Records a failed attempt and decides whether another one follows.
     ///
     /// # Errors
     ///
     /// The final refusal, if no other attempt follows.
-    async fn judge(
+    async fn handle_failure(
         &self,
         progress: &mut Progress,
-        failed: Failed,
+        failed: Failure,
         request: &Request,
         target: &Target,
         guard: &tracker::Guard,
-        left: usize,
+        remaining: usize,
     ) -> Result<(), Refusal> {
         let code = failed.refusal.code;
         let verdict = failed.refusal.verdict;
-        progress.refuse(failed.refusal);
+        progress.record_refusal(failed.refusal);
         let server = target.server.clone();
         if verdict == Verdict::NotRun && code == Code::Suspect {
-            // The owner has heard of deaths that this router has not heard of yet.
+            // The owner knows of crashes that have not been reported to this
+            // router yet.
             return Err(progress.refusal.clone());
         }
         if verdict == Verdict::NotRun {
             self.metrics.spilled();
-            progress.spill(server, code);
+            progress.record_not_run(server, code);
             return Ok(());
         }
         let ending = ending_of(code);
-        guard.ran(target.pool.clone(), server.clone(), failed.cause, ending);
-        if ending == Ending::Died {
-            progress.died(failed.cause);
+        guard.attempt_ended(target.pool.clone(), server.clone(), failed.crash_id, ending);
+        if ending == Ending::Crashed {
+            progress.record_crash(failed.crash_id);
         }
         progress.attempts += 1;
         progress.failed.push(server);
@@ -144,7 +153,7 @@
             idempotent: request.repeat == Repeat::Allowed,
             attempts: progress.attempts,
             refusals: 0,
-            candidates: left,
+            candidates: remaining,
             deadline: request.deadline,
         };
         match self.tracker.decide(failure).await {
@@ -152,11 +161,11 @@
                 self.metrics.retried();
                 Ok(())
             }
-            recovery::Retry::GiveUp(refusal) => Err(progress.finish(refusal, request)),
+            recovery::Retry::GiveUp(refusal) => Err(progress.final_refusal(refusal, request)),
         }
     }
 
-    /// The servers to offer a request to, those that are ejected left out.
+    /// The servers to offer a request to, in order, without the ejected ones.
     fn candidates(&self, request: &Request, pool: &Pool) -> Vec<plan::Candidate> {
         let settings = crate::view::settings(&pool.declared);
         // Requests without a chat are spread evenly.
@@ -170,10 +179,10 @@
 
     pub(super) fn no_server(&self) -> Refusal {
         Refusal::not_run(Code::NoServer, "No backend server is available.")
-            .retry_at(come_back(&self.clock, NOT_READY_MS))
+            .retry_at(come_back(&self.clock, NOT_READY_RETRY_MS))
     }
 
-    fn too_late(&self, verdict: Verdict) -> Refusal {
+    fn deadline_exceeded(&self, verdict: Verdict) -> Refusal {
         let refusal = Refusal::not_run(
             Code::Deadline,
             "The deadline passed before the request ran.",
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -1,4 +1,4 @@
-//! The task that follows the configuration and the host list.
+//! The task that keeps the configuration and the host list up to date.
 
 pub mod update;
 
@@ -23,24 +23,26 @@
 use crate::{clock::Clock, gossip, hop, members::Members, metrics::Metrics, view::View};
 use update::Update;
 
-/// How many changes are kept for peers that are behind.
+/// Number of changes kept for peers with an older revision.
 const CHANGES_KEPT: usize = 512;
-/// How long one call to the platform may take.
+/// Timeout of a call to the platform.
 const PLATFORM_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The longest wait before the state is looked at again.
+/// Maximum delay until the next step is decided.
 const MAX_WAIT: Duration = Duration::from_millis(250);
-/// How long a router that starts waits for the host list before it serves without.
-const HOSTS_PATIENCE: Duration = Duration::from_secs(3);
-/// How many peers are asked for the host list, one after the other.
-const HOSTS_PEERS: usize = 3;
-/// How often the host list is read.
+/// How long a starting router waits for the host list before it serves without
+/// it.
+const HOSTS_TIMEOUT: Duration = Duration::from_secs(3);
+/// Maximum number of peers that are asked for the host list, one after the
+/// other.
+const MAX_HOSTS_PEERS: usize = 3;
+/// Interval between reads of the host list.
 const HOSTS_INTERVAL: Duration = Duration::from_millis(2000);
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Debug)]
 pub enum Message {
     /// A peer has a newer revision.
-    Newer {
+    NewerRevision {
         /// The peer.
         host: host::Id,
         /// Its address.
@@ -48,23 +50,23 @@
         /// The revision.
         revision: revision::Id,
     },
-    /// Who polls the table.
+    /// How the polling of the table is shared.
     Polls {
-        /// How many routers of the zone share the polls.
+        /// Number of routers in the zone that share the polling.
         routers: usize,
-        /// Whether this router has the zone's poll duty.
+        /// Whether this router polls on behalf of its zone.
         duty: bool,
     },
-    /// A peer asks what changed after `since`.
+    /// A peer requests the changes after `since`.
     Changes {
-        /// The revision that the peer has.
+        /// The revision that the peer has applied.
         since: revision::Id,
-        /// Where the answer goes.
+        /// Receives the update; `None` if this router holds no configuration.
         reply: oneshot::Sender<Option<Update>>,
     },
 }
 
-/// Where the task reads from.
+/// The sources that the task reads from.
 #[derive(Debug)]
 pub struct Sources {
     /// The platform's table.
@@ -75,24 +77,24 @@
     pub key: seal::Key,
 }
 
-/// What the task tells the others.
+/// The channels on which the task publishes, and what it needs to do so.
 #[derive(Debug)]
 pub struct Outputs {
-    /// The view that follows from what was read.
+    /// The view derived from the configuration and the host list.
     pub view: watch::Sender<Arc<View>>,
     /// The host list as last read.
     pub hosts: watch::Sender<Arc<Vec<hosts::Host>>>,
-    /// The routers, to ask them for the host list.
+    /// The known routers, as a fallback source of the host list.
     pub members: watch::Receiver<Arc<Members>>,
-    /// The task that tells the other routers of the revision.
+    /// The task that announces the applied revision to the other routers.
     pub gossip: mpsc::UnboundedSender<gossip::Message>,
     /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
-pub struct Follow {
+pub struct Follower {
     clock: Clock,
     sources: Sources,
     outputs: Outputs,
@@ -102,16 +104,17 @@
     changes: VecDeque<change::Change>,
     hosts: Arc<Vec<hosts::Host>>,
     ready: bool,
-    /// Whether the host list was read.
+    /// Whether the host list has been read.
     hosts_read: bool,
-    /// When this router serves without it: it may be all that is left in its zone.
-    hosts_due: units::time::Instant,
-    hosts_at: time::Instant,
-    step_at: time::Instant,
+    /// When this router serves without the host list: it may be the only router
+    /// left in its zone.
+    hosts_deadline: units::time::Instant,
+    next_hosts_read: time::Instant,
+    next_step: time::Instant,
 }
 
-impl Follow {
-    /// A task that has read nothing yet.
+impl Follower {
+    /// Creates a task that has read nothing yet.
     pub fn new(clock: Clock, region: Region, sources: Sources, outputs: Outputs) -> Self {
         let settings = revision_sync::Settings::default();
         Self {
@@ -125,13 +128,13 @@
             hosts: Arc::default(),
             ready: false,
             hosts_read: false,
-            hosts_due: clock.now() + HOSTS_PATIENCE,
-            hosts_at: time::Instant::now(),
-            step_at: time::Instant::now(),
+            hosts_deadline: clock.now() + HOSTS_TIMEOUT,
+            next_hosts_read: time::Instant::now(),
+            next_step: time::Instant::now(),
         }
     }
 
-    /// Runs until all senders of messages are gone.
+    /// Runs until all senders of messages are dropped.
     pub async fn run(mut self, mut messages: mpsc::Receiver<Message>) {
         loop {
             tokio::select! {
@@ -139,8 +142,8 @@
                     Some(message) => self.handle(message),
                     None => return,
                 },
-                () = time::sleep_until(self.step_at) => self.step().await,
-                () = time::sleep_until(self.hosts_at) => self.read_hosts().await,
+                () = time::sleep_until(self.next_step) => self.step().await,
+                () = time::sleep_until(self.next_hosts_read) => self.read_hosts().await,
             }
         }
     }
@@ -153,27 +156,27 @@
 
     fn handle(&mut self, message: Message) {
         match message {
-            Message::Newer {
+            Message::NewerRevision {
                 host,
                 address,
                 revision,
             } => {
                 self.spread.add_source(host, address, revision);
-                self.step_at = time::Instant::now();
+                self.next_step = time::Instant::now();
             }
             Message::Polls { routers, duty } => {
                 self.spread.set_zone_routers(routers);
                 self.spread.set_designated_poller(duty, self.clock.now());
-                self.step_at = time::Instant::now();
+                self.next_step = time::Instant::now();
             }
             Message::Changes { since, reply } => {
-                // The peer may have gone while its question waited.
+                // The peer may have disconnected while its request waited.
                 let _ = reply.send(self.changes_since(since));
             }
         }
     }
 
-    /// Asks a peer or the table, or waits, as is decided.
+    /// Fetches from a peer, polls the table or waits, as `Spread` decides.
     async fn step(&mut self) {
         let now = self.clock.now();
         match self.spread.step(now) {
@@ -187,29 +190,30 @@
             }
             Step::Wait(until) => {
                 let until = self.clock.at(until);
-                self.step_at = until.min(time::Instant::now() + MAX_WAIT);
+                self.next_step = until.min(time::Instant::now() + MAX_WAIT);
             }
         }
         self.check_ready();
     }
 
-    /// Tells the others once this router may serve.
+    /// Announces that this router is ready, once it is.
     fn check_ready(&mut self) {
         let now = self.clock.now();
-        let knows_hosts = self.hosts_read || now >= self.hosts_due;
-        if !self.ready && knows_hosts && self.spread.is_ready(now) {
+        let has_hosts = self.hosts_read || now >= self.hosts_deadline;
+        if !self.ready && has_hosts && self.spread.is_ready(now) {
             self.ready = true;
             self.publish();
-            self.tell(gossip::Message::Ready);
+            self.notify(gossip::Message::Ready);
         }
     }
 
-    fn tell(&self, message: gossip::Message) {
-        // The task ends only with the process.
+    fn notify(&self, message: gossip::Message) {
+        // The gossip task runs until the process ends.
         let _ = self.outputs.gossip.send(message);
     }
 
-    /// What a peer at `since` has to apply, `None` if nothing is held.
+    /// The update for a peer at revision `since`; `None` if no configuration is
+    /// held.
     fn changes_since(&self, since: revision::Id) -> Option<Update> {
         let snapshot = self.snapshot.as_ref()?;
         if since == snapshot.revision() {
@@ -227,7 +231,7 @@
         let since = self.revision();
         match hop::client::changes(peer, &self.sources.key, since).await {
             Ok(update) => {
-                self.take(update);
+                self.apply_update(update);
                 Outcome::Succeeded(self.revision())
             }
             Err(error) => {
@@ -260,7 +264,7 @@
         let rows = self.sources.table.scan(&range, deadline).await?;
         let pairs = rows.iter().map(|row| (row.key.as_str(), &row.value));
         match Snapshot::from_rows(pairs) {
-            Ok(snapshot) => self.take(Update::Snapshot(Arc::new(snapshot))),
+            Ok(snapshot) => self.apply_update(Update::Snapshot(Arc::new(snapshot))),
             Err(error) => logging::event!(error, "table_malformed", error = error),
         }
         Ok(())
@@ -278,44 +282,47 @@
             .map(|row| serde_json::from_value::<change::Change>(row.value))
             .collect();
         match changes {
-            Ok(changes) if self.follows(&changes) => self.take(Update::Changes(changes)),
+            Ok(changes) if self.is_contiguous(&changes) => {
+                self.apply_update(Update::Changes(changes))
+            }
             Ok(_) => self.read_all(deadline).await?,
             Err(error) => logging::event!(error, "table_malformed", error = error),
         }
         Ok(())
     }
 
-    /// Whether `changes` start at the revision held.
+    /// Whether `changes` start at the applied revision.
     ///
-    /// Old change rows are compacted away; a router that was cut off for long
-    /// would otherwise wait for a change that never comes.
-    fn follows(&self, changes: &[change::Change]) -> bool {
+    /// Old change rows are compacted away. A router that was partitioned for
+    /// long would otherwise wait for a change that no longer exists.
+    fn is_contiguous(&self, changes: &[change::Change]) -> bool {
         changes
             .first()
             .is_none_or(|change| change.from == self.revision())
     }
 
-    fn take(&mut self, update: Update) {
+    fn apply_update(&mut self, update: Update) {
         let before = self.revision();
         match update {
-            Update::Snapshot(snapshot) => self.take_snapshot(snapshot),
-            Update::Changes(changes) => self.take_changes(changes),
+            Update::Snapshot(snapshot) => self.apply_snapshot(snapshot),
+            Update::Changes(changes) => self.apply_changes(changes),
         }
         let after = self.revision();
         if after > before {
             logging::event!(info, "revision_applied", from = before, to = after);
             self.outputs.metrics.applied(after);
             self.publish();
-            self.tell(gossip::Message::Applied(after));
+            self.notify(gossip::Message::Applied(after));
         }
     }
 
-    /// Takes a snapshot that is newer than the one held.
+    /// Applies a snapshot that is newer than the one held.
     ///
-    /// A peer that was cut off may show an old one; taking it would revert an
-    /// accepted configuration, so an older one is left. Revision zero is a
-    /// table in which nothing was ever declared: there is nothing to serve yet.
-    fn take_snapshot(&mut self, snapshot: Arc<Snapshot>) {
+    /// A peer that was partitioned may send an old snapshot. Applying it would
+    /// revert an accepted configuration, so older snapshots are ignored.
+    /// Revision zero is a table in which nothing has been declared, so there is
+    /// nothing to serve yet.
+    fn apply_snapshot(&mut self, snapshot: Arc<Snapshot>) {
         if snapshot.revision() <= self.revision() || !self.spread.apply(snapshot.revision()) {
             return;
         }
@@ -323,7 +330,7 @@
         self.snapshot = Some(snapshot);
     }
 
-    fn take_changes(&mut self, changes: Vec<change::Change>) {
+    fn apply_changes(&mut self, changes: Vec<change::Change>) {
         let Some(held) = &self.snapshot else {
             return;
         };
@@ -341,35 +348,36 @@
     }
 
     async fn read_hosts(&mut self) {
-        self.hosts_at = time::Instant::now() + HOSTS_INTERVAL;
+        self.next_hosts_read = time::Instant::now() + HOSTS_INTERVAL;
         let deadline = time::Instant::now() + PLATFORM_TIMEOUT;
         let listed = self.sources.hosts.list(deadline).await;
         self.hosts_read |= listed.is_ok();
         match listed {
-            Ok(hosts) if hosts != *self.hosts => self.take_hosts(hosts),
+            Ok(hosts) if hosts != *self.hosts => self.apply_hosts(hosts),
             Ok(_) => {}
             Err(error) => {
                 logging::event!(debug, "hosts_failed", error = error);
-                self.ask_hosts().await;
+                self.fetch_hosts().await;
             }
         }
     }
 
-    /// Asks a peer for the host list while the platform does not give it.
+    /// Fetches the host list from a peer while the platform is unavailable.
     ///
-    /// A router that starts during an outage would know no backend server that
-    /// the configuration does not name, and refuse all work.
-    async fn ask_hosts(&mut self) {
+    /// Without it, a router that starts during an outage would know only the
+    /// backend servers that the configuration names, and refuse all requests
+    /// for others.
+    async fn fetch_hosts(&mut self) {
         if self.hosts_read {
             return;
         }
         let members = Arc::clone(&self.outputs.members.borrow());
         let peers = members.peers.iter().filter(|peer| peer.host != members.own);
-        for peer in peers.take(HOSTS_PEERS) {
+        for peer in peers.take(MAX_HOSTS_PEERS) {
             match hop::client::hosts(peer.address, &self.sources.key).await {
                 Ok(hosts) if !hosts.is_empty() => {
                     self.hosts_read = true;
-                    self.take_hosts(hosts);
+                    self.apply_hosts(hosts);
                     return;
                 }
                 Ok(_) => {}
@@ -380,7 +388,7 @@
         }
     }
 
-    fn take_hosts(&mut self, hosts: Vec<hosts::Host>) {
+    fn apply_hosts(&mut self, hosts: Vec<hosts::Host>) {
         let (before, after) = (self.hosts.len(), hosts.len());
         logging::event!(info, "hosts_listed", from = before, to = after);
         self.hosts = Arc::new(hosts);
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -1,4 +1,5 @@
-//! The task that knows the other routers: it owns the UDP socket of heartbeats.
+//! The membership task: it tracks the other routers and owns the UDP socket for
+//! heartbeats.
 
 use std::{
     net::SocketAddr,
@@ -24,65 +25,66 @@
     tracker,
 };
 
-/// The longest datagram that is read, in bytes.
-const MAX_DATAGRAM: usize = 2048;
-/// Bytes of the headers of a UDP datagram over IP, which count as traffic too.
-const HEADERS: usize = 28;
-/// How long a strike against a request is remembered.
-const STRIKE_TIME: Duration = Duration::from_secs(600);
+/// Maximum size of a received datagram.
+const MAX_DATAGRAM_BYTES: usize = 2048;
+/// Size of the IP and UDP headers of a datagram, which count as control traffic
+/// too.
+const HEADER_BYTES: usize = 28;
+/// How long a strike against a request counts.
+const STRIKE_TTL: Duration = Duration::from_secs(600);
 
-/// What the task is told.
+/// A message to the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Message {
-    /// A revision of the configuration is in force here.
+    /// This router applied a revision of the configuration.
     Applied(revision::Id),
-    /// This router may serve.
+    /// This router is ready to serve.
     Ready,
-    /// A backend server died with a request in flight.
+    /// A backend server crashed with a request in flight.
     Strike {
-        /// The request.
+        /// The fingerprint of the request.
         fingerprint: request::Fingerprint,
-        /// Names the death.
-        cause: u64,
+        /// Identifies the crash.
+        crash_id: u64,
     },
     /// This router starts its graceful shutdown.
     Leaving,
-    /// This router ends.
+    /// This router has drained and is about to exit.
     Left,
 }
 
-/// What the task tells the others.
+/// The channels on which the task publishes.
 #[derive(Debug)]
 pub struct Outputs {
-    /// The routers.
+    /// The known routers.
     pub members: watch::Sender<Arc<Members>>,
-    /// The task that follows the configuration.
+    /// The task that keeps the configuration up to date.
     pub follow: mpsc::Sender<follow::Message>,
-    /// The task that holds strikes.
+    /// The task that tracks strikes against requests.
     pub tracker: tracker::Handle,
     /// The metrics.
     pub metrics: Arc<Metrics>,
 }
 
-/// Whether the others know that this router serves.
+/// Whether the other routers have been notified that this router serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Readiness {
-    /// It does not serve yet.
+    /// It is not ready to serve.
     Starting,
-    /// It could serve.
-    Wanted,
-    /// They know.
-    Told,
+    /// It is ready, but has not announced it.
+    Pending,
+    /// It has announced that it serves.
+    Announced,
 }
 
-/// Who polls the table, as last told.
+/// How the polling of the table is shared, as last published.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 struct Polls {
     routers: usize,
     duty: bool,
 }
 
-/// The task's state.
+/// State of the task.
 #[derive(Debug)]
 pub struct Gossip {
     clock: Clock,
@@ -99,7 +101,7 @@
 }
 
 impl Gossip {
-    /// A task that knows nobody yet.
+    /// Creates a task that knows no other routers yet.
     pub fn new(
         clock: Clock,
         socket: UdpSocket,
@@ -107,7 +109,7 @@
         own: heartbeat::Identity,
         outputs: Outputs,
     ) -> Self {
-        let boot = boot();
+        let boot = incarnation();
         let settings = fleet::Settings::default();
         Self {
             clock,
@@ -124,24 +126,24 @@
         }
     }
 
-    /// Runs until the senders of messages are gone.
+    /// Runs until the senders of messages are dropped.
     pub async fn run(
         mut self,
         mut messages: mpsc::UnboundedReceiver<Message>,
         mut hosts: watch::Receiver<Arc<Vec<hosts::Host>>>,
-        first: Vec<Seed>,
+        initial: Vec<Seed>,
     ) {
-        self.handle(Event::Hosts(first)).await;
+        self.handle(Event::Hosts(initial)).await;
         let mut tick = time::interval(fleet::Settings::default().tick);
-        // After a pause of the process one tick shows the gap; a burst of
-        // missed ticks would hide it.
+        // With delayed ticks, a pause of the process shows as a gap before the
+        // next tick. A burst of missed ticks would hide it.
         tick.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
-        let mut buffer = [0; MAX_DATAGRAM];
+        let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let event = tokio::select! {
                 message = messages.recv() => match message {
                     Some(Message::Ready) => {
-                        self.readiness = Readiness::Wanted;
+                        self.readiness = Readiness::Pending;
                         continue;
                     }
                     Some(message) => self.event(message),
@@ -164,17 +166,18 @@
                 _ = tick.tick() => Event::Tick,
             };
             self.handle(event).await;
-            self.offer_service().await;
+            self.announce_ready().await;
         }
     }
 
-    /// Tells the others that this router serves, once it is sure of its own view.
+    /// Announces that this router serves, once it can trust its own view.
     ///
-    /// A router that says so earlier is taken for an owner and then refuses
-    /// what it is sent, since it does not yet know what it owns.
-    async fn offer_service(&mut self) {
-        if self.readiness == Readiness::Wanted && self.fleet.is_view_trusted(self.clock.now()) {
-            self.readiness = Readiness::Told;
+    /// A router that announces itself earlier is treated as an owner, but
+    /// refuses the requests sent to it, since it does not know yet which
+    /// servers it owns.
+    async fn announce_ready(&mut self) {
+        if self.readiness == Readiness::Pending && self.fleet.is_view_trusted(self.clock.now()) {
+            self.readiness = Readiness::Announced;
             self.handle(Event::Ready).await;
         }
     }
@@ -185,12 +188,15 @@
                 self.applied = revision;
                 Event::Applied(revision)
             }
-            // It is told in its own time, see `offer_service`.
+            // Announced later, see `announce_ready`.
             Message::Ready => Event::Tick,
-            Message::Strike { fingerprint, cause } => Event::Strike {
+            Message::Strike {
                 fingerprint,
-                attempt: request::Attempt(cause),
-                expires_at: self.clock.now() + STRIKE_TIME,
+                crash_id,
+            } => Event::Strike {
+                fingerprint,
+                attempt: request::Attempt(crash_id),
+                expires_at: self.clock.now() + STRIKE_TTL,
             },
             Message::Leaving => Event::Leaving,
             Message::Left => Event::Left,
@@ -199,7 +205,7 @@
 
     fn open(&mut self, datagram: &[u8], from: SocketAddr) -> Option<Received> {
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Received, datagram.len() + HEADERS);
+        metrics.control(Direction::Received, datagram.len() + HEADER_BYTES);
         let opened = match self.opener.open(datagram) {
             Ok(opened) => opened,
             Err(error) => {
@@ -223,14 +229,14 @@
         let mut changed = false;
         for action in actions {
             changed |= matches!(action, Action::Phase { .. } | Action::ViewTrusted(_));
-            self.act(action).await;
+            self.execute(action).await;
         }
         if changed || may_change {
             self.publish();
         }
     }
 
-    async fn act(&mut self, action: Action) {
+    async fn execute(&mut self, action: Action) {
         match action {
             Action::Send(send) => self.send(&send).await,
             Action::Phase { host, phase } => {
@@ -242,19 +248,20 @@
                 host,
                 address,
             } => {
-                let message = follow::Message::Newer {
+                let message = follow::Message::NewerRevision {
                     host,
                     address,
                     revision,
                 };
-                // A full channel means that the task is at it already; the
-                // next heartbeat tells of the revision again.
+                // If the channel is full, the task is already working on
+                // updates; the next heartbeat carries the revision again.
                 let _ = self.outputs.follow.try_send(message);
             }
-            // The mean of a pool rides on the answers of owners; the sums over
-            // all pools that heartbeats can carry would mix them.
+            // The load of a pool is carried by the replies of owners.
+            // Heartbeats can carry only sums over all pools, which would mix
+            // the pools.
             Action::Load(_) => {}
-            Action::Strike(strike) => self.tell_strikes(strike.fingerprint),
+            Action::Strike(strike) => self.publish_strikes(strike.fingerprint),
             Action::BootChanged(boot) => {
                 self.sealer = seal::Sealer::new(&self.key, &self.own.host, boot);
                 self.opener = seal::Opener::new(&self.key, &self.own.host, boot);
@@ -268,19 +275,20 @@
         };
         let datagram = self.sealer.seal(&payload, send.audience);
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Sent, datagram.len() + HEADERS);
+        metrics.control(Direction::Sent, datagram.len() + HEADER_BYTES);
         if let Err(error) = self.socket.send_to(&datagram, send.to).await {
             logging::event!(debug, "heartbeat_failed", peer = send.to, error = error);
         }
     }
 
-    fn tell_strikes(&self, fingerprint: request::Fingerprint) {
-        let causes = self.fleet.strike_causes(fingerprint, self.clock.now());
-        let deaths = causes.into_iter().map(u32::from_le_bytes).collect();
-        self.outputs.tracker.struck(fingerprint, deaths);
+    fn publish_strikes(&self, fingerprint: request::Fingerprint) {
+        let crash_ids = self.fleet.strike_causes(fingerprint, self.clock.now());
+        let crashes = crash_ids.into_iter().map(u32::from_le_bytes).collect();
+        self.outputs.tracker.record_strikes(fingerprint, crashes);
     }
 
-    /// Publishes the routers, and who polls the table, if that changed.
+    /// Publishes the known routers and how the polling of the table is shared,
+    /// if they changed.
     fn publish(&mut self) {
         let members = self.members();
         self.outputs.members.send_if_modified(|present| {
@@ -301,7 +309,7 @@
             routers: polls.routers,
             duty: polls.duty,
         };
-        // A full channel: the next tick tells it.
+        // If the channel is full, the next tick sends it again.
         if self.outputs.follow.try_send(message).is_ok() {
             self.polls = polls;
         }
@@ -345,8 +353,8 @@
     }
 }
 
-/// A number that is higher at each start of the process.
-fn boot() -> seal::Boot {
+/// An incarnation number that is higher at each start of the process.
+fn incarnation() -> seal::Boot {
     let since = SystemTime::now()
         .duration_since(UNIX_EPOCH)
         .unwrap_or_default();
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -1,4 +1,4 @@
-//! The task that admits work to the backend servers that this router owns.
+//! The task that admits requests to the backend servers that this router owns.
 
 mod engine;
 mod handover;
@@ -28,45 +28,47 @@
     status,
     view::{Target, View},
 };
-use engine::{Earlier, Engine};
-pub use message::{Ended, Message, Offer, Outcome, Rejected, Reply, Shape, Usage};
+use engine::{Engine, Predecessor};
+pub use message::{Delivery, Ended, Message, Offer, Outcome, Rejected, Reply, Usage};
 pub use permit::{Permit, Slot};
-use probe::Pace;
+use probe::Schedule;
 
-/// How often deadlines and bounds are checked.
+/// Interval at which queue deadlines, load probes and load bounds are checked.
 const TICK: Duration = Duration::from_millis(50);
-/// The least mean load for which the skew is told: below it one request more is
-/// a large part of it.
-const SKEW_MEAN: f64 = 4.0;
-/// When a caller may come back to a server that is not there.
-const RETRY_MS: u64 = 500;
-
-/// The loads of the servers, by pool.
+/// Minimum mean load at which the skew is reported. Below it, a single
+/// additional request changes the ratio considerably.
+const MIN_SKEW_MEAN: f64 = 4.0;
+/// Delay after which a caller may retry a server that is unreachable or at its
+/// limit.
+const RETRY_AFTER_MS: u64 = 500;
+
+/// Load of the backend servers, by pool.
 type Loads = BTreeMap<pool::Id, loads::Loads>;
 
-/// What the task reads.
+/// Inputs of the owner task.
 #[derive(Clone, Debug)]
 pub struct Inputs {
-    /// The configuration and the backend servers.
+    /// The applied configuration and the backend servers.
     pub view: watch::Receiver<Arc<View>>,
-    /// The routers.
+    /// The known routers.
     pub members: watch::Receiver<Arc<Members>>,
 }
 
-/// Sends offers to the task.
+/// Handle for sending messages to the owner task.
 #[derive(Clone, Debug)]
 pub struct Handle {
     messages: mpsc::UnboundedSender<Message>,
 }
 
 impl Handle {
-    /// Asks for a slot, and waits in the queue where the terms allow it.
+    /// Requests a slot on a backend server, waiting in its queue if the offer's
+    /// terms allow it.
     ///
-    /// Dropping the future takes the ticket back.
+    /// Dropping the future withdraws the offer.
     ///
     /// # Errors
     ///
-    /// When the offer is not accepted. The request has not run.
+    /// When the offer is rejected. The request has not run.
     pub async fn admit(&self, offer: impl FnOnce(Reply) -> Offer) -> Result<Permit, Rejected> {
         let (reply, answer) = oneshot::channel();
         let stopped = || Rejected {
@@ -78,14 +80,14 @@
         answer.await.map_err(|_| stopped())?
     }
 
-    /// Tells what the servers of another owner carry.
-    pub fn heard(&self, owner: host::Id, pool: pool::Id, load: hop::Load) {
-        // Nobody needs the load when the task has ended.
-        let _ = self.messages.send(Message::Heard(owner, pool, load));
+    /// Records the load of another owner's servers in a pool.
+    pub fn record_peer_load(&self, owner: host::Id, pool: pool::Id, load: hop::Load) {
+        // The load is of no use once the task has ended.
+        let _ = self.messages.send(Message::PeerLoad(owner, pool, load));
     }
 
-    /// Waits until nothing runs on a server through this router any more.
-    pub async fn drained(&self) {
+    /// Waits until no owned server has requests in flight or queued.
+    pub async fn wait_drained(&self) {
         loop {
             let engines = self.status().await;
             let busy = |engine: &status::Engine| engine.in_flight > 0 || engine.queued > 0;
@@ -96,14 +98,17 @@
         }
     }
 
-    /// What this router learned of a server that it owned, once it has stopped admitting.
+    /// Returns the state learned about a server that this router owned, once it
+    /// has stopped admitting requests to it.
     pub async fn handover(&self, server: backend::Server) -> Option<hop::Handover> {
         let (reply, answer) = oneshot::channel();
-        self.messages.send(Message::Handover(server, reply)).ok()?;
+        self.messages
+            .send(Message::HandoverRequest(server, reply))
+            .ok()?;
         answer.await.ok()?
     }
 
-    /// The state of all owned servers.
+    /// Returns the state of all owned servers.
     pub async fn status(&self) -> Vec<status::Engine> {
         let (reply, answer) = oneshot::channel();
         if self.messages.send(Message::Status(reply)).is_err() {
@@ -113,14 +118,14 @@
     }
 }
 
-/// The task's state.
+/// State of the owner task.
 #[derive(Debug)]
 pub struct Owner {
     clock: Clock,
     inputs: Inputs,
     metrics: Arc<Metrics>,
     key: seal::Key,
-    pace: Pace,
+    schedule: Schedule,
     engines: BTreeMap<backend::Server, Engine>,
     /// The owners of all servers, as last known.
     owners: BTreeMap<backend::Server, host::Id>,
@@ -130,7 +135,7 @@
 }
 
 impl Owner {
-    /// A task that owns nothing yet, and the handle to it.
+    /// Creates a task that owns no servers yet, and its handle.
     pub fn new(
         clock: Clock,
         inputs: Inputs,
@@ -144,7 +149,7 @@
         let owner = Self {
             clock,
             inputs,
-            pace: Pace::new(metrics.traffic()),
+            schedule: Schedule::new(metrics.traffic()),
             metrics,
             key,
             engines: BTreeMap::new(),
@@ -191,7 +196,7 @@
             }
             Message::Ended(ended) => self.ended(ended),
             Message::Reported(server, report) => self.reported(&server, report),
-            Message::Heard(owner, pool, load) => {
+            Message::PeerLoad(owner, pool, load) => {
                 let total = TotalLoad {
                     requests: load.requests,
                     weight: load.weight,
@@ -199,21 +204,21 @@
                 let loads = self.loads.entry(pool).or_default();
                 loads.hear(owner, total, now);
             }
-            Message::HandedOver(server, handover) => {
+            Message::HandoverReceived(server, handover) => {
                 if let Some(engine) = self.engines.get_mut(&server) {
-                    let actions = engine.handed_over(handover, now);
-                    self.act(&server, actions);
+                    let actions = engine.apply_handover(handover, now);
+                    self.execute(&server, actions);
                 }
             }
-            Message::Handover(server, reply) => {
+            Message::HandoverRequest(server, reply) => {
                 let engine = self.engines.get(&server);
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(engine.and_then(Engine::handover));
             }
             Message::Status(reply) => {
                 let shown = self.engines.values().filter(|engine| engine.is_shown());
                 let engines = shown.map(|engine| engine.status(now)).collect();
-                // The asker may have gone.
+                // The requester may have dropped the receiver.
                 let _ = reply.send(engines);
             }
         }
@@ -222,29 +227,29 @@
     fn offer(&mut self, offer: Offer) {
         let now = self.clock.now();
         let server = offer.server.clone();
-        let considered = match self.engines.get_mut(&server) {
-            None => Err(moved(&server)),
+        let evaluated = match self.engines.get_mut(&server) {
+            None => Err(not_owned(&server)),
             Some(engine) => {
                 let loads = self.loads.get(&engine.target.pool);
                 let total = loads.map(loads::Loads::total).unwrap_or_default();
-                engine.consider(&offer, total, now)
+                engine.evaluate(&offer, total, now)
             }
         };
-        let until = match considered {
-            Ok(until) => until,
+        let queue_deadline = match evaluated {
+            Ok(queue_deadline) => queue_deadline,
             Err(refusal) => return self.reject(offer, refusal),
         };
         let Some(engine) = self.engines.get_mut(&server) else {
             return;
         };
-        let actions = engine.offer(offer, until, self.clock, &self.sender);
-        self.act(&server, actions);
+        let actions = engine.offer(offer, queue_deadline, self.clock, &self.sender);
+        self.execute(&server, actions);
     }
 
     fn reject(&mut self, offer: Offer, refusal: Refusal) {
         let engine = self.engines.get(&offer.server);
-        let load = engine.and_then(Engine::shared);
-        // The asker may have gone.
+        let load = engine.and_then(Engine::pool_load);
+        // The requester may have dropped the receiver.
         let _ = offer.reply.send(Err(Rejected { refusal, load }));
     }
 
@@ -259,9 +264,9 @@
         }
         let actions = engine.ended(&ended, now);
         if let Some(connection) = ended.connection {
-            engine.keep(connection);
+            engine.store_connection(connection);
         }
-        self.act(&ended.server, actions);
+        self.execute(&ended.server, actions);
     }
 
     fn reported(
@@ -274,11 +279,11 @@
             return;
         };
         let actions = engine.reported(report, now);
-        self.act(server, actions);
+        self.execute(server, actions);
     }
 
-    /// Carries out what admission decided for tickets that waited.
-    fn act(&mut self, server: &backend::Server, actions: admission::Actions) {
+    /// Executes admission's decisions on queued tickets.
+    fn execute(&mut self, server: &backend::Server, actions: admission::Actions) {
         let Some(engine) = self.engines.get_mut(server) else {
             return;
         };
@@ -286,7 +291,7 @@
         while !actions.is_empty() {
             let mut later = Vec::new();
             for action in actions {
-                later.extend(engine.act(action, self.clock, &self.sender));
+                later.extend(engine.execute(action, self.clock, &self.sender));
             }
             actions = later;
         }
@@ -294,7 +299,7 @@
 
     fn tick(&mut self) {
         let now = self.clock.now();
-        self.note_loads();
+        self.update_loads();
         self.set_bounds();
         let servers: Vec<backend::Server> = self.engines.keys().cloned().collect();
         for server in servers {
@@ -302,17 +307,17 @@
                 continue;
             };
             let actions = engine.tick(now);
-            engine.probe(&self.pace, &self.sender);
-            self.act(&server, actions);
+            engine.probe(&self.schedule, &self.sender);
+            self.execute(&server, actions);
         }
-        self.engines.retain(|_, engine| !engine.is_done(now));
+        self.engines.retain(|_, engine| !engine.is_expired(now));
         let probed = self.engines.values().filter(|engine| engine.is_probed());
-        self.pace.servers(probed.count());
-        self.metrics.owned(self.standing(now));
+        self.schedule.set_server_count(probed.count());
+        self.metrics.owned(self.totals(now));
     }
 
-    /// Sums up what the owned servers of each pool carry.
-    fn note_loads(&mut self) {
+    /// Sums the load of the owned servers by pool.
+    fn update_loads(&mut self) {
         let now = self.clock.now();
         let mut own: BTreeMap<pool::Id, TotalLoad> = BTreeMap::new();
         for engine in self.engines.values().filter(|engine| engine.is_open()) {
@@ -321,7 +326,7 @@
                 .loads
                 .get(pool)
                 .map_or(0.0, |loads| loads.total().mean());
-            *own.entry(pool.clone()).or_default() += engine.counted(mean);
+            *own.entry(pool.clone()).or_default() += engine.load_contribution(mean);
         }
         for loads in self.loads.values_mut() {
             loads.set_own(TotalLoad::default());
@@ -332,12 +337,12 @@
         }
         for engine in self.engines.values_mut() {
             let own = self.loads.get(&engine.target.pool).map(loads::Loads::own);
-            engine.share(own.unwrap_or_default());
+            engine.set_pool_load(own.unwrap_or_default());
         }
     }
 
-    /// How the owned servers stand, for the metrics.
-    fn standing(&self, now: units::time::Instant) -> Owned {
+    /// Totals over the owned servers, for the metrics.
+    fn totals(&self, now: units::time::Instant) -> Owned {
         let mut owned = Owned::default();
         for engine in self.engines.values() {
             let status = engine.status(now);
@@ -346,7 +351,7 @@
             owned.limit += status.limit;
             let loads = self.loads.get(&engine.target.pool);
             let mean = loads.map_or(0.0, |loads| loads.total().mean());
-            if mean >= SKEW_MEAN {
+            if mean >= MIN_SKEW_MEAN {
                 owned.skew = owned.skew.max(f64::from(status.in_flight) / mean);
             }
         }
@@ -372,11 +377,12 @@
             }
         }
         for (server, actions) in all {
-            self.act(&server, actions);
+            self.execute(&server, actions);
         }
     }
 
-    /// Takes up the servers that became this router's and gives up the others.
+    /// Acquires the servers newly assigned to this router and releases those no
+    /// longer assigned to it.
     fn refresh(&mut self) {
         let now = self.clock.now();
         let view = Arc::clone(&self.inputs.view.borrow_and_update());
@@ -387,10 +393,10 @@
             let Some(declared) = pool.map(|pool| &pool.declared) else {
                 continue;
             };
-            let earlier = self.earlier(target, &members);
+            let predecessor = self.predecessor(target, &members);
             match self.engines.get_mut(&target.server) {
-                Some(engine) if !engine.is_forgettable() => engine.update(target, declared),
-                Some(_) | None => self.take_up(target, declared, earlier, now),
+                Some(engine) if !engine.is_released() => engine.update(target, declared),
+                Some(_) | None => self.acquire(target, declared, predecessor, now),
             }
         }
         self.owners = view
@@ -409,41 +415,41 @@
                 Some(engine) => engine.set_service(target, now),
                 None => continue,
             };
-            self.act(&server, actions);
+            self.execute(&server, actions);
         }
     }
 
-    /// Begins to own a server, and asks its earlier owner what it learned.
-    fn take_up(
+    /// Starts owning a server, and requests a handover from its previous owner.
+    fn acquire(
         &mut self,
         target: &Target,
         declared: &resource::Pool,
-        earlier: Earlier,
+        predecessor: Predecessor,
         now: units::time::Instant,
     ) {
         let engine = Engine::new(
             target.clone(),
             declared,
-            earlier,
+            predecessor,
             Arc::clone(&self.metrics),
             now,
         );
         self.engines.insert(target.server.clone(), engine);
-        if let Earlier::Live(address) = earlier {
+        if let Predecessor::Live(address) = predecessor {
             let server = target.server.clone();
             let owner = self.sender.clone();
-            tokio::spawn(handover::ask(server, address, self.key.clone(), owner));
+            tokio::spawn(handover::request(server, address, self.key.clone(), owner));
         }
     }
 
-    /// Who owned a server before, and may still admit work to it.
-    fn earlier(&self, target: &Target, members: &Members) -> Earlier {
+    /// The previous owner of a server, if it may still admit requests to it.
+    fn predecessor(&self, target: &Target, members: &Members) -> Predecessor {
         let peer = match self.owners.get(&target.server) {
             Some(host) if *host == members.own => None,
             Some(host) => members.live(host),
             None => members.other_owner(&target.server, &target.zone),
         };
-        peer.map_or(Earlier::Gone, |peer| Earlier::Live(peer.address))
+        peer.map_or(Predecessor::Gone, |peer| Predecessor::Live(peer.address))
     }
 
     fn set_weights(&mut self, view: &View) {
@@ -460,18 +466,18 @@
     }
 }
 
-fn moved(server: &backend::Server) -> Refusal {
+fn not_owned(server: &backend::Server) -> Refusal {
     Refusal::not_run(
         Code::Moved,
         format!("Backend server {server} is not owned by this router."),
     )
 }
 
-/// The refusal for a server that is known to be away.
-fn away(server: &backend::Server, clock_now: units::time::Instant) -> Refusal {
+/// The refusal for a server known to be unreachable.
+fn unreachable(server: &backend::Server, now: units::time::Instant) -> Refusal {
     Refusal::not_run(
         Code::NoServer,
         format!("Backend server {server} does not accept connections."),
     )
-    .retry_at(clock_now + Duration::from_millis(RETRY_MS))
+    .retry_at(now + Duration::from_millis(RETRY_AFTER_MS))
 }
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -1,4 +1,4 @@
-//! One backend server and what its owner knows of it.
+//! State that the owner keeps of one backend server.
 
 mod offer;
 mod service;
@@ -15,8 +15,8 @@
 
 use super::{
     Ended, Message, Outcome,
-    message::{Shape, Usage},
-    probe::{Pace, Probe},
+    message::{Delivery, Usage},
+    probe::{Probe, Schedule},
 };
 use crate::{
     backend::{Connection, load},
@@ -24,68 +24,72 @@
     status,
     view::Target,
 };
-use offer::{Waiting, busy};
-use service::{Learned, Presence, Service};
+use offer::{Waiter, busy};
+use service::{Learned, Reachability, Service};
 
-/// The most idle connections that are kept for one server.
+/// Maximum number of idle connections kept per server.
 const MAX_IDLE: usize = 32;
-/// How long an earlier owner may still admit work to a server that was taken
-/// over, until all routers agree on the new one.
+/// How long the previous owner of an acquired server may still admit requests
+/// to it, until all routers agree on the new owner.
 const OVERLAP: Duration = Duration::from_millis(1500);
-/// The run time from which a call counts in full for the limit of a plain service.
+/// Run time from which a call counts in full for the growth of a plain
+/// service's limit.
 const SERVICE_GROWTH_TIME: Duration = Duration::from_millis(10);
-/// Where messages to the owner task go.
+/// Sender of messages to the owner task.
 type Sender = mpsc::UnboundedSender<Message>;
 
-/// Who owned a server before.
+/// The previous owner of a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Earlier {
-    /// A router that runs, and may not yet know that it lost the server; its address.
+pub enum Predecessor {
+    /// A live router that may not know yet that it lost the server; its
+    /// address.
     Live(net::SocketAddr),
-    /// Nobody, or a router that is down.
+    /// The server had no owner, or its owner is down.
     Gone,
 }
 
-/// The chat of an attempt and how long its context is.
+/// The chat of an attempt, the estimated length of its context in tokens, and
+/// how its response is delivered.
 #[derive(Clone, Copy, Debug)]
 struct Context {
     chat: Option<chat::Key>,
     tokens: u32,
-    shape: Shape,
+    delivery: Delivery,
 }
 
-/// One backend server.
+/// One backend server: an engine or a plain service.
 #[derive(Debug)]
 pub struct Engine {
-    /// What the configuration says of it.
+    /// Its address, zone and state by the configuration and the host list.
     pub target: Target,
-    /// What it takes.
+    /// Admission control for the server.
     pub admission: admission::Server,
     metrics: Arc<Metrics>,
-    waiting: BTreeMap<request::Attempt, Waiting>,
+    waiting: BTreeMap<request::Attempt, Waiter>,
     running: BTreeMap<request::Attempt, Context>,
     service: Service,
-    /// What was learned of the server before it was closed.
+    /// State saved when the server was closed, for its reopening.
     learned: Option<Learned>,
-    /// Until when a lost server is remembered for its next owner.
-    kept_until: time::Instant,
-    presence: Presence,
-    shared: hop::Load,
-    warmth: placement::CacheIndex,
+    /// Until when the state of a lost server is kept for its next owner.
+    retain_until: time::Instant,
+    reachability: Reachability,
+    pool_load: hop::Load,
+    cache_index: placement::CacheIndex,
     bound: placement::Bound,
     placement: placement::Settings,
     boot: Option<String>,
-    reports: bool,
+    reports_load: bool,
     probe: Option<Probe>,
     idle: Vec<Connection>,
 }
 
 impl Engine {
-    /// A server that this router begins to own. It counts as cold.
+    /// Creates the state of a server that this router acquires. It counts as
+    /// cold.
     pub fn new(
         target: Target,
         declared: &resource::Pool,
-        earlier: Earlier,
+        predecessor: Predecessor,
         metrics: Arc<Metrics>,
         now: time::Instant,
     ) -> Self {
@@ -94,28 +98,30 @@
         Self {
             target,
             metrics,
-            admission: match earlier {
-                Earlier::Live(_) => admission::Server::taking_over(settings, now + OVERLAP, now),
-                Earlier::Gone => admission::Server::new(settings, now),
+            admission: match predecessor {
+                Predecessor::Live(_) => {
+                    admission::Server::taking_over(settings, now + OVERLAP, now)
+                }
+                Predecessor::Gone => admission::Server::new(settings, now),
             },
             waiting: BTreeMap::new(),
             running: BTreeMap::new(),
             service: Service::Open,
             learned: None,
-            kept_until: time::Instant::ZERO,
-            presence: Presence::There,
-            shared: hop::Load::default(),
-            warmth: placement::CacheIndex::new(placement.clone()),
+            retain_until: time::Instant::ZERO,
+            reachability: Reachability::Reachable,
+            pool_load: hop::Load::default(),
+            cache_index: placement::CacheIndex::new(placement.clone()),
             bound: placement::Bound::new(placement.clone()),
             placement,
             boot: None,
-            reports: declared.reports_load,
+            reports_load: declared.reports_load,
             probe: None,
             idle: Vec::new(),
         }
     }
 
-    /// Takes over what the configuration says now.
+    /// Applies the current configuration.
     pub fn update(&mut self, target: &Target, declared: &resource::Pool) {
         if self.target.address != target.address {
             self.idle.clear();
@@ -123,11 +129,12 @@
             self.probe = None;
         }
         self.target = target.clone();
-        self.reports = declared.reports_load;
+        self.reports_load = declared.reports_load;
     }
 
-    /// What the server adds to the load of its pool, of which the mean is known.
-    pub fn counted(&self, mean: f64) -> TotalLoad {
+    /// The server's contribution to the load of its pool, given the pool's mean
+    /// load.
+    pub fn load_contribution(&self, mean: f64) -> TotalLoad {
         let limit = self.admission.handover().limit;
         TotalLoad::contribution(self.in_flight(), self.target.weight, limit, mean)
     }
@@ -142,45 +149,48 @@
         u32::try_from(self.running.len()).unwrap_or(u32::MAX)
     }
 
-    /// Whether the server gets new work from this router.
+    /// Whether this router admits new requests to the server.
     pub fn is_open(&self) -> bool {
         self.service == Service::Open
     }
 
-    /// Sets what this router's servers of the pool carry together.
-    pub fn share(&mut self, own: TotalLoad) {
-        self.shared = hop::Load {
+    /// Sets the total load of this router's servers in the pool.
+    pub fn set_pool_load(&mut self, own: TotalLoad) {
+        self.pool_load = hop::Load {
             requests: own.requests,
             weight: own.weight,
         };
     }
 
-    /// What this router's servers of the pool carry together, where it owns the server.
-    pub fn shared(&self) -> Option<hop::Load> {
-        self.is_owned().then_some(self.shared)
+    /// The total load of this router's servers in the pool; `None` if it does
+    /// not own this server.
+    pub fn pool_load(&self) -> Option<hop::Load> {
+        self.is_owned().then_some(self.pool_load)
     }
 
-    /// Notes that an attempt ended.
+    /// Records the end of an attempt.
     pub fn ended(&mut self, ended: &Ended, now: time::Instant) -> Actions {
         let outcome = match ended.outcome {
             Outcome::Completed => admission::Outcome::Completed {
                 first_token_at: ended.first_byte_at,
                 ended_at: ended.ended_at,
             },
-            Outcome::Failed | Outcome::Unreachable | Outcome::Late => admission::Outcome::Failed,
+            Outcome::Failed | Outcome::Unreachable | Outcome::DeadlineExceeded => {
+                admission::Outcome::Failed
+            }
             Outcome::Cancelled => admission::Outcome::Cancelled,
         };
         let context = self.running.remove(&ended.attempt);
         let mut actions = self.admission.finish(ended.attempt, outcome, now);
         match (ended.outcome, context) {
-            (Outcome::Unreachable, _) => actions.extend(self.leave(now)),
-            (Outcome::Completed, Some(context)) => self.served(context, ended.usage, now),
+            (Outcome::Unreachable, _) => actions.extend(self.mark_unreachable(now)),
+            (Outcome::Completed, Some(context)) => self.record_served(context, ended.usage, now),
             _ => {}
         }
         actions
     }
 
-    /// Takes in a load report, or that there was none.
+    /// Handles the result of a load probe.
     pub fn reported(
         &mut self,
         report: Result<load::Report, load::Error>,
@@ -188,10 +198,11 @@
     ) -> Actions {
         match report {
             Ok(report) => {
-                let mut actions = self.arrive(now);
+                let mut actions = self.mark_reachable(now);
                 let boot = xxh3::xxh3_64(report.boot.as_bytes());
-                self.warmth.observe_boot(placement::cache::BootId(boot));
-                let heard = admission::Report {
+                self.cache_index
+                    .observe_boot(placement::cache::BootId(boot));
+                let received = admission::Report {
                     boot,
                     seq: report.seq,
                     running: report.running,
@@ -202,10 +213,10 @@
                     self.idle.clear();
                     self.boot = Some(report.boot);
                 }
-                actions.extend(self.admission.report(heard, now));
+                actions.extend(self.admission.report(received, now));
                 actions
             }
-            Err(load::Error::Connect(_)) => self.leave(now),
+            Err(load::Error::Connect(_)) => self.mark_unreachable(now),
             Err(error) => {
                 logging::event!(
                     debug,
@@ -218,18 +229,20 @@
         }
     }
 
-    /// Checks deadlines.
+    /// Drops unusable idle connections, refuses queued offers whose caller has gone
+    /// or whose queue deadline has passed, and runs admission's timers.
     pub fn tick(&mut self, now: time::Instant) -> Actions {
         self.idle.retain(Connection::is_usable);
-        let is_over = |waiting: &Waiting| waiting.reply.is_closed() || waiting.until <= now;
-        let over: Vec<request::Attempt> = self
+        let is_expired =
+            |waiting: &Waiter| waiting.reply.is_closed() || waiting.queue_deadline <= now;
+        let expired: Vec<request::Attempt> = self
             .waiting
             .iter()
-            .filter(|(_, waiting)| is_over(waiting))
+            .filter(|(_, waiting)| is_expired(waiting))
             .map(|(attempt, _)| *attempt)
             .collect();
         let mut actions = Actions::new();
-        for attempt in over {
+        for attempt in expired {
             actions.extend(self.admission.cancel(attempt, now));
             if let Some(waiting) = self.waiting.remove(&attempt) {
                 self.refuse(waiting, busy(&self.target, now));
@@ -239,7 +252,8 @@
         actions
     }
 
-    /// Sets the most requests that the server may carry by its pool's mean.
+    /// Sets the maximum number of requests that the server may have, as derived
+    /// from the mean load of its pool.
     pub fn set_bound(&mut self, requests: u32, now: time::Instant) -> Actions {
         let bound = admission::Bound {
             requests: Some(requests),
@@ -248,31 +262,31 @@
         self.admission.set_bound(bound, now)
     }
 
-    /// Whether the server is asked for its load.
+    /// Whether the server is probed for its load.
     pub fn is_probed(&self) -> bool {
         self.probe.is_some()
     }
 
-    /// Starts or ends the questions for the server's load.
-    pub fn probe(&mut self, pace: &Pace, owner: &Sender) {
-        if !self.reports || !self.is_owned() {
+    /// Starts or stops probing the server for its load.
+    pub fn probe(&mut self, schedule: &Schedule, owner: &Sender) {
+        if !self.reports_load || !self.is_owned() {
             self.probe = None;
         } else if self.probe.is_none() {
             let server = self.target.server.clone();
-            let probe = Probe::start(server, self.target.address, pace, owner.clone());
+            let probe = Probe::start(server, self.target.address, schedule, owner.clone());
             self.probe = Some(probe);
         }
     }
 
-    /// Keeps a connection for the next request.
-    pub fn keep(&mut self, connection: Connection) {
+    /// Keeps an idle connection for reuse.
+    pub fn store_connection(&mut self, connection: Connection) {
         if self.idle.len() < MAX_IDLE {
             self.idle.push(connection);
         }
     }
 
-    /// An idle connection that can be used again.
-    fn idle(&mut self) -> Option<Connection> {
+    /// Takes an idle connection that is still usable.
+    fn take_idle(&mut self) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
             if connection.is_usable() {
                 return Some(connection);
@@ -281,24 +295,24 @@
         None
     }
 
-    /// Notes that the server has a chat's context in its cache.
+    /// Records that the server has a chat's context in its cache.
     ///
-    /// What the engine says of its use of tokens corrects what was expected. Its
-    /// cache events are not read: at the planned size they alone would take up
-    /// what a router may spend on control traffic.
-    fn served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
+    /// The token usage reported by the engine replaces the estimate. The
+    /// engine's cache events are not read: at the planned size of a deployment
+    /// they alone would use up a router's budget for control traffic.
+    fn record_served(&mut self, context: Context, usage: Option<Usage>, now: time::Instant) {
         let tokens = usage.map_or(context.tokens, |usage| usage.prompt + usage.output);
         if let Some(chat) = context.chat {
-            self.warmth.record_served(chat, tokens, now);
+            self.cache_index.record_served(chat, tokens, now);
         }
     }
 
     /// The server's state for the status page.
     pub fn status(&self, now: time::Instant) -> status::Engine {
         let snapshot = self.admission.snapshot(now);
-        let state = match (self.service, self.presence) {
-            (Service::Open, Presence::Away(_)) => "away",
-            (Service::Open, Presence::There) => match snapshot.state {
+        let state = match (self.service, self.reachability) {
+            (Service::Open, Reachability::Unreachable(_)) => "away",
+            (Service::Open, Reachability::Reachable) => match snapshot.state {
                 admission::State::Cold => "cold",
                 admission::State::Warm => "warm",
                 admission::State::Doubt => "doubt",
@@ -326,7 +340,7 @@
     }
 }
 
-/// The settings of admission for a server of a pool.
+/// The admission settings for a server of a pool.
 fn settings(declared: &resource::Pool) -> admission::Settings {
     let engine = admission::Settings {
         max_concurrency: declared.max_concurrency,
@@ -334,7 +348,7 @@
     };
     match declared.kind {
         resource::Kind::Engine => engine,
-        // Calls to plain services are short, and so is their start.
+        // Calls to plain services are short, and so is their warm-up.
         resource::Kind::Service => admission::Settings {
             full_growth_run_time: SERVICE_GROWTH_TIME,
             ..engine
--- a/crates/router/src/owner/probe.rs
+++ b/crates/router/src/owner/probe.rs
@@ -1,4 +1,4 @@
-//! The task that asks one backend server for its load.
+//! Periodic load probes of one backend server.
 
 use std::{net, sync::Arc, time::Duration};
 
@@ -13,59 +13,62 @@
 use super::Message;
 use crate::backend::load;
 
-/// The least time between two questions to a server.
-const INTERVAL: Duration = Duration::from_secs(2);
-/// The time between two questions of one router to any of its servers.
+/// Minimum interval between two probes of the same server.
+const MIN_INTERVAL: Duration = Duration::from_secs(2);
+/// Interval between two probes by one router, whichever of its servers they go
+/// to.
 ///
-/// A question and its answer take about 220 bytes, so that probes stay at a
-/// small part of what a router may spend on control, however many servers it owns.
-const SHARE: Duration = Duration::from_millis(1500);
-/// How often a server is asked that does not accept connections.
-const AWAY_INTERVAL: Duration = Duration::from_millis(500);
+/// A probe and its response take about 220 bytes. The interval keeps probes to
+/// a small part of a router's budget for control traffic, however many servers
+/// it owns.
+const INTERVAL_PER_SERVER: Duration = Duration::from_millis(1500);
+/// Interval between probes of a server that does not accept connections.
+const UNREACHABLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Asks a server for its load until it is dropped.
+/// Probes a server for its load until dropped.
 #[derive(Debug)]
 pub struct Probe {
     task: JoinHandle<()>,
 }
 
 impl Probe {
-    /// Asks `server` at `address` and tells `owner`.
+    /// Starts probing `server` at `address`, and reports the results to
+    /// `owner`.
     pub fn start(
         server: backend::Server,
         address: net::SocketAddr,
-        pace: &Pace,
+        schedule: &Schedule,
         owner: mpsc::UnboundedSender<Message>,
     ) -> Self {
-        let client = load::Client::new(address, Arc::clone(&pace.traffic));
-        let interval = pace.interval.subscribe();
+        let client = load::Client::new(address, Arc::clone(&schedule.traffic));
+        let interval = schedule.interval.subscribe();
         Self {
-            task: tokio::spawn(ask(server, client, interval, owner)),
+            task: tokio::spawn(poll(server, client, interval, owner)),
         }
     }
 }
 
-/// What the probes of one router share.
+/// Probe interval and traffic counter shared by all probes of one router.
 #[derive(Debug)]
-pub struct Pace {
+pub struct Schedule {
     traffic: Arc<Traffic>,
     interval: watch::Sender<Duration>,
 }
 
-impl Pace {
-    /// A pace for probes whose bytes are counted in `traffic`.
+impl Schedule {
+    /// Creates a schedule for probes whose bytes are counted in `traffic`.
     pub fn new(traffic: Arc<Traffic>) -> Self {
         Self {
             traffic,
-            interval: watch::Sender::new(INTERVAL),
+            interval: watch::Sender::new(MIN_INTERVAL),
         }
     }
 
-    /// Sets how many servers share the questions of this router.
-    pub fn servers(&self, servers: usize) {
+    /// Sets the number of servers that share this router's rate of probes.
+    pub fn set_server_count(&self, servers: usize) {
         let servers = u32::try_from(servers).unwrap_or(u32::MAX);
-        let share = SHARE.saturating_mul(servers);
-        self.interval.send_replace(share.max(INTERVAL));
+        let interval = INTERVAL_PER_SERVER.saturating_mul(servers);
+        self.interval.send_replace(interval.max(MIN_INTERVAL));
     }
 }
 
@@ -75,22 +78,22 @@
     }
 }
 
-/// Asks over one kept connection, since a new one for each question costs more
-/// bytes than the question.
-async fn ask(
+/// Probes over one persistent connection, since opening a new one for each
+/// probe costs more bytes than the probe itself.
+async fn poll(
     server: backend::Server,
     mut client: load::Client,
     interval: watch::Receiver<Duration>,
     owner: mpsc::UnboundedSender<Message>,
 ) {
     loop {
-        let asked = time::timeout(load::TIMEOUT, client.ask()).await;
-        let report = asked.unwrap_or_else(|_| {
+        let polled = time::timeout(load::TIMEOUT, client.ask()).await;
+        let report = polled.unwrap_or_else(|_| {
             client.forget();
             Err(load::Error::Closed)
         });
-        let pause = match report {
-            Err(load::Error::Connect(_)) => AWAY_INTERVAL,
+        let delay = match report {
+            Err(load::Error::Connect(_)) => UNREACHABLE_INTERVAL,
             _ => *interval.borrow(),
         };
         if owner
@@ -99,6 +102,6 @@
         {
             return;
         }
-        time::sleep(pause).await;
+        time::sleep(delay).await;
     }
 }
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -19,7 +19,7 @@
     claims::Claims,
     clock::Clock,
     entry::Entry,
-    follow::{self, Follow},
+    follow::{self, Follower},
     gossip::{self, Gossip},
     hop::{client, server},
     members::Members,
@@ -117,7 +117,7 @@
             metrics: Arc::clone(&metrics),
         };
         let (follow_sender, follow_messages) = mpsc::channel(64);
-        let follow = Follow::new(clock, Region::of(&settings.zone), sources, outputs);
+        let follow = Follower::new(clock, Region::of(&settings.zone), sources, outputs);
         let inputs = owner::Inputs {
             view: view.clone(),
             members: members.clone(),
@@ -157,7 +157,7 @@
             tracker: tracker_handle,
             claims: claims_handle,
             links: client::Links::start(settings.key.clone()),
-            fingerprints: settings.key.derive(FINGERPRINT_USAGE),
+            fingerprint_key: settings.key.derive(FINGERPRINT_USAGE),
             phase: phase_receiver.clone(),
         });
         let tasks = vec![
@@ -229,7 +229,7 @@
         let drained = async {
             // A panic of the task was logged already.
             let _ = self.callers.await;
-            self.entry.owner.drained().await;
+            self.entry.owner.wait_drained().await;
         };
         if time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
             logging::event!(warn, "drain_timed_out");
--- a/crates/router/src/tracker/guard.rs
+++ b/crates/router/src/tracker/guard.rs
@@ -1,38 +1,38 @@
-//! What the tracker is told when a request or an attempt ends.
+//! Reports to the tracker when a request or an attempt ends.
 
 use units::{backend, pool, request, workspace};
 
 use super::Handle;
 
-/// How an attempt on a server went.
+/// How an attempt on a server ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
-    /// Its whole answer arrived.
-    Whole,
+    /// Its complete response arrived.
+    Completed,
     /// The server failed.
     Failed,
-    /// The server died.
-    Died,
+    /// The server crashed.
+    Crashed,
 }
 
 /// An attempt that ended.
 #[derive(Clone, Debug)]
-pub struct Ran {
+pub struct AttemptEnded {
     /// The server's pool.
     pub pool: pool::Id,
     /// The server.
     pub server: backend::Server,
     /// The request.
     pub fingerprint: request::Fingerprint,
-    /// Names the death of the server, if it died.
-    pub cause: u64,
-    /// How it went.
+    /// Identifies the crash of the server, if it crashed.
+    pub crash_id: u64,
+    /// How it ended.
     pub ending: Ending,
 }
 
 /// A request that ended.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct RequestEnded {
     /// Its workspace.
     pub workspace: workspace::Id,
 }
@@ -59,13 +59,19 @@
         }
     }
 
-    /// Tells how an attempt at this request went.
-    pub fn ran(&self, pool: pool::Id, server: backend::Server, cause: u64, ending: Ending) {
-        self.tracker.ran(Ran {
+    /// Reports how an attempt at this request ended.
+    pub fn attempt_ended(
+        &self,
+        pool: pool::Id,
+        server: backend::Server,
+        crash_id: u64,
+        ending: Ending,
+    ) {
+        self.tracker.attempt_ended(AttemptEnded {
             pool,
             server,
             fingerprint: self.fingerprint,
-            cause,
+            crash_id,
             ending,
         });
     }
@@ -73,7 +79,7 @@
 
 impl Drop for Guard {
     fn drop(&mut self) {
-        self.tracker.ended(Ended {
+        self.tracker.request_ended(RequestEnded {
             workspace: self.workspace.clone(),
         });
     }
--- a/crates/router/tests/fleet/cluster.rs
+++ b/crates/router/tests/fleet/cluster.rs
@@ -1,4 +1,5 @@
-//! Routers beside stand-ins of the platform, engines and plain services.
+//! A test deployment: routers with stand-ins of the platform, the engines and
+//! the plain services.
 
 use std::{
     collections::BTreeSet,
@@ -14,20 +15,21 @@
     process::Process,
 };
 
-/// How long a test waits for a state before it fails: longer than any fault
-/// takes to be noticed on a busy machine.
-const PATIENCE: Duration = Duration::from_secs(40);
+/// How long a test waits for a state before it fails. It is longer than the
+/// detection of any fault takes on a busy machine.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(40);
 
-/// How many of each there are in each availability zone.
+/// The size of a test deployment: the number of zones, and of routers and
+/// engines in each zone.
 #[derive(Clone, Debug)]
-pub struct Shape {
+pub struct Topology {
     pub zones: usize,
     pub routers: usize,
     pub engines: usize,
     pub engine: engine::Settings,
 }
 
-impl Default for Shape {
+impl Default for Topology {
     fn default() -> Self {
         Self {
             zones: 2,
@@ -38,8 +40,9 @@
     }
 }
 
-impl Shape {
-    /// One of each, so that a fault hits whatever serves.
+impl Topology {
+    /// One zone with one router, engine and service, so that a fault always
+    /// hits the serving instance.
     pub fn one_zone() -> Self {
         Self {
             zones: 1,
@@ -57,14 +60,14 @@
     revision: u64,
 }
 
-/// An engine and where it is.
+/// An engine and its zone.
 pub struct Engine {
     pub name: String,
     pub zone: String,
     pub handle: engine::Handle,
 }
 
-/// A plain service and where it is.
+/// A plain service and its zone.
 pub struct Service {
     pub name: String,
     pub zone: String,
@@ -78,7 +81,7 @@
 
 impl Cluster {
     /// Starts a deployment and waits until its routers serve.
-    pub async fn start(shape: Shape) -> Self {
+    pub async fn start(topology: Topology) -> Self {
         let platform = platform::start(platform::Settings::default())
             .await
             .expect("the platform starts");
@@ -89,13 +92,14 @@
             routers: Vec::new(),
             revision: 0,
         };
-        for index in 0..shape.zones {
-            cluster.start_servers(index, &shape).await;
+        for index in 0..topology.zones {
+            cluster.start_servers(index, &topology).await;
         }
-        // A router that reads the list knows all backend servers from its start.
+        // The list is set first, so that the routers know all backend servers
+        // from their start.
         cluster.list_hosts(&[]);
-        for index in 0..shape.zones {
-            for number in 0..shape.routers {
+        for index in 0..topology.zones {
+            for number in 0..topology.routers {
                 cluster.start_router(&format!("router-{index}-{number}"), &zone(index));
             }
         }
@@ -114,14 +118,14 @@
                 "timeout_ms": 10000}),
             ])
             .await;
-        cluster.settled().await;
+        cluster.wait_settled().await;
         cluster
     }
 
-    async fn start_servers(&mut self, index: usize, shape: &Shape) {
+    async fn start_servers(&mut self, index: usize, topology: &Topology) {
         let zone = zone(index);
-        for number in 0..shape.engines {
-            let handle = engine::start(shape.engine.clone()).await;
+        for number in 0..topology.engines {
+            let handle = engine::start(topology.engine.clone()).await;
             self.engines.push(Engine {
                 name: format!("engine-{index}-{number}"),
                 zone: zone.clone(),
@@ -142,7 +146,8 @@
         self.routers.push(process);
     }
 
-    /// Gives the platform its list of hosts; the backend servers in `leaving` are about to stop.
+    /// Sets the platform's host list; the backend servers in `leaving` are
+    /// listed as about to stop.
     pub fn list_hosts(&self, leaving: &[&str]) {
         let state = |name: &str| match leaving.contains(&name) {
             true => String::from("leaving"),
@@ -171,7 +176,7 @@
         self.platform.set_hosts(hosts);
     }
 
-    /// Puts resources into the platform's table, as an accepted change.
+    /// Writes resources to the platform's table, as an accepted change.
     pub async fn declare(&mut self, resources: Vec<Value>) {
         let from = self.revision;
         self.revision += 1;
@@ -207,18 +212,19 @@
             .unwrap_or_default()
     }
 
-    /// Waits until each router has the present revision and knows all others as ready.
-    pub async fn settled(&self) {
+    /// Waits until each router has applied the current revision and sees all
+    /// others as ready.
+    pub async fn wait_settled(&self) {
         let all: Vec<usize> = (0..self.routers.len()).collect();
-        self.settled_among(&all).await;
+        self.wait_settled_among(&all).await;
     }
 
-    /// The same for some of the routers.
-    pub async fn settled_among(&self, routers: &[usize]) {
+    /// Like `wait_settled`, for the given routers only.
+    pub async fn wait_settled_among(&self, routers: &[usize]) {
         let expected = routers.len();
         for router in routers {
-            until(
-                "a router has the revision and knows the others",
+            wait_until(
+                "a router has the revision and sees the others as ready",
                 async || {
                     let status = self.status(*router).await;
                     let members = status["members"].as_array().cloned().unwrap_or_default();
@@ -230,14 +236,14 @@
             )
             .await;
         }
-        until("all servers have an owner", async || {
-            self.owned_among(routers).await == self.names().len()
+        wait_until("all servers have an owner", async || {
+            self.owned_count(routers).await == self.server_names().len()
         })
         .await;
     }
 
-    /// How many backend servers some routers own together.
-    async fn owned_among(&self, routers: &[usize]) -> usize {
+    /// The number of backend servers that the given routers own together.
+    async fn owned_count(&self, routers: &[usize]) -> usize {
         let mut owned = BTreeSet::new();
         for router in routers {
             let status = self.status(*router).await;
@@ -248,7 +254,7 @@
         owned.len()
     }
 
-    /// Which router owns a backend server.
+    /// The index of the router that owns a backend server.
     pub async fn owner_of(&self, server: &str) -> usize {
         for router in 0..self.routers.len() {
             let status = self.status(router).await;
@@ -257,13 +263,13 @@
                 return router;
             }
         }
-        panic!("nobody owns {server}");
+        panic!("no router owns {server}");
     }
 
-    /// Waits until all backend servers are in one of some states.
-    pub async fn servers_are(&self, states: &[&str]) {
-        until("all servers are in the expected state", async || {
-            for server in self.names() {
+    /// Waits until the state of each backend server is one of `states`.
+    pub async fn wait_for_states(&self, states: &[&str]) {
+        wait_until("all servers are in the expected state", async || {
+            for server in self.server_names() {
                 let state = self.state_of(&server).await;
                 if !states.contains(&state.as_str()) {
                     return false;
@@ -274,13 +280,14 @@
         .await;
     }
 
-    fn names(&self) -> Vec<String> {
+    fn server_names(&self) -> Vec<String> {
         let engines = self.engines.iter().map(|engine| engine.name.clone());
         let services = self.services.iter().map(|service| service.name.clone());
         engines.chain(services).collect()
     }
 
-    /// What the owner of a backend server says of it.
+    /// The state of a backend server on its owner's status page, empty if no
+    /// router owns it.
     pub async fn state_of(&self, server: &str) -> String {
         for router in 0..self.routers.len() {
             let status = self.status(router).await;
@@ -299,9 +306,9 @@
         answer.expect("the router answers")
     }
 
-    /// Sends a call to one router until it is served, as a caller would that is
-    /// told that its request has not run.
-    pub async fn served(&self, router: usize, call: &Call) -> Answer {
+    /// Sends a call to one router, and repeats it until it is served, as a
+    /// caller may while the verdict is `not_run`.
+    pub async fn send_until_served(&self, router: usize, call: &Call) -> Answer {
         let started = Instant::now();
         loop {
             let answer = self.send(router, call).await;
@@ -310,12 +317,13 @@
             }
             let verdict = answer.error("verdict");
             assert_eq!(verdict, "not_run", "{}", answer.body);
-            assert!(started.elapsed() < PATIENCE, "{}", answer.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// Sends a call to one router until it is answered with `status`.
+    /// Sends a call to one router, and repeats it until the response has
+    /// `status`.
     pub async fn wait_for(&self, router: usize, call: &Call, status: u16) -> Answer {
         let started = Instant::now();
         loop {
@@ -323,18 +331,18 @@
             if answer.status == status {
                 return answer;
             }
-            assert!(started.elapsed() < PATIENCE, "{}", answer.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
-    /// How often a booking ran, over all services.
+    /// The number of times that a booking ran, over all services.
     pub fn runs(&self, key: &str) -> u64 {
         let ledgers = self.services.iter().map(|service| service.handle.ledger());
         ledgers.map(|ledger| ledger.runs(key)).sum()
     }
 
-    /// Requests that reached the engines of a zone.
+    /// The number of requests that reached the engines of a zone.
     pub fn requests_in(&self, zone: &str) -> u64 {
         let engines = self.engines.iter().filter(|engine| engine.zone == zone);
         engines
@@ -344,10 +352,13 @@
 }
 
 /// Waits until `condition` holds.
-pub async fn until(what: &str, condition: impl AsyncFn() -> bool) {
+pub async fn wait_until(what: &str, condition: impl AsyncFn() -> bool) {
     let started = Instant::now();
     while !condition().await {
-        assert!(started.elapsed() < PATIENCE, "waited in vain until {what}");
+        assert!(
+            started.elapsed() < WAIT_TIMEOUT,
+            "timed out waiting until {what}"
+        );
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
 }
