--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -27,7 +27,7 @@
 }
 
 /// What was given.
-pub enum Given {
+pub enum Command {
     /// For a run.
     Run(Box<Run>),
     /// For a comparison.
@@ -43,15 +43,15 @@
     chats: Raw,
     pause: Raw,
     turns: Raw,
-    bookers: Raw,
+    booking_callers: Raw,
     booking_pause: Raw,
     booking_path: Raw,
-    repeats: Raw,
-    lookers: Raw,
+    duplicate_percent: Raw,
+    lookup_callers: Raw,
     lookup_pause: Raw,
     lookup_path: Raw,
-    patience: Raw,
-    repeats_broken: bool,
+    timeout: Raw,
+    retries_broken: bool,
     phases: Raw,
     seed: Raw,
     has_timeline: bool,
@@ -69,20 +69,20 @@
 /// The settings of a comparison as they were given.
 pub struct Compare {
     direct: Raw,
-    through: Raw,
+    routed: Raw,
     requests: Raw,
     warm_up: Raw,
     sizes: Sizes,
 }
 
 /// Reads the command, if any, and the flags.
-pub fn given() -> impl Parser<Given> {
-    let compare = compare().map(Box::new).map(Given::Compare);
+pub fn command() -> impl Parser<Command> {
+    let compare = compare().map(Box::new).map(Command::Compare);
     let compare = compare
         .to_options()
         .descr("Measure what a router adds over a direct connection")
         .command("compare");
-    let run = run().map(Box::new).map(Given::Run);
+    let run = run().map(Box::new).map(Command::Run);
     construct!([compare, run])
 }
 
@@ -154,7 +154,7 @@
         "N",
         "Messages of a chat before it starts over [12]",
     );
-    let bookers = text("bookers", "WEIR_LOAD_BOOKERS", "N", "Callers that book [4]");
+    let booking_callers = text("bookers", "WEIR_LOAD_BOOKERS", "N", "Callers that book [4]");
     let booking_pause = text(
         "booking-pause-ms",
         "WEIR_LOAD_BOOKING_PAUSE_MS",
@@ -167,13 +167,13 @@
         "PATH",
         "Where bookings go [/bookings]",
     );
-    let repeats = text(
+    let duplicate_percent = text(
         "repeats",
         "WEIR_LOAD_REPEATS",
         "PERCENT",
         "Bookings that are sent twice at once with one key [20]",
     );
-    let lookers = text(
+    let lookup_callers = text(
         "lookers",
         "WEIR_LOAD_LOOKERS",
         "N",
@@ -191,7 +191,7 @@
         "PATH",
         "Under which lookups are [/lookups]",
     );
-    let patience = text(
+    let timeout = text(
         "patience-ms",
         "WEIR_LOAD_PATIENCE_MS",
         "MILLISECONDS",
@@ -203,7 +203,7 @@
         "N",
         "Seed of all random choices [1]",
     );
-    let repeats_broken = bpaf::long("repeat-broken")
+    let retries_broken = bpaf::long("repeat-broken")
         .help("Send a request again whose connection broke")
         .switch();
     let phases = text(
@@ -223,15 +223,15 @@
         chats,
         pause,
         turns,
-        bookers,
+        booking_callers,
         booking_pause,
         booking_path,
-        repeats,
-        lookers,
+        duplicate_percent,
+        lookup_callers,
         lookup_pause,
         lookup_path,
-        patience,
-        repeats_broken,
+        timeout,
+        retries_broken,
         phases,
         seed,
         has_timeline,
@@ -240,7 +240,7 @@
 
 fn compare() -> impl Parser<Compare> {
     let direct = text("direct", "WEIR_LOAD_DIRECT", "IP:PORT", "An engine");
-    let through = text(
+    let routed = text(
         "through",
         "WEIR_LOAD_THROUGH",
         "IP:PORT",
@@ -261,7 +261,7 @@
     let sizes = sizes();
     construct!(Compare {
         direct,
-        through,
+        routed,
         requests,
         warm_up,
         sizes
@@ -269,38 +269,44 @@
 }
 
 /// Turns what was given into a task.
-pub fn check(given: Given, faults: &mut Faults) -> Option<Task> {
-    match given {
-        Given::Run(given) => check_run(&given, faults).map(|settings| Task::Run {
+pub fn check(command: Command, faults: &mut Faults) -> Option<Task> {
+    match command {
+        Command::Run(raw) => check_run(&raw, faults).map(|settings| Task::Run {
             settings,
-            has_timeline: given.has_timeline,
+            has_timeline: raw.has_timeline,
         }),
-        Given::Compare(given) => check_compare(&given, faults).map(Task::Compare),
+        Command::Compare(raw) => check_compare(&raw, faults).map(Task::Compare),
     }
 }
 
-fn check_run(given: &Run, faults: &mut Faults) -> Option<Settings> {
-    let routers = value::addresses(&given.routers, faults);
+fn check_run(raw: &Run, faults: &mut Faults) -> Option<Settings> {
+    let routers = value::addresses(&raw.routers, faults);
     if routers.as_ref().is_some_and(Vec::is_empty) {
-        faults.add(&given.routers, value::ADDRESSES);
+        faults.add(&raw.routers, value::ADDRESSES);
     }
-    let ledgers = value::addresses(&given.ledgers, faults);
-    let sized = check_sizes(&given.sizes, faults);
+    let ledgers = value::addresses(&raw.ledgers, faults);
+    let sizes = check_sizes(&raw.sizes, faults);
     let default = Settings::default();
-    let duration = value::millis(&given.duration, default.duration, faults);
-    let chats = faults.within(&given.chats, default.chats, 0..=MAX_CALLERS);
-    let pause = value::millis(&given.pause, default.pause, faults);
-    let turns = faults.within(&given.turns, default.turns, 1..=10_000);
-    let bookers = faults.within(&given.bookers, default.bookers, 0..=MAX_CALLERS);
-    let booking_pause = value::millis(&given.booking_pause, default.booking_pause, faults);
-    let booking_path = value::path(&given.booking_path, default.booking_path, faults);
-    let repeats = faults.within(&given.repeats, default.repeats, 0..=100);
-    let lookers = faults.within(&given.lookers, default.lookers, 0..=MAX_CALLERS);
-    let lookup_pause = value::millis(&given.lookup_pause, default.lookup_pause, faults);
-    let lookup_path = value::path(&given.lookup_path, default.lookup_path, faults);
-    let patience = value::millis(&given.patience, default.patience, faults);
-    let phases = value::phases(&given.phases, faults);
-    let seed = faults.within(&given.seed, default.seed, 0..=u64::MAX);
+    let duration = value::millis(&raw.duration, default.duration, faults);
+    let chats = faults.within(&raw.chats, default.chats, 0..=MAX_CALLERS);
+    let pause = value::millis(&raw.pause, default.pause, faults);
+    let turns = faults.within(&raw.turns, default.turns, 1..=10_000);
+    let booking_callers = faults.within(
+        &raw.booking_callers,
+        default.booking_callers,
+        0..=MAX_CALLERS,
+    );
+    let booking_pause = value::millis(&raw.booking_pause, default.booking_pause, faults);
+    let booking_path = value::path(&raw.booking_path, default.booking_path, faults);
+    let duplicate_percent =
+        faults.within(&raw.duplicate_percent, default.duplicate_percent, 0..=100);
+    let lookup_callers =
+        faults.within(&raw.lookup_callers, default.lookup_callers, 0..=MAX_CALLERS);
+    let lookup_pause = value::millis(&raw.lookup_pause, default.lookup_pause, faults);
+    let lookup_path = value::path(&raw.lookup_path, default.lookup_path, faults);
+    let timeout = value::millis(&raw.timeout, default.timeout, faults);
+    let phases = value::phases(&raw.phases, faults);
+    let seed = faults.within(&raw.seed, default.seed, 0..=u64::MAX);
     Some(Settings {
         routers: routers?,
         ledgers: ledgers?,
@@ -308,48 +314,48 @@
         chats: chats?,
         pause: pause?,
         turns: turns?,
-        bookers: bookers?,
+        booking_callers: booking_callers?,
         booking_pause: booking_pause?,
         booking_path: booking_path?,
-        repeats: repeats?,
-        lookers: lookers?,
+        duplicate_percent: duplicate_percent?,
+        lookup_callers: lookup_callers?,
         lookup_pause: lookup_pause?,
         lookup_path: lookup_path?,
-        patience: patience?,
-        repeats_broken: given.repeats_broken,
+        timeout: timeout?,
+        retries_broken: raw.retries_broken,
         phases: phases?,
         seed: seed?,
-        ..sized?
+        ..sizes?
     })
 }
 
-fn check_sizes(given: &Sizes, faults: &mut Faults) -> Option<Settings> {
+fn check_sizes(raw: &Sizes, faults: &mut Faults) -> Option<Settings> {
     let default = Settings::default();
-    let words = faults.within(&given.words, default.words, 0..=100_000);
-    let tokens = faults.within(&given.tokens, default.tokens, 1..=4096);
-    let workspaces = match given.workspaces.as_str() {
+    let words = faults.within(&raw.words, default.words, 0..=100_000);
+    let tokens = faults.within(&raw.tokens, default.tokens, 1..=4096);
+    let workspaces = match raw.workspaces.as_str() {
         Some(names) => names.split(',').map(String::from).collect(),
         None => default.workspaces,
     };
     Some(Settings {
         workspaces,
-        key: given.key.as_str().map(String::from),
+        key: raw.key.as_str().map(String::from),
         words: words?,
         tokens: tokens?,
-        model: given.model.as_str().map_or(default.model, String::from),
+        model: raw.model.as_str().map_or(default.model, String::from),
         ..Settings::default()
     })
 }
 
-fn check_compare(given: &Compare, faults: &mut Faults) -> Option<compare::Comparison> {
-    let direct = faults.required(&given.direct, settings::ADDRESS);
-    let through = faults.required(&given.through, settings::ADDRESS);
-    let requests = faults.within(&given.requests, 2000, 1..=10_000_000);
-    let warm_up = faults.within(&given.warm_up, 200, 0..=10_000_000);
-    let load = check_sizes(&given.sizes, faults);
+fn check_compare(raw: &Compare, faults: &mut Faults) -> Option<compare::Comparison> {
+    let direct = faults.required(&raw.direct, settings::ADDRESS);
+    let routed = faults.required(&raw.routed, settings::ADDRESS);
+    let requests = faults.within(&raw.requests, 2000, 1..=10_000_000);
+    let warm_up = faults.within(&raw.warm_up, 200, 0..=10_000_000);
+    let load = check_sizes(&raw.sizes, faults);
     Some(compare::Comparison {
         direct: direct?,
-        through: through?,
+        routed: routed?,
         requests: requests?,
         warm_up: warm_up?,
         load: load?,
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -17,9 +17,9 @@
 use crate::client::Pool;
 
 /// How often each router is asked whether it is ready.
-const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+const PROBE_INTERVAL: Duration = Duration::from_millis(200);
 /// How long a router may take to say so.
-const CHECK_TIMEOUT: Duration = Duration::from_secs(1);
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The routers and which of them are ready.
 #[derive(Debug)]
@@ -54,20 +54,20 @@
     pub fn pick(&self) -> Option<SocketAddr> {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.routers.len();
-        let turns = (0..count).map(|turn| &self.routers[(first + turn) % count]);
-        let mut ready = turns.filter(|router| router.is_ready.load(Ordering::Relaxed));
+        let candidates = (0..count).map(|offset| &self.routers[(first + offset) % count]);
+        let mut ready = candidates.filter(|router| router.is_ready.load(Ordering::Relaxed));
         ready.next().map(|router| router.address)
     }
 
     /// Asks each router once whether it is ready.
-    pub async fn check(&self) {
-        let checks = self.routers.iter().map(|router| self.check_one(router));
-        futures_util::future::join_all(checks).await;
+    pub async fn probe(&self) {
+        let probes = self.routers.iter().map(|router| self.probe_router(router));
+        futures_util::future::join_all(probes).await;
     }
 
-    async fn check_one(&self, router: &Router) {
-        let asked = time::timeout(CHECK_TIMEOUT, self.is_ready(router.address)).await;
-        let is_ready = asked.unwrap_or(false);
+    async fn probe_router(&self, router: &Router) {
+        let response = time::timeout(PROBE_TIMEOUT, self.is_ready(router.address)).await;
+        let is_ready = response.unwrap_or(false);
         let was_ready = router.is_ready.swap(is_ready, Ordering::Relaxed);
         if was_ready != is_ready {
             logging::event!(
@@ -85,19 +85,19 @@
         let Ok(exchange) = self.pool.send(address, request).await else {
             return false;
         };
-        let (response, kept) = exchange.split();
+        let (response, connection) = exchange.split();
         let is_ready = response.status() == StatusCode::OK;
         if response.into_body().collect().await.is_ok() {
-            self.pool.keep(kept);
+            self.pool.release(connection);
         }
         is_ready
     }
 
     /// Asks all routers again and again until it is aborted.
-    pub async fn watch(self: Arc<Self>) {
+    pub async fn probe_periodically(self: Arc<Self>) {
         loop {
-            self.check().await;
-            time::sleep(CHECK_INTERVAL).await;
+            self.probe().await;
+            time::sleep(PROBE_INTERVAL).await;
         }
     }
 }
--- a/crates/load/src/booking.rs
+++ b/crates/load/src/booking.rs
@@ -11,19 +11,19 @@
 use crate::{
     balancer::Balancer,
     call::{Call, Expected},
-    patience,
     report::{self, Kind},
+    retry,
     settings::Settings,
     traffic,
 };
 
 /// The stream of random numbers that bookings take theirs from.
-const RANDOM: u64 = 2;
+const RNG_STREAM: u64 = 2;
 
 /// A call for the booking `id`.
 pub fn call(settings: &Settings, workspace: &str, id: &str) -> Call {
     let mut headers = traffic::headers(settings, workspace);
-    traffic::add(&mut headers, "idempotency-key", id);
+    traffic::add_header(&mut headers, "idempotency-key", id);
     Call {
         method: Method::POST,
         path: settings.booking_path.clone(),
@@ -34,28 +34,28 @@
 }
 
 /// Plays a caller that books until `end`; some bookings it sends twice at once.
-pub async fn play(
+pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
-    results: report::Sender,
+    records: report::Sender,
     caller: u32,
     end: Instant,
 ) {
-    let mut random = traffic::random(&settings, RANDOM, caller);
+    let mut rng = traffic::rng(&settings, RNG_STREAM, caller);
     // Two runs against the same services must not share keys.
     let run: u64 = rand::random();
     for number in 0_u32.. {
-        time::sleep(traffic::pause(settings.booking_pause, &mut random)).await;
+        time::sleep(traffic::pause(settings.booking_pause, &mut rng)).await;
         if Instant::now() >= end {
             return;
         }
-        let workspace = traffic::workspace(&settings, &mut random);
+        let workspace = traffic::workspace(&settings, &mut rng);
         let id = format!("booking-{run:016x}-{caller}-{number}");
         let call = call(&settings, workspace, &id);
-        let copies = 1 + usize::from(random.random_ratio(settings.repeats, 100));
-        let sends = (0..copies).map(|_| patience::persist(&call, &balancer, &settings));
-        for ended in future::join_all(sends).await {
-            results.send(Kind::Booking, &id, ended);
+        let copies = 1 + usize::from(rng.random_ratio(settings.duplicate_percent, 100));
+        let samples = (0..copies).map(|_| retry::send(&call, &balancer, &settings));
+        for sample in future::join_all(samples).await {
+            records.send(Kind::Booking, &id, sample);
         }
     }
 }
--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -8,7 +8,7 @@
 use serde::Deserialize;
 
 use crate::{
-    client::{Failure, Kept, Pool},
+    client::{Connection, Failure, Pool},
     outcome::{Outcome, Refusal, Usage},
     traffic,
 };
@@ -41,7 +41,7 @@
 
 /// One try, when it got its first token and what it ended with.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     /// The outcome.
     pub outcome: Outcome,
     /// When the first token came.
@@ -51,24 +51,24 @@
 }
 
 #[derive(Deserialize)]
-struct Refused {
+struct ErrorBody {
     error: Refusal,
 }
 
 #[derive(Deserialize)]
-struct Text {
+struct Content {
     content: String,
 }
 
 #[derive(Deserialize)]
 struct Choice {
-    delta: Option<Text>,
-    message: Option<Text>,
+    delta: Option<Content>,
+    message: Option<Content>,
 }
 
 /// A chat completion or one piece of it, or a refusal in its place.
 #[derive(Deserialize)]
-struct Piece {
+struct Chunk {
     #[serde(default)]
     choices: Vec<Choice>,
     usage: Option<Usage>,
@@ -76,7 +76,7 @@
 }
 
 #[derive(Deserialize)]
-struct Confirmed {
+struct ConfirmationBody {
     confirmation: String,
 }
 
@@ -84,24 +84,24 @@
     /// Sends it once to `address` and reads the answer to its end.
     ///
     /// The routers' logs tell of it by `id`, which is 16 hex digits.
-    pub async fn send(&self, id: &str, pool: &Pool, address: std::net::SocketAddr) -> Try {
+    pub async fn send(&self, id: &str, pool: &Pool, address: std::net::SocketAddr) -> Attempt {
         let exchange = match pool.send(address, self.request(id, address)).await {
             Ok(exchange) => exchange,
-            Err(Failure::Unreached(reason)) => return Try::failed(reason, false),
-            Err(Failure::Broken(reason)) => return Try::failed(reason, true),
+            Err(Failure::Unreached(reason)) => return Attempt::failed(reason, false),
+            Err(Failure::Broken(reason)) => return Attempt::failed(reason, true),
         };
-        let (response, kept) = exchange.split();
+        let (response, connection) = exchange.split();
         let (head, body) = response.into_parts();
         let is_stream = matches!(self.expected, Expected::Stream(_));
         if head.status == StatusCode::OK && is_stream {
-            return self.read_stream(body, pool, kept).await;
+            return self.read_stream(body, pool, connection).await;
         }
         match body.collect().await {
             Ok(collected) => {
-                pool.keep(kept);
-                self.read_whole(head.status, &collected.to_bytes())
+                pool.release(connection);
+                self.read_body(head.status, &collected.to_bytes())
             }
-            Err(error) => Try::failed(error.to_string(), true),
+            Err(error) => Attempt::failed(error.to_string(), true),
         }
     }
 
@@ -110,61 +110,70 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.path.parse().unwrap_or_default();
         *request.headers_mut() = self.headers.clone();
-        traffic::add(request.headers_mut(), "x-request-id", id);
+        traffic::add_header(request.headers_mut(), "x-request-id", id);
         if let Ok(host) = header::HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(header::HOST, host);
         }
         request
     }
 
-    fn read_whole(&self, status: StatusCode, body: &[u8]) -> Try {
+    fn read_body(&self, status: StatusCode, body: &[u8]) -> Attempt {
         let outcome = if status == StatusCode::OK {
-            self.judge_whole(body)
+            self.check_body(body)
         } else {
             refusal(status, body)
         };
-        Try {
+        Attempt {
             outcome,
             first_token: Some(Instant::now()),
             was_sent: true,
         }
     }
 
-    fn judge_whole(&self, body: &[u8]) -> Outcome {
+    fn check_body(&self, body: &[u8]) -> Outcome {
         match &self.expected {
             Expected::Confirmation(expected) => {
-                let got = serde_json::from_slice::<Confirmed>(body);
-                judge(expected, got.map(|g| g.confirmation).ok(), Usage::default())
+                let received = serde_json::from_slice::<ConfirmationBody>(body);
+                check_text(
+                    expected,
+                    received.map(|body| body.confirmation).ok(),
+                    Usage::default(),
+                )
             }
             Expected::Completion(expected) | Expected::Stream(expected) => {
-                let Ok(mut piece) = serde_json::from_slice::<Piece>(body) else {
-                    return Outcome::Wrong(shown(body));
+                let Ok(mut chunk) = serde_json::from_slice::<Chunk>(body) else {
+                    return Outcome::Wrong(excerpt(body));
                 };
-                let message = piece.choices.pop().and_then(|choice| choice.message);
-                let usage = piece.usage.unwrap_or_default();
-                judge(expected, message.map(|m| m.content), usage)
+                let message = chunk.choices.pop().and_then(|choice| choice.message);
+                let usage = chunk.usage.unwrap_or_default();
+                check_text(expected, message.map(|m| m.content), usage)
             }
         }
     }
 
-    async fn read_stream(&self, body: body::Incoming, pool: &Pool, kept: Kept) -> Try {
+    async fn read_stream(
+        &self,
+        body: body::Incoming,
+        pool: &Pool,
+        connection: Connection,
+    ) -> Attempt {
         let mut stream = Stream::default();
-        let ended = stream.read(body).await;
-        let outcome = match (stream.refusal, ended) {
+        let read = stream.read(body).await;
+        let outcome = match (stream.refusal, read) {
             (Some(refusal), _) => Outcome::Refused(refusal),
             (None, Err(error)) => Outcome::Lost(format!("stream broke: {error}")),
             (None, Ok(())) if !stream.is_done => {
                 Outcome::Lost(String::from("stream ended short as if it were whole"))
             }
             (None, Ok(())) => {
-                pool.keep(kept);
+                pool.release(connection);
                 let Expected::Stream(expected) = &self.expected else {
-                    return Try::failed(String::from("no stream was asked for"), true);
+                    return Attempt::failed(String::from("no stream was asked for"), true);
                 };
-                judge(expected, Some(stream.text), stream.usage)
+                check_text(expected, Some(stream.text), stream.usage)
             }
         };
-        Try {
+        Attempt {
             outcome,
             first_token: stream.first_token,
             was_sent: true,
@@ -172,7 +181,7 @@
     }
 }
 
-impl Try {
+impl Attempt {
     /// A try that came to nothing.
     pub fn failed(reason: String, was_sent: bool) -> Self {
         Self {
@@ -186,7 +195,7 @@
 /// What has been read of a stream of events.
 #[derive(Default)]
 struct Stream {
-    rest: BytesMut,
+    buffer: BytesMut,
     text: String,
     usage: Usage,
     refusal: Option<Refusal>,
@@ -199,64 +208,64 @@
         while let Some(frame) = body.frame().await {
             let frame = frame.map_err(|e| e.to_string())?;
             if let Ok(data) = frame.into_data() {
-                self.rest.extend_from_slice(&data);
-                self.take_events()?;
+                self.buffer.extend_from_slice(&data);
+                self.apply_events()?;
             }
         }
         Ok(())
     }
 
-    fn take_events(&mut self) -> Result<(), String> {
-        while let Some(end) = self.rest.windows(2).position(|pair| pair == b"\n\n") {
-            let event = self.rest.split_to(end + 2);
+    fn apply_events(&mut self) -> Result<(), String> {
+        while let Some(end) = self.buffer.windows(2).position(|pair| pair == b"\n\n") {
+            let event = self.buffer.split_to(end + 2);
             let data = event.strip_prefix(b"data: ").unwrap_or(&event);
-            self.take(data.trim_ascii())?;
+            self.apply_event(data.trim_ascii())?;
         }
         Ok(())
     }
 
-    fn take(&mut self, data: &[u8]) -> Result<(), String> {
+    fn apply_event(&mut self, data: &[u8]) -> Result<(), String> {
         if data == b"[DONE]" {
             self.is_done = true;
             return Ok(());
         }
-        let piece = serde_json::from_slice::<Piece>(data).map_err(|e| e.to_string())?;
-        for delta in piece.choices.into_iter().filter_map(|choice| choice.delta) {
+        let chunk = serde_json::from_slice::<Chunk>(data).map_err(|e| e.to_string())?;
+        for delta in chunk.choices.into_iter().filter_map(|choice| choice.delta) {
             self.first_token.get_or_insert_with(Instant::now);
             self.text.push_str(&delta.content);
         }
-        self.usage = piece.usage.unwrap_or(self.usage);
-        self.refusal = piece.error.or(self.refusal.take());
+        self.usage = chunk.usage.unwrap_or(self.usage);
+        self.refusal = chunk.error.or(self.refusal.take());
         Ok(())
     }
 }
 
 /// Compares the text that came with the one expected.
-fn judge(expected: &str, got: Option<String>, usage: Usage) -> Outcome {
-    match got {
-        Some(got) if got == expected => Outcome::Served(usage),
-        got => Outcome::Wrong(format!(
+fn check_text(expected: &str, received: Option<String>, usage: Usage) -> Outcome {
+    match received {
+        Some(received) if received == expected => Outcome::Served(usage),
+        received => Outcome::Wrong(format!(
             "expected {:?}, got {:?}",
-            shown(expected.as_bytes()),
-            shown(got.unwrap_or_default().as_bytes())
+            excerpt(expected.as_bytes()),
+            excerpt(received.unwrap_or_default().as_bytes())
         )),
     }
 }
 
 /// The refusal in a body; without one, the caller knows nothing.
 fn refusal(status: StatusCode, body: &[u8]) -> Outcome {
-    match serde_json::from_slice::<Refused>(body) {
-        Ok(refused) => Outcome::Refused(refused.error),
+    match serde_json::from_slice::<ErrorBody>(body) {
+        Ok(body) => Outcome::Refused(body.error),
         Err(_) => Outcome::Lost(format!(
             "status {status} without a verdict: {}",
-            shown(body)
+            excerpt(body)
         )),
     }
 }
 
 /// The beginning of `text`, for a report.
-fn shown(text: &[u8]) -> String {
-    const LONGEST: usize = 80;
+fn excerpt(text: &[u8]) -> String {
+    const MAX_CHARS: usize = 80;
     let text = String::from_utf8_lossy(text);
-    text.chars().take(LONGEST).collect()
+    text.chars().take(MAX_CHARS).collect()
 }
--- a/crates/load/src/chat.rs
+++ b/crates/load/src/chat.rs
@@ -13,16 +13,16 @@
     balancer::Balancer,
     call::{Call, Expected},
     outcome::Outcome,
-    patience,
     report::{self, Kind},
+    retry,
     settings::Settings,
     traffic,
 };
 
 /// The stream of random numbers that chats take theirs from.
-const RANDOM: u64 = 1;
+const RNG_STREAM: u64 = 1;
 /// Every how many requests one asks for its answer in one piece.
-const WHOLE_EVERY: u32 = 8;
+const NON_STREAMING_ONE_IN: u32 = 8;
 
 /// One message.
 #[derive(Clone, Debug, Serialize)]
@@ -34,7 +34,7 @@
 }
 
 #[derive(Serialize)]
-struct Body<'a> {
+struct RequestBody<'a> {
     model: &'a str,
     messages: &'a [Message],
     stream: bool,
@@ -49,15 +49,15 @@
     messages: &[Message],
     stream: bool,
 ) -> Call {
-    let body = Body {
+    let body = RequestBody {
         model: &settings.model,
         messages,
         stream,
         max_tokens: settings.tokens,
     };
-    let text = expected(settings, messages);
+    let text = expected_answer(settings, messages);
     let mut headers = traffic::headers(settings, workspace);
-    traffic::add(&mut headers, "x-weir-chat", chat);
+    traffic::add_header(&mut headers, "x-weir-chat", chat);
     Call {
         method: Method::POST,
         path: String::from("/v1/chat/completions"),
@@ -72,33 +72,33 @@
 }
 
 /// The whole answer to `messages`.
-fn expected(settings: &Settings, messages: &[Message]) -> String {
+fn expected_answer(settings: &Settings, messages: &[Message]) -> String {
     let prompt = messages.last().map_or("", |m| m.content.as_str());
     standin::answer::text(prompt, settings.tokens)
 }
 
 /// Plays the caller of one chat after the other until `end`.
-pub async fn play(
+pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
-    results: report::Sender,
+    records: report::Sender,
     caller: u32,
     end: Instant,
 ) {
-    let mut random = traffic::random(&settings, RANDOM, caller);
+    let mut rng = traffic::rng(&settings, RNG_STREAM, caller);
     for round in 0_u32.. {
-        let workspace = String::from(traffic::workspace(&settings, &mut random));
+        let workspace = String::from(traffic::workspace(&settings, &mut rng));
         let mut chat = Chat {
             name: format!("chat-{caller}-{round}"),
             workspace,
             messages: Vec::new(),
         };
         for turn in 0..settings.turns {
-            time::sleep(traffic::pause(settings.pause, &mut random)).await;
+            time::sleep(traffic::pause(settings.pause, &mut rng)).await;
             if Instant::now() >= end {
                 return;
             }
-            chat.turn(&settings, &balancer, &results, &mut random, turn)
+            chat.send_message(&settings, &balancer, &records, &mut rng, turn)
                 .await;
         }
     }
@@ -112,20 +112,20 @@
 
 impl Chat {
     /// Sends the next message, and keeps the answer for the one after.
-    async fn turn(
+    async fn send_message(
         &mut self,
         settings: &Settings,
         balancer: &Balancer,
-        results: &report::Sender,
-        random: &mut ChaCha8Rng,
+        records: &report::Sender,
+        rng: &mut ChaCha8Rng,
         turn: u32,
     ) {
-        let words = traffic::words(settings.words, random);
+        let words = traffic::words(settings.words, rng);
         self.messages.push(Message {
             role: "user",
             content: format!("{} turn {turn} {words}", self.name),
         });
-        let is_stream = !random.random_ratio(1, WHOLE_EVERY);
+        let is_stream = !rng.random_ratio(1, NON_STREAMING_ONE_IN);
         let call = call(
             settings,
             &self.workspace,
@@ -133,14 +133,14 @@
             &self.messages,
             is_stream,
         );
-        let ended = patience::persist(&call, balancer, settings).await;
-        match ended.outcome {
+        let sample = retry::send(&call, balancer, settings).await;
+        match sample.outcome {
             Outcome::Served(_) => self.messages.push(Message {
                 role: "assistant",
-                content: expected(settings, &self.messages),
+                content: expected_answer(settings, &self.messages),
             }),
             _ => drop(self.messages.pop()),
         }
-        results.send(Kind::Chat, &self.name, ended);
+        records.send(Kind::Chat, &self.name, sample);
     }
 }
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -39,17 +39,17 @@
 
 impl Exchange {
     /// Takes the answer apart from its connection.
-    pub fn split(self) -> (Response<body::Incoming>, Kept) {
-        let kept = Kept {
+    pub fn split(self) -> (Response<body::Incoming>, Connection) {
+        let connection = Connection {
             address: self.address,
             sender: self.sender,
         };
-        (self.response, kept)
+        (self.response, connection)
     }
 }
 
 /// A connection that may be used again.
-pub struct Kept {
+pub struct Connection {
     address: SocketAddr,
     sender: Sender,
 }
@@ -66,23 +66,23 @@
         request: Request<Full<Bytes>>,
     ) -> Result<Exchange, Failure> {
         let mut request = request;
-        while let Some(mut sender) = self.take(address) {
+        while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(exchange(address, response, sender)),
                 // The connection had ended while it was idle, and the request
                 // was handed back unsent.
-                Err(mut failed) => match failed.take_message() {
+                Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
-                    None => return Err(Failure::Broken(failed.into_error().to_string())),
+                    None => return Err(Failure::Broken(error.into_error().to_string())),
                 },
             }
         }
         let mut sender = connect(address).await.map_err(Failure::Unreached)?;
         match sender.try_send_request(request).await {
             Ok(response) => Ok(exchange(address, response, sender)),
-            Err(mut failed) => {
-                let unsent = failed.take_message().is_some();
-                let reason = failed.into_error().to_string();
+            Err(mut error) => {
+                let unsent = error.take_message().is_some();
+                let reason = error.into_error().to_string();
                 Err(if unsent {
                     Failure::Unreached(reason)
                 } else {
@@ -93,12 +93,14 @@
     }
 
     /// Keeps a connection whose answer has been read to its end.
-    pub fn keep(&self, kept: Kept) {
+    pub fn release(&self, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
-        idle.entry(kept.address).or_default().push(kept.sender);
+        idle.entry(connection.address)
+            .or_default()
+            .push(connection.sender);
     }
 
-    fn take(&self, address: SocketAddr) -> Option<Sender> {
+    fn take_idle(&self, address: SocketAddr) -> Option<Sender> {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         let senders = idle.get_mut(&address)?;
         while let Some(sender) = senders.pop() {
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -20,7 +20,7 @@
     /// An engine.
     pub direct: SocketAddr,
     /// A router that routes to it.
-    pub through: SocketAddr,
+    pub routed: SocketAddr,
     /// How many requests go each way.
     pub requests: u32,
     /// How many requests go first, each way, without being counted.
@@ -31,7 +31,7 @@
 
 /// The times of one way.
 #[derive(Clone, Debug)]
-struct Way {
+struct Target {
     name: &'static str,
     address: SocketAddr,
     first_token: Histogram<u64>,
@@ -39,7 +39,7 @@
     failed: u64,
 }
 
-impl Way {
+impl Target {
     fn new(name: &'static str, address: SocketAddr) -> Self {
         Self {
             name,
@@ -52,25 +52,25 @@
 
     async fn send(&mut self, call: &Call, pool: &Pool) {
         let id = traffic::request_id();
-        let began = Instant::now();
-        let tried = call.send(&id, pool, self.address).await;
-        let total = began.elapsed();
-        let Outcome::Served(_) = tried.outcome else {
+        let started = Instant::now();
+        let attempt = call.send(&id, pool, self.address).await;
+        let total = started.elapsed();
+        let Outcome::Served(_) = attempt.outcome else {
             logging::event!(
                 warn,
                 "request_failed",
                 way = self.name,
-                outcome = format!("{:?}", tried.outcome)
+                outcome = format!("{:?}", attempt.outcome)
             );
             self.failed += 1;
             return;
         };
         self.total.saturating_record(micros(total));
-        let first = tried.first_token.map_or(total, |at| at - began);
-        self.first_token.saturating_record(micros(first));
+        let first_token = attempt.first_token.map_or(total, |at| at - started);
+        self.first_token.saturating_record(micros(first_token));
     }
 
-    fn forget(&mut self) {
+    fn reset(&mut self) {
         self.first_token.reset();
         self.total.reset();
     }
@@ -78,73 +78,79 @@
 
 /// The times of both ways.
 #[derive(Clone, Debug)]
-pub struct Compared {
-    direct: Way,
-    through: Way,
+pub struct Report {
+    direct: Target,
+    routed: Target,
 }
 
 /// Sends the same requests both ways, one at a time and in turns.
 ///
 /// In turns, because whatever else the machine does then slows both ways.
-pub async fn run(comparison: &Comparison) -> Compared {
+pub async fn run(comparison: &Comparison) -> Report {
     let pool = Pool::default();
-    let mut direct = Way::new("direct", comparison.direct);
-    let mut through = Way::new("through", comparison.through);
+    let mut direct = Target::new("direct", comparison.direct);
+    let mut routed = Target::new("through", comparison.routed);
     for number in 0..comparison.warm_up + comparison.requests {
         if number == comparison.warm_up {
-            direct.forget();
-            through.forget();
+            direct.reset();
+            routed.reset();
         }
         // Each way has its own chat, so neither finds the other's prefix cached.
-        let first = call(comparison, direct.name, number);
-        let second = call(comparison, through.name, number);
+        let direct_call = call(comparison, direct.name, number);
+        let routed_call = call(comparison, routed.name, number);
         if number % 2 == 0 {
-            direct.send(&first, &pool).await;
-            through.send(&second, &pool).await;
+            direct.send(&direct_call, &pool).await;
+            routed.send(&routed_call, &pool).await;
         } else {
-            through.send(&second, &pool).await;
-            direct.send(&first, &pool).await;
+            routed.send(&routed_call, &pool).await;
+            direct.send(&direct_call, &pool).await;
         }
     }
-    Compared { direct, through }
+    Report { direct, routed }
 }
 
-fn call(comparison: &Comparison, way: &str, number: u32) -> Call {
+fn call(comparison: &Comparison, chat: &str, number: u32) -> Call {
     let load = &comparison.load;
     let workspace = load.workspaces.first().map_or("", String::as_str);
     let message = Message {
         role: "user",
-        content: format!("{way} request {number}"),
+        content: format!("{chat} request {number}"),
     };
-    chat::call(load, workspace, &format!("compare-{way}"), &[message], true)
+    chat::call(
+        load,
+        workspace,
+        &format!("compare-{chat}"),
+        &[message],
+        true,
+    )
 }
 
-impl Compared {
+impl Report {
     /// Whether every request was served.
-    pub fn is_whole(&self) -> bool {
-        self.direct.failed == 0 && self.through.failed == 0
+    pub fn has_passed(&self) -> bool {
+        self.direct.failed == 0 && self.routed.failed == 0
     }
 
     /// What the router adds to the first token at `quantile`, in milliseconds.
     pub fn added_first_token(&self, quantile: f64) -> f64 {
-        added(
-            &self.direct.first_token,
-            &self.through.first_token,
-            quantile,
-        )
+        added(&self.direct.first_token, &self.routed.first_token, quantile)
     }
 
     /// What the router adds to the whole answer at `quantile`, in milliseconds.
     pub fn added_total(&self, quantile: f64) -> f64 {
-        added(&self.direct.total, &self.through.total, quantile)
+        added(&self.direct.total, &self.routed.total, quantile)
     }
 }
 
-impl fmt::Display for Compared {
+impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for way in [&self.direct, &self.through] {
-            write_times(f, &format!("{}_first_token", way.name), &way.first_token)?;
-            write_times(f, &format!("{}_total", way.name), &way.total)?;
+        for target in [&self.direct, &self.routed] {
+            write_times(
+                f,
+                &format!("{}_first_token", target.name),
+                &target.first_token,
+            )?;
+            write_times(f, &format!("{}_total", target.name), &target.total)?;
         }
         write!(
             f,
@@ -154,13 +160,13 @@
             self.added_first_token(0.99),
             self.added_total(0.5),
             self.added_total(0.99),
-            self.direct.failed + self.through.failed
+            self.direct.failed + self.routed.failed
         )
     }
 }
 
 /// Negative where the way through the router was the faster one.
-fn added(direct: &Histogram<u64>, through: &Histogram<u64>, quantile: f64) -> f64 {
+fn added(direct: &Histogram<u64>, routed: &Histogram<u64>, quantile: f64) -> f64 {
     let millis = |times: &Histogram<u64>| times.value_at_quantile(quantile) as f64 / 1000.0;
-    millis(through) - millis(direct)
+    millis(routed) - millis(direct)
 }
--- a/crates/load/src/lookup.rs
+++ b/crates/load/src/lookup.rs
@@ -10,14 +10,14 @@
 use crate::{
     balancer::Balancer,
     call::{Call, Expected},
-    patience,
     report::{self, Kind},
+    retry,
     settings::Settings,
     traffic,
 };
 
 /// The stream of random numbers that lookups take theirs from.
-const RANDOM: u64 = 3;
+const RNG_STREAM: u64 = 3;
 
 /// A call for the entry `number`.
 pub fn call(settings: &Settings, workspace: &str, number: u32) -> Call {
@@ -32,23 +32,23 @@
 }
 
 /// Plays a caller that looks entries up until `end`.
-pub async fn play(
+pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
-    results: report::Sender,
+    records: report::Sender,
     caller: u32,
     end: Instant,
 ) {
-    let mut random = traffic::random(&settings, RANDOM, caller);
+    let mut rng = traffic::rng(&settings, RNG_STREAM, caller);
     loop {
-        time::sleep(traffic::pause(settings.lookup_pause, &mut random)).await;
+        time::sleep(traffic::pause(settings.lookup_pause, &mut rng)).await;
         if Instant::now() >= end {
             return;
         }
-        let workspace = traffic::workspace(&settings, &mut random);
-        let number = random.random();
+        let workspace = traffic::workspace(&settings, &mut rng);
+        let number = rng.random();
         let call = call(&settings, workspace, number);
-        let ended = patience::persist(&call, &balancer, &settings).await;
-        results.send(Kind::Lookup, &call.path, ended);
+        let sample = retry::send(&call, &balancer, &settings).await;
+        records.send(Kind::Lookup, &call.path, sample);
     }
 }
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -8,34 +8,34 @@
 use load::{compare, run};
 
 fn main() -> io::Result<ExitCode> {
-    let task = settings::load(arguments::ABOUT, arguments::given(), arguments::check);
+    let task = settings::load(arguments::ABOUT, arguments::command(), arguments::check);
     logging::init("weir-load");
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
         .build()?
-        .block_on(perform(task))
+        .block_on(execute(task))
 }
 
-async fn perform(task: arguments::Task) -> io::Result<ExitCode> {
+async fn execute(task: arguments::Task) -> io::Result<ExitCode> {
     match task {
         arguments::Task::Run {
             settings,
             has_timeline,
-        } => Ok(play(settings, has_timeline).await),
+        } => Ok(run_callers(settings, has_timeline).await),
         arguments::Task::Compare(comparison) => {
-            let compared = compare::run(&comparison).await;
-            println!("{compared}");
-            Ok(code(compared.is_whole()))
+            let report = compare::run(&comparison).await;
+            println!("{report}");
+            Ok(exit_code(report.has_passed()))
         }
     }
 }
 
-async fn play(settings: load::settings::Settings, has_timeline: bool) -> ExitCode {
+async fn run_callers(settings: load::settings::Settings, has_timeline: bool) -> ExitCode {
     let report = match run::run(settings).await {
         Ok(report) => report,
-        Err(failed) => {
-            logging::event!(error, "run_failed", reason = failed);
+        Err(error) => {
+            logging::event!(error, "run_failed", reason = error);
             return ExitCode::FAILURE;
         }
     };
@@ -43,11 +43,11 @@
         print!("{}", report.timeline());
     }
     println!("{report}");
-    code(report.is_whole())
+    exit_code(report.has_passed())
 }
 
-fn code(is_whole: bool) -> ExitCode {
-    if is_whole {
+fn exit_code(has_passed: bool) -> ExitCode {
+    if has_passed {
         return ExitCode::SUCCESS;
     }
     ExitCode::FAILURE
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -50,7 +50,7 @@
 
 impl Usage {
     /// Cached prompt tokens over all prompt tokens.
-    pub fn reuse(&self) -> f64 {
+    pub fn cache_hit_ratio(&self) -> f64 {
         self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
 }
@@ -70,17 +70,17 @@
 
 /// A request and what became of it.
 #[derive(Clone, Debug)]
-pub struct Ended {
+pub struct Sample {
     /// The id that it was last sent with.
     pub id: String,
     /// The last outcome.
     pub outcome: Outcome,
     /// When its caller first sent it.
-    pub began: Instant,
+    pub started: Instant,
     /// From then to the first token of the answer.
     pub first_token: Option<Duration>,
     /// From then to the end.
     pub total: Duration,
     /// How often it was sent.
-    pub sent: u32,
+    pub sends: u32,
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -13,14 +13,14 @@
 use hdrhistogram::Histogram;
 use tokio::sync::mpsc;
 
-use crate::outcome::{Ended, Outcome, Refusal, Usage};
+use crate::outcome::{Outcome, Refusal, Sample, Usage};
 
 pub use counts::Counts;
 pub use phase::Phase;
 pub use second::Second;
 
 /// How many lost and wrong answers are told one by one.
-const TOLD: usize = 20;
+const MAX_LISTED_FAILURES: usize = 20;
 
 /// What was asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -45,31 +45,31 @@
 
 /// A request that has ended.
 #[derive(Clone, Debug)]
-pub struct Result {
+pub struct Record {
     /// What was asked for.
     pub kind: Kind,
     /// The chat, the booking or the path.
     pub name: String,
     /// What became of it.
-    pub ended: Ended,
+    pub sample: Sample,
 }
 
 /// Where callers send their results.
 #[derive(Clone, Debug)]
-pub struct Sender(mpsc::UnboundedSender<Result>);
+pub struct Sender(mpsc::UnboundedSender<Record>);
 
 impl Sender {
     /// Sends a result; once the report is closed, it is dropped.
-    pub fn send(&self, kind: Kind, name: &str, ended: Ended) {
+    pub fn send(&self, kind: Kind, name: &str, sample: Sample) {
         let name = String::from(name);
-        drop(self.0.send(Result { kind, name, ended }));
+        drop(self.0.send(Record { kind, name, sample }));
     }
 }
 
 /// A channel for results.
-pub fn channel() -> (Sender, mpsc::UnboundedReceiver<Result>) {
-    let (sender, results) = mpsc::unbounded_channel();
-    (Sender(sender), results)
+pub fn channel() -> (Sender, mpsc::UnboundedReceiver<Record>) {
+    let (sender, records) = mpsc::unbounded_channel();
+    (Sender(sender), records)
 }
 
 /// Times of one kind of request.
@@ -82,7 +82,7 @@
 /// Everything that a run found.
 #[derive(Clone, Debug)]
 pub struct Report {
-    began: Instant,
+    started: Instant,
     /// The counts.
     pub counts: Counts,
     refusals: BTreeMap<(Kind, String), u64>,
@@ -91,66 +91,66 @@
     seconds: BTreeMap<u64, Second>,
     phases: Vec<Phase>,
     bookings: BTreeMap<String, Vec<Outcome>>,
-    faults: Vec<String>,
-    repeats: u64,
+    failures: Vec<String>,
+    retries: u64,
 }
 
 impl Report {
-    /// An empty report of a run that began at `began`, with phases that begin so
+    /// An empty report of a run that began at `started`, with phases that begin so
     /// long after it.
-    pub fn new(began: Instant, phases: &[Duration]) -> Self {
+    pub fn new(started: Instant, phases: &[Duration]) -> Self {
         let starts = std::iter::once(&Duration::ZERO).chain(phases);
         Self {
             phases: starts.map(|start| Phase::new(*start)).collect(),
-            began,
+            started,
             counts: Counts::default(),
             refusals: BTreeMap::new(),
             times: BTreeMap::new(),
             usage: Usage::default(),
             seconds: BTreeMap::new(),
             bookings: BTreeMap::new(),
-            faults: Vec::new(),
-            repeats: 0,
+            failures: Vec::new(),
+            retries: 0,
         }
     }
 
     /// Adds a request that has ended.
-    pub fn add(&mut self, result: Result) {
-        let Result { kind, name, ended } = result;
-        let end = ended.began + ended.total - self.began;
+    pub fn add(&mut self, record: Record) {
+        let Record { kind, name, sample } = record;
+        let end = sample.started + sample.total - self.started;
         let second = self.seconds.entry(end.as_secs()).or_default();
-        second.add(&ended);
-        self.add_to_phase(kind, &ended);
-        self.repeats += u64::from(ended.sent.saturating_sub(1));
-        let what = format!("{kind} {name} request={}", ended.id);
-        match &ended.outcome {
+        second.add(&sample);
+        self.add_to_phase(kind, &sample);
+        self.retries += u64::from(sample.sends.saturating_sub(1));
+        let label = format!("{kind} {name} request={}", sample.id);
+        match &sample.outcome {
             Outcome::Served(usage) => {
                 self.counts.served += 1;
                 self.usage.prompt_tokens += usage.prompt_tokens;
                 self.usage.cached_tokens += usage.cached_tokens;
-                self.add_times(kind, &ended);
+                self.add_times(kind, &sample);
             }
             Outcome::Refused(refusal) => self.add_refusal(kind, refusal),
             Outcome::Lost(reason) => {
                 self.counts.lost += 1;
-                self.add_fault(format!("lost {what}: {reason}"));
+                self.add_failure(format!("lost {label}: {reason}"));
             }
             Outcome::Wrong(reason) => {
                 self.counts.wrong += 1;
-                self.add_fault(format!("wrong {what}: {reason}"));
+                self.add_failure(format!("wrong {label}: {reason}"));
             }
         }
         if kind == Kind::Booking {
-            self.bookings.entry(name).or_default().push(ended.outcome);
+            self.bookings.entry(name).or_default().push(sample.outcome);
         }
     }
 
     /// Adds a request to the phase in which it began.
-    fn add_to_phase(&mut self, kind: Kind, ended: &Ended) {
-        let began = ended.began - self.began;
+    fn add_to_phase(&mut self, kind: Kind, sample: &Sample) {
+        let started = sample.started - self.started;
         let phases = self.phases.iter_mut().rev();
-        if let Some(phase) = phases.into_iter().find(|phase| phase.start() <= began) {
-            phase.add(kind, ended);
+        if let Some(phase) = phases.into_iter().find(|phase| phase.start() <= started) {
+            phase.add(kind, sample);
         }
     }
 
@@ -160,19 +160,19 @@
         *self.refusals.entry(key).or_default() += 1;
     }
 
-    fn add_times(&mut self, kind: Kind, ended: &Ended) {
+    fn add_times(&mut self, kind: Kind, sample: &Sample) {
         let times = self.times.entry(kind).or_insert_with(|| Times {
             first_token: histogram(),
             total: histogram(),
         });
-        times.total.saturating_record(micros(ended.total));
-        if let Some(first_token) = ended.first_token {
+        times.total.saturating_record(micros(sample.total));
+        if let Some(first_token) = sample.first_token {
             times.first_token.saturating_record(micros(first_token));
         }
     }
 
-    fn add_fault(&mut self, fault: String) {
-        self.faults.push(fault);
+    fn add_failure(&mut self, failure: String) {
+        self.failures.push(failure);
     }
 
     /// Compares what callers were told with how often each booking ran.
@@ -183,19 +183,22 @@
     pub fn reconcile(&mut self, runs: &BTreeMap<String, u64>) {
         for (id, outcomes) in std::mem::take(&mut self.bookings) {
             let ran = runs.get(&id).copied().unwrap_or(0);
-            let served = outcomes.iter().any(|o| matches!(o, Outcome::Served(_)));
-            let never_ran = |o: &Outcome| matches!(o, Outcome::Refused(r) if r.is_not_run());
+            let was_confirmed = outcomes
+                .iter()
+                .any(|outcome| matches!(outcome, Outcome::Served(_)));
+            let refused_as_not_run =
+                |o: &Outcome| matches!(o, Outcome::Refused(r) if r.is_not_run());
             if ran > 1 {
                 self.counts.duplicated += 1;
-                self.add_fault(format!("duplicated booking {id}: ran {ran} times"));
+                self.add_failure(format!("duplicated booking {id}: ran {ran} times"));
             }
-            if served && ran == 0 {
+            if was_confirmed && ran == 0 {
                 self.counts.wrong += 1;
-                self.add_fault(format!("wrong booking {id}: confirmed, but never ran"));
+                self.add_failure(format!("wrong booking {id}: confirmed, but never ran"));
             }
-            if ran > 0 && outcomes.iter().all(never_ran) {
+            if ran > 0 && outcomes.iter().all(refused_as_not_run) {
                 self.counts.wrong += 1;
-                self.add_fault(format!(
+                self.add_failure(format!(
                     "wrong booking {id}: ran, but was refused as not run"
                 ));
             }
@@ -206,27 +209,27 @@
     /// asked was served at least once.
     ///
     /// A fleet that refuses everything loses nothing, and would pass otherwise.
-    pub fn is_whole(&self) -> bool {
-        let unserved = |kind: &Kind| !self.times.contains_key(kind);
+    pub fn has_passed(&self) -> bool {
+        let is_unserved = |kind: &Kind| !self.times.contains_key(kind);
         let refused = self.refusals.keys().map(|(kind, _)| kind);
-        self.counts.is_whole() && !refused.into_iter().any(unserved)
+        self.counts.is_clean() && !refused.into_iter().any(is_unserved)
     }
 
     /// One line for each second of the run.
     pub fn timeline(&self) -> String {
         let lines = self.seconds.iter();
-        let lines = lines.map(|(second, found)| format!("second={second} {found}\n"));
+        let lines = lines.map(|(second, counts)| format!("second={second} {counts}\n"));
         lines.collect()
     }
 }
 
 impl fmt::Display for Report {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for fault in self.faults.iter().take(TOLD) {
-            writeln!(f, "{fault}")?;
+        for failure in self.failures.iter().take(MAX_LISTED_FAILURES) {
+            writeln!(f, "{failure}")?;
         }
-        if self.faults.len() > TOLD {
-            writeln!(f, "and {} more", self.faults.len() - TOLD)?;
+        if self.failures.len() > MAX_LISTED_FAILURES {
+            writeln!(f, "and {} more", self.failures.len() - MAX_LISTED_FAILURES)?;
         }
         if self.phases.len() > 1 {
             self.phases
@@ -243,10 +246,10 @@
         writeln!(
             f,
             "reuse={:.3} prompt_tokens={} cached_tokens={} repeats={}",
-            self.usage.reuse(),
+            self.usage.cache_hit_ratio(),
             self.usage.prompt_tokens,
             self.usage.cached_tokens,
-            self.repeats
+            self.retries
         )?;
         write!(f, "{}", self.counts)
     }
@@ -254,9 +257,9 @@
 
 /// An empty histogram of microseconds, up to an hour.
 pub(crate) fn histogram() -> Histogram<u64> {
-    const LONGEST: u64 = 3_600_000_000;
-    const DIGITS: u8 = 3;
-    Histogram::new_with_bounds(1, LONGEST, DIGITS).expect("the bounds are allowed")
+    const MAX_US: u64 = 3_600_000_000;
+    const SIGNIFICANT_DIGITS: u8 = 3;
+    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS).expect("the bounds are allowed")
 }
 
 /// Writes the percentiles of `times` as one line.
--- a/crates/load/src/report/counts.rs
+++ b/crates/load/src/report/counts.rs
@@ -19,7 +19,7 @@
 
 impl Counts {
     /// Whether nothing was lost, duplicated or wrong.
-    pub fn is_whole(&self) -> bool {
+    pub fn is_clean(&self) -> bool {
         self.lost == 0 && self.duplicated == 0 && self.wrong == 0
     }
 }
--- a/crates/load/src/report/phase.rs
+++ b/crates/load/src/report/phase.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 use crate::{
-    outcome::{Ended, Outcome, Usage},
+    outcome::{Outcome, Sample, Usage},
     report::{Counts, Kind, histogram, micros, write_times},
 };
 
@@ -14,7 +14,7 @@
 pub struct Phase {
     start: Duration,
     counts: Counts,
-    repeats: u64,
+    retries: u64,
     usage: Usage,
     chat_first_token: Histogram<u64>,
     chat_total: Histogram<u64>,
@@ -26,7 +26,7 @@
         Self {
             start,
             counts: Counts::default(),
-            repeats: 0,
+            retries: 0,
             usage: Usage::default(),
             chat_first_token: histogram(),
             chat_total: histogram(),
@@ -39,25 +39,25 @@
     }
 
     /// Adds a request that began in it.
-    pub fn add(&mut self, kind: Kind, ended: &Ended) {
-        self.repeats += u64::from(ended.sent.saturating_sub(1));
-        match ended.outcome {
-            Outcome::Served(usage) => self.add_served(kind, ended, usage),
+    pub fn add(&mut self, kind: Kind, sample: &Sample) {
+        self.retries += u64::from(sample.sends.saturating_sub(1));
+        match sample.outcome {
+            Outcome::Served(usage) => self.add_served(kind, sample, usage),
             Outcome::Refused(_) => self.counts.refused += 1,
             Outcome::Lost(_) => self.counts.lost += 1,
             Outcome::Wrong(_) => self.counts.wrong += 1,
         }
     }
 
-    fn add_served(&mut self, kind: Kind, ended: &Ended, usage: Usage) {
+    fn add_served(&mut self, kind: Kind, sample: &Sample, usage: Usage) {
         self.counts.served += 1;
         if kind != Kind::Chat {
             return;
         }
         self.usage.prompt_tokens += usage.prompt_tokens;
         self.usage.cached_tokens += usage.cached_tokens;
-        self.chat_total.saturating_record(micros(ended.total));
-        if let Some(first_token) = ended.first_token {
+        self.chat_total.saturating_record(micros(sample.total));
+        if let Some(first_token) = sample.first_token {
             self.chat_first_token.saturating_record(micros(first_token));
         }
     }
@@ -77,8 +77,8 @@
             f,
             "phase_from_s={start} served={served} refused={refused} lost={lost} wrong={wrong} \
              repeats={} reuse={:.3}",
-            self.repeats,
-            self.usage.reuse()
+            self.retries,
+            self.usage.cache_hit_ratio()
         )?;
         let name = |times| format!("phase_from_s={start}_{times}");
         write_times(f, &name("chat_first_token"), &self.chat_first_token)?;
--- a/crates/load/src/report/second.rs
+++ b/crates/load/src/report/second.rs
@@ -2,7 +2,7 @@
 
 use std::{fmt, time::Duration};
 
-use crate::outcome::{Ended, Outcome};
+use crate::outcome::{Outcome, Sample};
 
 /// What ended in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -11,21 +11,21 @@
     refused: u64,
     lost: u64,
     wrong: u64,
-    repeats: u64,
+    retries: u64,
     slowest: Duration,
 }
 
 impl Second {
     /// Adds a request that ended in it.
-    pub fn add(&mut self, ended: &Ended) {
-        match ended.outcome {
+    pub fn add(&mut self, sample: &Sample) {
+        match sample.outcome {
             Outcome::Served(_) => self.served += 1,
             Outcome::Refused(_) => self.refused += 1,
             Outcome::Lost(_) => self.lost += 1,
             Outcome::Wrong(_) => self.wrong += 1,
         }
-        self.repeats += u64::from(ended.sent.saturating_sub(1));
-        self.slowest = self.slowest.max(ended.total);
+        self.retries += u64::from(sample.sends.saturating_sub(1));
+        self.slowest = self.slowest.max(sample.total);
     }
 }
 
@@ -38,7 +38,7 @@
             self.refused,
             self.lost,
             self.wrong,
-            self.repeats,
+            self.retries,
             self.slowest.as_millis()
         )
     }
--- a/crates/load/src/patience.rs
+++ b/crates/load/src/retry.rs
@@ -6,8 +6,8 @@
 
 use crate::{
     balancer::Balancer,
-    call::{Call, Try},
-    outcome::{Ended, Outcome},
+    call::{Attempt, Call},
+    outcome::{Outcome, Sample},
     settings::Settings,
     traffic,
 };
@@ -20,47 +20,47 @@
 /// It is sent again only where nothing was sent, where a refusal says when to come
 /// back and either that it has not run or that its idempotency key is claimed, or
 /// where its connection broke and the settings say that callers repeat that.
-pub async fn persist(call: &Call, balancer: &Balancer, settings: &Settings) -> Ended {
-    let began = Instant::now();
-    let deadline = began + settings.patience;
-    let mut sent = 0;
+pub async fn send(call: &Call, balancer: &Balancer, settings: &Settings) -> Sample {
+    let started = Instant::now();
+    let deadline = started + settings.timeout;
+    let mut sends = 0;
     loop {
         let id = traffic::request_id();
-        let tried = send_once(call, &id, balancer, deadline).await;
-        sent += u32::from(tried.was_sent);
-        let come_back =
-            come_back(&tried, settings.repeats_broken).map(|wait| Instant::now() + wait);
-        if let Some(at) = come_back.filter(|at| *at < deadline) {
+        let attempt = send_once(call, &id, balancer, deadline).await;
+        sends += u32::from(attempt.was_sent);
+        let retry_at =
+            retry_delay(&attempt, settings.retries_broken).map(|wait| Instant::now() + wait);
+        if let Some(at) = retry_at.filter(|at| *at < deadline) {
             time::sleep_until(at.into()).await;
             continue;
         }
-        return Ended {
+        return Sample {
             id,
-            outcome: tried.outcome,
-            began,
-            first_token: tried.first_token.map(|at| at - began),
-            total: began.elapsed(),
-            sent,
+            outcome: attempt.outcome,
+            started,
+            first_token: attempt.first_token.map(|at| at - started),
+            total: started.elapsed(),
+            sends,
         };
     }
 }
 
-async fn send_once(call: &Call, id: &str, balancer: &Balancer, deadline: Instant) -> Try {
+async fn send_once(call: &Call, id: &str, balancer: &Balancer, deadline: Instant) -> Attempt {
     let Some(router) = balancer.pick() else {
-        return unsent("no router is ready");
+        return not_sent("no router is ready");
     };
-    let sending = call.send(id, &balancer.pool, router);
-    match time::timeout_at(deadline.into(), sending).await {
-        Ok(tried) => tried,
-        Err(_) => Try {
+    let response = call.send(id, &balancer.pool, router);
+    match time::timeout_at(deadline.into(), response).await {
+        Ok(attempt) => attempt,
+        Err(_) => Attempt {
             was_sent: true,
-            ..unsent(&format!("no answer from {router} within patience"))
+            ..not_sent(&format!("no answer from {router} within patience"))
         },
     }
 }
 
-fn unsent(reason: &str) -> Try {
-    Try {
+fn not_sent(reason: &str) -> Attempt {
+    Attempt {
         outcome: Outcome::Lost(String::from(reason)),
         first_token: None,
         was_sent: false,
@@ -68,9 +68,9 @@
 }
 
 /// How long to wait before the next try; none: the outcome is final.
-fn come_back(tried: &Try, repeats_broken: bool) -> Option<Duration> {
-    match &tried.outcome {
-        Outcome::Lost(_) if repeats_broken || !tried.was_sent => Some(BACKOFF),
+fn retry_delay(attempt: &Attempt, retries_broken: bool) -> Option<Duration> {
+    match &attempt.outcome {
+        Outcome::Lost(_) if retries_broken || !attempt.was_sent => Some(BACKOFF),
         Outcome::Refused(refusal) if refusal.is_not_run() || refusal.is_claimed() => {
             refusal.retry_after.map(Duration::from_secs)
         }
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -28,14 +28,14 @@
 
 /// Why a run has no report.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Failed {
+pub enum Error {
     /// No router became ready.
     NotReady,
     /// A ledger could not be read, so nobody knows what ran.
     NoLedger(SocketAddr, String),
 }
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for Error {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
             Self::NotReady => f.write_str("no router became ready"),
@@ -46,78 +46,80 @@
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for Error {}
 
 /// Plays all callers and returns what they found.
 ///
 /// # Errors
 ///
-/// [`Failed`] when there is nothing to measure or to compare with.
-pub async fn run(settings: Settings) -> Result<Report, Failed> {
+/// [`Error`] when there is nothing to measure or to compare with.
+pub async fn run(settings: Settings) -> Result<Report, Error> {
     let settings = Arc::new(settings);
     let balancer = Arc::new(Balancer::new(&settings.routers));
     wait_until_ready(&balancer).await?;
-    let watch = tokio::spawn(Arc::clone(&balancer).watch());
-    let began = Instant::now();
-    let (sender, mut results) = report::channel();
-    let mut callers = start(&settings, &balancer, &sender, began + settings.duration);
+    let probes = tokio::spawn(Arc::clone(&balancer).probe_periodically());
+    let started = Instant::now();
+    let (sender, mut records) = report::channel();
+    let mut callers = spawn_callers(&settings, &balancer, &sender, started + settings.duration);
     drop(sender);
-    let mut report = Report::new(began, &settings.phases);
-    while let Some(result) = results.recv().await {
-        report.add(result);
+    let mut report = Report::new(started, &settings.phases);
+    while let Some(record) = records.recv().await {
+        report.add(record);
     }
     while callers.join_next().await.is_some() {}
-    watch.abort();
-    report.reconcile(&ledgers(&settings.ledgers).await?);
+    probes.abort();
+    report.reconcile(&fetch_ledgers(&settings.ledgers).await?);
     Ok(report)
 }
 
-async fn wait_until_ready(balancer: &Balancer) -> Result<(), Failed> {
-    const INTERVAL: Duration = Duration::from_millis(50);
+async fn wait_until_ready(balancer: &Balancer) -> Result<(), Error> {
+    const POLL_INTERVAL: Duration = Duration::from_millis(50);
     let deadline = Instant::now() + READY_TIMEOUT;
     while Instant::now() < deadline {
-        balancer.check().await;
+        balancer.probe().await;
         if balancer.pick().is_some() {
             return Ok(());
         }
-        time::sleep(INTERVAL).await;
+        time::sleep(POLL_INTERVAL).await;
     }
-    Err(Failed::NotReady)
+    Err(Error::NotReady)
 }
 
 /// Starts all callers, which begin nothing new after `end`.
-fn start(
+fn spawn_callers(
     settings: &Arc<Settings>,
     balancer: &Arc<Balancer>,
-    results: &report::Sender,
+    records: &report::Sender,
     end: Instant,
 ) -> JoinSet<()> {
     let mut callers = JoinSet::new();
-    let shared = || (Arc::clone(settings), Arc::clone(balancer), results.clone());
+    let shared = || (Arc::clone(settings), Arc::clone(balancer), records.clone());
     for caller in 0..settings.chats {
-        let (settings, balancer, results) = shared();
-        callers.spawn(chat::play(settings, balancer, results, caller, end));
+        let (settings, balancer, records) = shared();
+        callers.spawn(chat::run_caller(settings, balancer, records, caller, end));
     }
-    for caller in 0..settings.bookers {
-        let (settings, balancer, results) = shared();
-        callers.spawn(booking::play(settings, balancer, results, caller, end));
+    for caller in 0..settings.booking_callers {
+        let (settings, balancer, records) = shared();
+        callers.spawn(booking::run_caller(
+            settings, balancer, records, caller, end,
+        ));
     }
-    for caller in 0..settings.lookers {
-        let (settings, balancer, results) = shared();
-        callers.spawn(lookup::play(settings, balancer, results, caller, end));
+    for caller in 0..settings.lookup_callers {
+        let (settings, balancer, records) = shared();
+        callers.spawn(lookup::run_caller(settings, balancer, records, caller, end));
     }
     callers
 }
 
 /// How often each booking ran, over all services.
-async fn ledgers(services: &[SocketAddr]) -> Result<BTreeMap<String, u64>, Failed> {
+async fn fetch_ledgers(services: &[SocketAddr]) -> Result<BTreeMap<String, u64>, Error> {
     let mut runs = BTreeMap::new();
     let pool = Pool::default();
     for service in services {
-        let read = time::timeout(LEDGER_TIMEOUT, ledger(&pool, *service)).await;
-        let ledger = read
+        let fetched = time::timeout(LEDGER_TIMEOUT, fetch_ledger(&pool, *service)).await;
+        let ledger = fetched
             .unwrap_or_else(|_| Err(String::from("no answer")))
-            .map_err(|reason| Failed::NoLedger(*service, reason))?;
+            .map_err(|reason| Error::NoLedger(*service, reason))?;
         for entry in ledger.entries {
             *runs.entry(entry.id).or_default() += entry.runs;
         }
@@ -125,7 +127,10 @@
     Ok(runs)
 }
 
-async fn ledger(pool: &Pool, service: SocketAddr) -> Result<standin::service::Ledger, String> {
+async fn fetch_ledger(
+    pool: &Pool,
+    service: SocketAddr,
+) -> Result<standin::service::Ledger, String> {
     let mut request = Request::new(Full::new(Bytes::new()));
     *request.uri_mut() = Uri::from_static("/ledger");
     let exchange = pool.send(service, request).await;
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -28,25 +28,25 @@
     /// The model that chats name.
     pub model: String,
     /// How many callers book, one booking after the other.
-    pub bookers: u32,
+    pub booking_callers: u32,
     /// The mean pause between two bookings of one caller.
     pub booking_pause: Duration,
     /// The path that bookings are sent to.
     pub booking_path: String,
     /// How many bookings in a hundred are sent twice with one key.
-    pub repeats: u32,
+    pub duplicate_percent: u32,
     /// How many callers look up, one lookup after the other.
-    pub lookers: u32,
+    pub lookup_callers: u32,
     /// The mean pause between two lookups of one caller.
     pub lookup_pause: Duration,
     /// The path under which lookups are.
     pub lookup_path: String,
     /// How long a caller waits for its final answer, its repeats included.
-    pub patience: Duration,
+    pub timeout: Duration,
     /// Whether a caller sends a request again whose connection broke.
     ///
     /// It may: chats and lookups are idempotent, and bookings carry a key.
-    pub repeats_broken: bool,
+    pub retries_broken: bool,
     /// When each phase of the report begins, counted from the start; the first begins with it.
     pub phases: Vec<Duration>,
     /// The seed of all random choices.
@@ -67,15 +67,15 @@
             words: 40,
             tokens: 24,
             model: String::from("weir"),
-            bookers: 4,
+            booking_callers: 4,
             booking_pause: Duration::from_millis(200),
             booking_path: String::from("/bookings"),
-            repeats: 20,
-            lookers: 4,
+            duplicate_percent: 20,
+            lookup_callers: 4,
             lookup_pause: Duration::from_millis(200),
             lookup_path: String::from("/lookups"),
-            patience: Duration::from_secs(20),
-            repeats_broken: false,
+            timeout: Duration::from_secs(20),
+            retries_broken: false,
             phases: Vec::new(),
             seed: 1,
         }
--- a/crates/load/src/traffic.rs
+++ b/crates/load/src/traffic.rs
@@ -9,51 +9,51 @@
 use crate::settings::Settings;
 
 /// The random numbers of one caller, which no other caller's choices change.
-pub fn random(settings: &Settings, kind: u64, caller: u32) -> ChaCha8Rng {
-    let mut random = ChaCha8Rng::seed_from_u64(settings.seed);
-    random.set_stream(kind << 32 | u64::from(caller));
-    random
+pub fn rng(settings: &Settings, stream: u64, caller: u32) -> ChaCha8Rng {
+    let mut rng = ChaCha8Rng::seed_from_u64(settings.seed);
+    rng.set_stream(stream << 32 | u64::from(caller));
+    rng
 }
 
 /// A workspace; the one in place k is drawn with weight 1/k, so a few are large.
-pub fn workspace<'a>(settings: &'a Settings, random: &mut ChaCha8Rng) -> &'a str {
-    let weights = (1..=settings.workspaces.len()).map(|place| 1.0 / place as f64);
-    let mut left = random.random::<f64>() * weights.clone().sum::<f64>();
-    let pairs = settings.workspaces.iter().zip(weights);
-    for (workspace, weight) in pairs {
-        if left < weight {
+pub fn workspace<'a>(settings: &'a Settings, rng: &mut ChaCha8Rng) -> &'a str {
+    let weights = (1..=settings.workspaces.len()).map(|rank| 1.0 / rank as f64);
+    let mut remaining = rng.random::<f64>() * weights.clone().sum::<f64>();
+    let weighted = settings.workspaces.iter().zip(weights);
+    for (workspace, weight) in weighted {
+        if remaining < weight {
             return workspace;
         }
-        left -= weight;
+        remaining -= weight;
     }
     settings.workspaces.last().map_or("", String::as_str)
 }
 
 /// A pause whose mean is `mean`: most are short, a few long.
-pub fn pause(mean: Duration, random: &mut ChaCha8Rng) -> Duration {
-    let uniform: f64 = random.random();
+pub fn pause(mean: Duration, rng: &mut ChaCha8Rng) -> Duration {
+    let uniform: f64 = rng.random();
     mean.mul_f64(-(1.0 - uniform).ln())
 }
 
 /// `count` random words.
-pub fn words(count: u32, random: &mut ChaCha8Rng) -> String {
-    let words = (0..count).map(|_| format!("{:05x}", random.random_range(0..1 << 20)));
+pub fn words(count: u32, rng: &mut ChaCha8Rng) -> String {
+    let words = (0..count).map(|_| format!("{:05x}", rng.random_range(0..1 << 20)));
     words.collect::<Vec<_>>().join(" ")
 }
 
 /// The headers of a request of `workspace`.
 pub fn headers(settings: &Settings, workspace: &str) -> HeaderMap {
     let mut headers = HeaderMap::new();
-    add(&mut headers, "content-type", "application/json");
-    add(&mut headers, "x-weir-workspace", workspace);
+    add_header(&mut headers, "content-type", "application/json");
+    add_header(&mut headers, "x-weir-workspace", workspace);
     if let Some(key) = &settings.key {
-        add(&mut headers, "authorization", &format!("Bearer {key}"));
+        add_header(&mut headers, "authorization", &format!("Bearer {key}"));
     }
     headers
 }
 
 /// Adds a header, unless its value is no header's.
-pub fn add(headers: &mut HeaderMap, name: &'static str, value: &str) {
+pub fn add_header(headers: &mut HeaderMap, name: &'static str, value: &str) {
     if let Ok(value) = header::HeaderValue::from_str(value) {
         headers.insert(name, value);
     }
--- a/crates/load/src/value.rs
+++ b/crates/load/src/value.rs
@@ -5,7 +5,7 @@
 use settings::{Faults, Raw};
 
 /// The longest time that a flag may give, in milliseconds.
-const MAX_MILLIS: u64 = 3_600_000;
+const MAX_MS: u64 = 3_600_000;
 /// What a list of addresses looks like.
 pub const ADDRESSES: &str = "IP:PORT, several divided by commas";
 
@@ -25,11 +25,11 @@
     let parts = raw.as_str().unwrap_or_default().split(',');
     let parts = parts.filter(|part| !part.is_empty());
     let parsed: Result<Vec<u64>, _> = parts.map(str::parse).collect();
-    let rising = parsed.ok().filter(|millis| millis.is_sorted());
-    if rising.is_none() {
+    let ascending = parsed.ok().filter(|millis| millis.is_sorted());
+    if ascending.is_none() {
         faults.add(raw, "rising numbers of milliseconds, divided by commas");
     }
-    Some(rising?.into_iter().map(Duration::from_millis).collect())
+    Some(ascending?.into_iter().map(Duration::from_millis).collect())
 }
 
 /// Reads a path.
@@ -44,7 +44,7 @@
 
 /// Reads a time in milliseconds.
 pub fn millis(raw: &Raw, default: Duration, faults: &mut Faults) -> Option<Duration> {
-    let default = u64::try_from(default.as_millis()).unwrap_or(MAX_MILLIS);
-    let millis = faults.within(raw, default, 0..=MAX_MILLIS)?;
+    let default = u64::try_from(default.as_millis()).unwrap_or(MAX_MS);
+    let millis = faults.within(raw, default, 0..=MAX_MS)?;
     Some(Duration::from_millis(millis))
 }
--- a/crates/load/tests/load/compare.rs
+++ b/crates/load/tests/load/compare.rs
@@ -9,12 +9,12 @@
 // A way that fails requests looks fast, because only those that were served
 // have a time.
 #[tokio::test]
-async fn failed_requests_make_a_comparison_void() {
+async fn comparison_with_failed_requests_does_not_pass() {
     let direct = engine::start(engine::Settings::default()).await.unwrap();
-    let through = engine::start(engine::Settings::default()).await.unwrap();
+    let routed = engine::start(engine::Settings::default()).await.unwrap();
     let comparison = Comparison {
         direct: direct.address(),
-        through: through.address(),
+        routed: routed.address(),
         requests: 10,
         warm_up: 2,
         load: Settings {
@@ -22,7 +22,7 @@
             ..Settings::default()
         },
     };
-    assert!(compare::run(&comparison).await.is_whole());
-    through.fault(engine::Fault::Refuse { count: 1 });
-    assert!(!compare::run(&comparison).await.is_whole());
+    assert!(compare::run(&comparison).await.has_passed());
+    routed.fault(engine::Fault::Refuse { count: 1 });
+    assert!(!compare::run(&comparison).await.has_passed());
 }
--- a/crates/load/tests/load/report.rs
+++ b/crates/load/tests/load/report.rs
@@ -6,8 +6,8 @@
 };
 
 use load::{
-    outcome::{Ended, Outcome, Refusal, Usage},
-    report::{Kind, Report, Result},
+    outcome::{Outcome, Refusal, Sample, Usage},
+    report::{Kind, Record, Report},
 };
 use yare::parameterized;
 
@@ -15,17 +15,17 @@
     Outcome::Served(Usage::default())
 }
 
-fn result(kind: Kind, outcome: Outcome) -> Result {
-    Result {
+fn record(kind: Kind, outcome: Outcome) -> Record {
+    Record {
         kind,
         name: String::from("b"),
-        ended: Ended {
+        sample: Sample {
             id: String::from("1"),
             outcome,
-            began: Instant::now(),
+            started: Instant::now(),
             first_token: None,
             total: Duration::ZERO,
-            sent: 1,
+            sends: 1,
         },
     }
 }
@@ -43,21 +43,21 @@
 #[parameterized(
     all_refused = { &[Kind::Booking], &[Kind::Chat, Kind::Booking], false },
     some_refused = { &[Kind::Chat], &[Kind::Chat], true },
-    nothing_asked = { &[], &[], true },
+    nothing_sent = { &[], &[], true },
 )]
-fn run_that_serves_a_kind_nothing_is_not_whole(
+fn run_with_an_unserved_kind_does_not_pass(
     was_served: &[Kind],
     was_refused: &[Kind],
-    whole: bool,
+    has_passed: bool,
 ) {
     let mut report = Report::new(Instant::now(), &[]);
     for kind in was_served {
-        report.add(result(*kind, served()));
+        report.add(record(*kind, served()));
     }
     for kind in was_refused {
-        report.add(result(*kind, refused("not_run")));
+        report.add(record(*kind, refused("not_run")));
     }
-    assert_eq!(report.is_whole(), whole);
+    assert_eq!(report.has_passed(), has_passed);
 }
 
 // What callers were told of one booking, how often it ran, and what that makes:
@@ -66,17 +66,21 @@
     confirmed = { vec![served()], 1, (0, 0) },
     confirmed_to_both = { vec![served(), served()], 1, (0, 0) },
     ran_twice = { vec![served()], 2, (1, 0) },
-    ran_twice_unseen = { vec![refused("may_have_run")], 2, (1, 0) },
+    ran_twice_unconfirmed = { vec![refused("may_have_run")], 2, (1, 0) },
     confirmed_but_never_ran = { vec![served()], 0, (0, 1) },
-    unsure_and_ran = { vec![refused("may_have_run")], 1, (0, 0) },
-    unsure_and_did_not = { vec![refused("may_have_run")], 0, (0, 0) },
-    was_refusedbut_ran = { vec![refused("not_run")], 1, (0, 1) },
+    may_have_run_and_ran = { vec![refused("may_have_run")], 1, (0, 0) },
+    may_have_run_and_did_not = { vec![refused("may_have_run")], 0, (0, 0) },
+    refused_as_not_run_but_ran = { vec![refused("not_run")], 1, (0, 1) },
     one_copy_ran = { vec![refused("not_run"), served()], 1, (0, 0) },
 )]
-fn booking_is_judged_by_the_ledger(outcomes: Vec<Outcome>, runs: u64, expected: (u64, u64)) {
+fn bookings_are_reconciled_with_the_ledger(
+    outcomes: Vec<Outcome>,
+    runs: u64,
+    expected: (u64, u64),
+) {
     let mut report = Report::new(Instant::now(), &[]);
     for outcome in outcomes {
-        report.add(result(Kind::Booking, outcome));
+        report.add(record(Kind::Booking, outcome));
     }
     report.reconcile(&BTreeMap::from([(String::from("b"), runs)]));
     assert_eq!((report.counts.duplicated, report.counts.wrong), expected);
--- a/crates/load/tests/load/router.rs
+++ b/crates/load/tests/load/router.rs
@@ -23,11 +23,11 @@
     /// Refuses the first requests as not run, come back at once, then confirms.
     RefuseThenConfirm { refused: u32 },
     /// Says that the key of the first requests is claimed, then confirms.
-    ClaimedThenConfirm { refused: u32 },
+    ClaimTakenThenConfirm { refused: u32 },
     /// Answers 502 as a proxy would that knows of no verdicts.
-    NoVerdict,
+    BadGateway,
     /// Ends the connection.
-    Cut,
+    CloseConnection,
 }
 
 /// A router that follows a script.
@@ -67,18 +67,18 @@
             Script::RefuseThenConfirm { refused } if call < refused => {
                 Ok(refusal("busy", "not_run", Some(0)))
             }
-            Script::ClaimedThenConfirm { refused } if call < refused => {
+            Script::ClaimTakenThenConfirm { refused } if call < refused => {
                 Ok(refusal("claim_taken", "may_have_run", Some(0)))
             }
-            Script::RefuseThenConfirm { .. } | Script::ClaimedThenConfirm { .. } => {
+            Script::RefuseThenConfirm { .. } | Script::ClaimTakenThenConfirm { .. } => {
                 let confirmation = standin::answer::confirmation(&path);
                 Ok(http::json(
                     StatusCode::OK,
                     &json!({ "confirmation": confirmation }),
                 ))
             }
-            Script::NoVerdict => Ok(http::json(StatusCode::BAD_GATEWAY, &json!({}))),
-            Script::Cut => Err(http::Cut),
+            Script::BadGateway => Ok(http::json(StatusCode::BAD_GATEWAY, &json!({}))),
+            Script::CloseConnection => Err(http::Cut),
         }
     }
 }
--- a/crates/load/tests/load/run.rs
+++ b/crates/load/tests/load/run.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, time::Duration};
 
 use load::{
-    balancer::Balancer, booking, chat, lookup, outcome::Outcome, patience, report::Counts, run,
+    balancer::Balancer, booking, chat, lookup, outcome::Outcome, report::Counts, retry, run,
     settings::Settings,
 };
 use standin::{engine, service};
@@ -14,18 +14,18 @@
 fn settings(router: SocketAddr) -> Settings {
     Settings {
         routers: vec![router],
-        patience: Duration::from_secs(10),
+        timeout: Duration::from_secs(10),
         ..Settings::default()
     }
 }
 
 async fn balancer(router: SocketAddr) -> Balancer {
     let balancer = Balancer::new(&[router]);
-    balancer.check().await;
+    balancer.probe().await;
     balancer
 }
 
-fn name(outcome: &Outcome) -> &'static str {
+fn label(outcome: &Outcome) -> &'static str {
     match outcome {
         Outcome::Served(_) => "served",
         Outcome::Refused(_) => "refused",
@@ -37,23 +37,23 @@
 // A router gives up on a request in one way or another. The caller is told what
 // became of it, or is left without a word, which is what must not be.
 #[parameterized(
-    comes_back_until_served = { Script::RefuseThenConfirm { refused: 3 }, "served", 4 },
+    retried_until_served = { Script::RefuseThenConfirm { refused: 3 }, "served", 4 },
     // The recorded outcome of the first copy is there once that has ended.
-    comes_back_for_the_outcome = { Script::ClaimedThenConfirm { refused: 2 }, "served", 3 },
+    retried_while_claimed = { Script::ClaimTakenThenConfirm { refused: 2 }, "served", 3 },
     final_not_run = { Script::Refuse { verdict: "not_run", retry_after: None }, "refused", 1 },
     // A request that may have run is not sent again, whenever it may come back.
     may_have_run = { Script::Refuse { verdict: "may_have_run", retry_after: Some(0) }, "refused", 1 },
-    no_verdict = { Script::NoVerdict, "lost", 1 },
-    cut = { Script::Cut, "lost", 1 },
+    bad_gateway = { Script::BadGateway, "lost", 1 },
+    connection_closed = { Script::CloseConnection, "lost", 1 },
 )]
 #[test_macro(tokio::test)]
-async fn what_the_caller_got(script: Script, expected: &str, sent: u32) {
+async fn only_safe_requests_are_retried(script: Script, expected: &str, sends: u32) {
     let router = router::start(script).await;
     let settings = settings(router.address());
     let call = lookup::call(&settings, "w", 1);
     let balancer = balancer(router.address()).await;
-    let ended = patience::persist(&call, &balancer, &settings).await;
-    assert_eq!((name(&ended.outcome), ended.sent), (expected, sent));
+    let sample = retry::send(&call, &balancer, &settings).await;
+    assert_eq!((label(&sample.outcome), sample.sends), (expected, sends));
 }
 
 // An engine's answer reaches the caller cut, short or crossed. A caller that took
@@ -66,7 +66,10 @@
     crossed = { Some(engine::Fault::CrossedAnswer { count: 1 }), "wrong" },
 )]
 #[test_macro(tokio::test)]
-async fn what_the_caller_got_of_a_stream(fault: Option<engine::Fault>, expected: &str) {
+async fn stream_is_served_only_if_complete_and_correct(
+    fault: Option<engine::Fault>,
+    expected: &str,
+) {
     let engine = engine::start(engine::Settings::default()).await.unwrap();
     if let Some(fault) = fault {
         engine.fault(fault);
@@ -78,59 +81,59 @@
     };
     let call = chat::call(&settings, "w", "c", &[message], true);
     let balancer = balancer(engine.address()).await;
-    let ended = patience::persist(&call, &balancer, &settings).await;
-    assert_eq!(name(&ended.outcome), expected, "{:?}", ended.outcome);
+    let sample = retry::send(&call, &balancer, &settings).await;
+    assert_eq!(label(&sample.outcome), expected, "{:?}", sample.outcome);
 }
 
 // Nothing between the callers and a service claims bookings. Those that are sent
 // twice with one key run twice, and two trucks come; the ledger tells.
 #[tokio::test(flavor = "multi_thread")]
-async fn bookings_that_run_twice_are_counted() {
+async fn duplicate_bookings_are_counted() {
     let service = service::start(service::Settings::default()).await.unwrap();
     let settings = Settings {
         ledgers: vec![service.address()],
         duration: Duration::from_millis(300),
         chats: 0,
-        lookers: 0,
+        lookup_callers: 0,
         booking_pause: Duration::from_millis(5),
-        repeats: 100,
+        duplicate_percent: 100,
         ..settings(service.address())
     };
     let report = run::run(settings).await.unwrap();
-    let booked = service.ledger().entries.len() as u64;
+    let bookings = service.ledger().entries.len() as u64;
     let expected = Counts {
-        served: 2 * booked,
-        duplicated: booked,
+        served: 2 * bookings,
+        duplicated: bookings,
         ..Counts::default()
     };
-    assert!(booked > 0);
+    assert!(bookings > 0);
     assert_eq!(report.counts, expected);
 }
 
 // A router says that a booking has not run although it has. The caller books
 // again elsewhere.
 #[tokio::test]
-async fn untrue_refusal_of_a_booking_is_wrong() {
+async fn refusal_of_a_booking_that_ran_is_wrong() {
     let service = service::start(service::Settings::default()).await.unwrap();
-    let liar = router::start(Script::Refuse {
+    let refusing_router = router::start(Script::Refuse {
         verdict: "not_run",
         retry_after: None,
     })
     .await;
-    let settings = settings(liar.address());
+    let settings = settings(refusing_router.address());
     let mut report = load::report::Report::new(std::time::Instant::now(), &[]);
-    for (id, runs) in [("ran", true), ("rests", false)] {
+    for (id, has_run) in [("ran", true), ("rests", false)] {
         let call = booking::call(&settings, "w", id);
-        if runs {
+        if has_run {
             let balancer = balancer(service.address()).await;
-            patience::persist(&call, &balancer, &settings).await;
+            retry::send(&call, &balancer, &settings).await;
         }
-        let balancer = balancer(liar.address()).await;
-        let ended = patience::persist(&call, &balancer, &settings).await;
-        report.add(load::report::Result {
+        let balancer = balancer(refusing_router.address()).await;
+        let sample = retry::send(&call, &balancer, &settings).await;
+        report.add(load::report::Record {
             kind: load::report::Kind::Booking,
             name: String::from(id),
-            ended,
+            sample,
         });
     }
     let entries = service.ledger().entries.into_iter();
