--- a/crates/losses/src/cause.rs
+++ b/crates/losses/src/cause.rs
@@ -80,7 +80,7 @@
 
 /// What became of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Outcome {
     /// It got a server's answer to its end.
     Served,
     /// It was not allowed or could not be read, so that no server was asked.
@@ -90,24 +90,24 @@
 }
 
 /// What a line says of a request, if it is the last one about it.
-pub fn fate(line: &Line<'_>) -> Option<Fate> {
+pub fn outcome(line: &Line<'_>) -> Option<Outcome> {
     match line.event.as_ref() {
-        "request_done" => Some(done(line)),
-        "request_refused" => Some(Fate::Lost(refused(line))),
+        "request_done" => Some(completed(line)),
+        "request_refused" => Some(Outcome::Lost(refused(line))),
         "request_rejected" => Some(rejected(line)),
-        "request_abandoned" => Some(Fate::Lost(Cause::CallerLeft)),
+        "request_abandoned" => Some(Outcome::Lost(Cause::CallerLeft)),
         _ => None,
     }
 }
 
-fn done(line: &Line<'_>) -> Fate {
-    let has_failed = line.number("status").is_some_and(|status| status >= 500);
+fn completed(line: &Line<'_>) -> Outcome {
+    let is_server_error = line.number("status").is_some_and(|status| status >= 500);
     match line.get("ending") {
-        Some("complete") if has_failed => Fate::Lost(Cause::ServerFailed),
-        Some("complete") => Fate::Served,
-        Some("caller left") => Fate::Lost(Cause::CallerLeft),
-        Some("late" | "silent") => Fate::Lost(Cause::ServerSilent),
-        _ => Fate::Lost(Cause::ServerBroke),
+        Some("complete") if is_server_error => Outcome::Lost(Cause::ServerFailed),
+        Some("complete") => Outcome::Served,
+        Some("caller left") => Outcome::Lost(Cause::CallerLeft),
+        Some("late" | "silent") => Outcome::Lost(Cause::ServerSilent),
+        _ => Outcome::Lost(Cause::ServerBroke),
     }
 }
 
@@ -129,11 +129,11 @@
     }
 }
 
-fn rejected(line: &Line<'_>) -> Fate {
+fn rejected(line: &Line<'_>) -> Outcome {
     match line.get("code") {
-        Some("not_ready" | "internal") => Fate::Lost(Cause::Router),
-        Some("no_server") => Fate::Lost(Cause::NoServer),
-        Some("busy") => Fate::Lost(Cause::Full),
-        _ => Fate::Rejected,
+        Some("not_ready" | "internal") => Outcome::Lost(Cause::Router),
+        Some("no_server") => Outcome::Lost(Cause::NoServer),
+        Some("busy") => Outcome::Lost(Cause::Full),
+        _ => Outcome::Rejected,
     }
 }
--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -18,7 +18,7 @@
 
 /// Text that is no line of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fault {
+pub enum Error {
     /// It does not look like a line at all.
     Foreign,
     /// It begins like a line, and cannot be read.
@@ -26,7 +26,7 @@
 }
 
 /// How each line begins.
-const TIME: &str = "time=";
+const TIME_PREFIX: &str = "time=";
 
 impl<'a> Line<'a> {
     /// Reads a line.
@@ -34,19 +34,19 @@
     /// # Errors
     ///
     /// When the text is not one.
-    pub fn parse(text: &'a str) -> Result<Self, Fault> {
-        let start = text.find(TIME).ok_or(Fault::Foreign)?;
+    pub fn parse(text: &'a str) -> Result<Self, Error> {
+        let start = text.find(TIME_PREFIX).ok_or(Error::Foreign)?;
         let origin = text[..start].split_whitespace().next_back();
-        let mut pairs = pairs(&text[start..]).ok_or(Fault::Malformed)?;
-        let mut take = |wanted: &str| {
+        let mut pairs = pairs(&text[start..]).ok_or(Error::Malformed)?;
+        let mut remove = |wanted: &str| {
             let index = pairs.iter().position(|(key, _)| *key == wanted)?;
             Some(pairs.remove(index).1)
         };
-        let time = take("time").and_then(|time| humantime::parse_rfc3339(&time).ok());
-        let event = take("event").ok_or(Fault::Malformed)?;
+        let time = remove("time").and_then(|time| humantime::parse_rfc3339(&time).ok());
+        let event = remove("event").ok_or(Error::Malformed)?;
         Ok(Self {
             origin,
-            time: time.ok_or(Fault::Malformed)?,
+            time: time.ok_or(Error::Malformed)?,
             event,
             pairs,
         })
@@ -76,15 +76,15 @@
 /// The key=value pairs of a line; nothing if it cannot be read to its end.
 fn pairs(text: &str) -> Option<Pairs<'_>> {
     let mut pairs = Pairs::new();
-    let mut rest = text.trim();
-    while !rest.is_empty() {
-        let (key, after) = rest.split_once('=')?;
+    let mut remaining = text.trim();
+    while !remaining.is_empty() {
+        let (key, after) = remaining.split_once('=')?;
         if key.is_empty() || key.contains(char::is_whitespace) {
             return None;
         }
         let (value, after) = value(after)?;
         pairs.push((key, value));
-        rest = after.trim_start();
+        remaining = after.trim_start();
     }
     Some(pairs)
 }
@@ -103,7 +103,7 @@
     })?;
     let inner = &quoted[..end];
     let value = if inner.contains('\\') {
-        Cow::Owned(unescaped(inner))
+        Cow::Owned(unescape(inner))
     } else {
         Cow::Borrowed(inner)
     };
@@ -114,17 +114,17 @@
 ///
 /// Other escapes stand for control characters and stay as they are: what is
 /// printed must not hold any.
-fn unescaped(text: &str) -> String {
-    let mut plain = String::with_capacity(text.len());
+fn unescape(text: &str) -> String {
+    let mut unescaped = String::with_capacity(text.len());
     let mut chars = text.chars();
     while let Some(c) = chars.next() {
         match (c, chars.as_str().chars().next()) {
             ('\\', Some(next @ ('"' | '\\' | '\''))) => {
-                plain.push(next);
+                unescaped.push(next);
                 chars.next();
             }
-            _ => plain.push(c),
+            _ => unescaped.push(c),
         }
     }
-    plain
+    unescaped
 }
--- a/crates/losses/src/plot.rs
+++ b/crates/losses/src/plot.rs
@@ -10,9 +10,9 @@
 use crate::{report::Report, timeline::Span};
 
 /// The size of the picture, in pixels.
-const SIZE: (u32, u32) = (1_200, 700);
+const SIZE_PX: (u32, u32) = (1_200, 700);
 /// The most events that are marked; more would hide the curves.
-const MOST_MARKS: usize = 60;
+const MAX_EVENTS: usize = 60;
 const GREY: RGBColor = RGBColor(160, 160, 160);
 
 /// The picture as SVG.
@@ -22,15 +22,15 @@
 /// When there is nothing to draw, or the library cannot draw it.
 pub fn svg(report: &Report) -> Result<String, String> {
     let spans: Vec<(u64, &Span)> = report.timeline.spans().collect();
-    let (Some((begin, _)), Some((end, _))) = (spans.first(), spans.last()) else {
+    let (Some((start, _)), Some((end, _))) = (spans.first(), spans.last()) else {
         return Err(String::from("there is no line of a router to draw"));
     };
-    let points = Points::new(&spans, *begin);
-    let length = (end - begin).max(1) as f64;
+    let points = Points::new(&spans, *start);
+    let duration_s = (end - start).max(1) as f64;
     let mut picture = String::new();
     {
-        let backend = SVGBackend::with_string(&mut picture, SIZE);
-        draw(backend, &points, length).map_err(|error| error.to_string())?;
+        let backend = SVGBackend::with_string(&mut picture, SIZE_PX);
+        draw(backend, &points, duration_s).map_err(|error| error.to_string())?;
     }
     Ok(picture)
 }
@@ -39,62 +39,65 @@
 struct Points {
     lost: Vec<(f64, f64)>,
     first_ms: Vec<(f64, f64)>,
-    marks: Vec<f64>,
+    event_times: Vec<f64>,
 }
 
 impl Points {
-    fn new(spans: &[(u64, &Span)], begin: u64) -> Self {
-        let at = |time: u64| (time - begin) as f64;
+    fn new(spans: &[(u64, &Span)], start: u64) -> Self {
+        let at = |time: u64| (time - start) as f64;
         let lost = spans.iter();
         let lost = lost.map(|(time, span)| (at(*time), span.requests.lost as f64));
         let served = spans.iter().filter(|(_, span)| span.requests.served > 0);
         let first_ms = served.map(|(time, span)| (at(*time), span.mean_first_ms()));
-        let marked = spans.iter().filter(|(_, span)| !span.events.is_empty());
+        let with_events = spans.iter().filter(|(_, span)| !span.events.is_empty());
         Self {
             lost: lost.collect(),
             first_ms: first_ms.collect(),
-            marks: marked.map(|(time, _)| at(*time)).take(MOST_MARKS).collect(),
+            event_times: with_events
+                .map(|(time, _)| at(*time))
+                .take(MAX_EVENTS)
+                .collect(),
         }
     }
 }
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type DrawResult = Result<(), Box<dyn std::error::Error>>;
 
-fn draw(backend: SVGBackend<'_>, points: &Points, length: f64) -> Drawn {
+fn draw(backend: SVGBackend<'_>, points: &Points, duration_s: f64) -> DrawResult {
     let area = backend.into_drawing_area();
     area.fill(&plotters::style::WHITE)?;
-    let parts = area.split_evenly((2, 1));
-    let [upper, lower] = parts.as_slice() else {
+    let halves = area.split_evenly((2, 1));
+    let [upper, lower] = halves.as_slice() else {
         return Err("the picture cannot be split".into());
     };
     let above = ("mean time to the first byte, ms", &BLUE);
-    curve(upper, above, &points.first_ms, points, length)?;
+    draw_curve(upper, above, &points.first_ms, points, duration_s)?;
     let below = ("requests lost", &RED);
-    curve(lower, below, &points.lost, points, length)?;
+    draw_curve(lower, below, &points.lost, points, duration_s)?;
     area.present()?;
     Ok(())
 }
 
-fn curve(
+fn draw_curve(
     area: &plotters::drawing::DrawingArea<SVGBackend<'_>, plotters::coord::Shift>,
     (title, colour): (&str, &RGBColor),
     values: &[(f64, f64)],
     points: &Points,
-    length: f64,
-) -> Drawn {
-    let highest = values.iter().map(|(_, value)| *value).fold(1.0, f64::max);
+    duration_s: f64,
+) -> DrawResult {
+    let max = values.iter().map(|(_, value)| *value).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(area)
         .caption(title, ("sans-serif", 18, &BLACK))
         .margin(8)
         .x_label_area_size(28)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..length, 0.0..highest * 1.05)?;
+        .build_cartesian_2d(0.0..duration_s, 0.0..max * 1.05)?;
     chart
         .configure_mesh()
         .x_desc("seconds since the first line")
         .draw()?;
-    chart.draw_series(points.marks.iter().map(|at| {
-        let ends = vec![(*at, 0.0), (*at, highest)];
+    chart.draw_series(points.event_times.iter().map(|at| {
+        let ends = vec![(*at, 0.0), (*at, max)];
         PathElement::new(ends, GREY.mix(0.4))
     }))?;
     chart.draw_series(LineSeries::new(values.iter().copied(), colour))?;
--- a/crates/losses/src/reader.rs
+++ b/crates/losses/src/reader.rs
@@ -3,7 +3,7 @@
 use std::io::{self, BufRead};
 
 /// The longest line that is read, in bytes.
-const MOST_BYTES: usize = 16 * 1024;
+const MAX_LINE_BYTES: usize = 16 * 1024;
 
 /// What the input holds next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -11,9 +11,9 @@
     /// A line.
     Line,
     /// Text after the last line break: its line was cut off, or is still being written.
-    Cut,
+    Truncated,
     /// A line that is too long; it is passed over.
-    Long,
+    TooLong,
     /// Nothing more.
     End,
 }
@@ -25,32 +25,36 @@
 /// When the input cannot be read.
 pub fn next(input: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Next> {
     line.clear();
-    let mut is_long = false;
+    let mut is_too_long = false;
     loop {
         let bytes = input.fill_buf()?;
         if bytes.is_empty() {
-            return Ok(at_end(line, is_long));
+            return Ok(end_of_input(line, is_too_long));
         }
         let end = bytes.iter().position(|&byte| byte == b'\n');
-        let part = &bytes[..end.unwrap_or(bytes.len())];
-        is_long |= line.len() + part.len() > MOST_BYTES;
-        if !is_long {
-            line.extend_from_slice(part);
+        let chunk = &bytes[..end.unwrap_or(bytes.len())];
+        is_too_long |= line.len() + chunk.len() > MAX_LINE_BYTES;
+        if !is_too_long {
+            line.extend_from_slice(chunk);
         }
-        let used = end.map_or(bytes.len(), |end| end + 1);
-        input.consume(used);
+        let consumed = end.map_or(bytes.len(), |end| end + 1);
+        input.consume(consumed);
         if end.is_some() {
-            return Ok(if is_long { Next::Long } else { Next::Line });
+            return Ok(if is_too_long {
+                Next::TooLong
+            } else {
+                Next::Line
+            });
         }
     }
 }
 
-fn at_end(line: &[u8], is_long: bool) -> Next {
-    if is_long {
-        Next::Long
+fn end_of_input(line: &[u8], is_too_long: bool) -> Next {
+    if is_too_long {
+        Next::TooLong
     } else if line.is_empty() {
         Next::End
     } else {
-        Next::Cut
+        Next::Truncated
     }
 }
--- a/crates/losses/src/render.rs
+++ b/crates/losses/src/render.rs
@@ -16,22 +16,22 @@
 };
 
 /// The most rows of one table.
-const MOST_ROWS: usize = 10;
+const MAX_ROWS: usize = 10;
 /// Percentiles that are shown.
 const PERCENTILES: [f64; 3] = [50.0, 95.0, 99.0];
 
 /// The report for people.
 pub fn text(report: &Report) -> String {
     let mut text = String::new();
-    head(&mut text, report);
-    causes(&mut text, report);
-    table(&mut text, "route", &report.routes);
-    table(&mut text, "zone", &report.zones);
-    table(&mut text, "workspace", &report.workspaces);
-    table(&mut text, "server", &report.servers);
-    table(&mut text, "router", &report.routers);
-    times(&mut text, report);
-    worst(&mut text, report);
+    write_summary(&mut text, report);
+    write_causes(&mut text, report);
+    write_table(&mut text, "route", &report.routes);
+    write_table(&mut text, "zone", &report.zones);
+    write_table(&mut text, "workspace", &report.workspaces);
+    write_table(&mut text, "server", &report.servers);
+    write_table(&mut text, "router", &report.routers);
+    write_times(&mut text, report);
+    write_worst_spans(&mut text, report);
     text
 }
 
@@ -42,7 +42,7 @@
     };
 }
 
-fn head(text: &mut String, report: &Report) {
+fn write_summary(text: &mut String, report: &Report) {
     let lines = report.lines;
     line!(
         text,
@@ -54,24 +54,28 @@
         lines.cut,
         lines.dropped
     );
-    let all = &report.all;
-    let share = all.lost as f64 / (all.served + all.lost).max(1) as f64;
+    let requests = &report.requests;
+    let loss_ratio = requests.lost as f64 / (requests.served + requests.lost).max(1) as f64;
     line!(
         text,
         "requests {} served, {} lost ({:.1}%), {} rejected",
-        all.served,
-        all.lost,
-        share * 100.0,
-        all.rejected
+        requests.served,
+        requests.lost,
+        loss_ratio * 100.0,
+        requests.rejected
     );
     let attempts = report.attempts.iter();
     let attempts: Vec<String> = attempts
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
-    line!(text, "attempts without an answer: {}", listed(&attempts));
+    line!(
+        text,
+        "attempts without an answer: {}",
+        join_or_none(&attempts)
+    );
 }
 
-fn listed(texts: &[String]) -> String {
+fn join_or_none(texts: &[String]) -> String {
     if texts.is_empty() {
         String::from("none")
     } else {
@@ -79,7 +83,7 @@
     }
 }
 
-fn causes(text: &mut String, report: &Report) {
+fn write_causes(text: &mut String, report: &Report) {
     line!(text, "\n{:<16} {:>7}", "cause", "lost");
     let mut causes = Cause::ALL;
     causes.sort_by_key(|&cause| std::cmp::Reverse(report.lost_by(cause)));
@@ -91,8 +95,8 @@
     }
 }
 
-fn table(text: &mut String, title: &str, tally: &Tally) {
-    let worst = tally.worst(MOST_ROWS);
+fn write_table(text: &mut String, title: &str, tally: &Tally) {
+    let worst = tally.worst(MAX_ROWS);
     if worst.is_empty() {
         return;
     }
@@ -103,12 +107,12 @@
             "{name:<24} {:>7} {:>7}  {}",
             count.served,
             count.lost,
-            count.main_cause().map_or("", Cause::name)
+            count.most_frequent_cause().map_or("", Cause::name)
         );
     }
 }
 
-fn times(text: &mut String, report: &Report) {
+fn write_times(text: &mut String, report: &Report) {
     if report.times.is_empty() {
         return;
     }
@@ -123,13 +127,13 @@
         line!(
             text,
             "{route:<24} {:>21}  {:>21}",
-            shown(&times.first),
-            shown(&times.total)
+            percentile_text(&times.first_byte),
+            percentile_text(&times.total)
         );
     }
 }
 
-fn shown(times: &Histogram<u32>) -> String {
+fn percentile_text(times: &Histogram<u32>) -> String {
     let values = percentiles(times).map(|value| value.to_string());
     values.join(" ")
 }
@@ -138,30 +142,30 @@
     PERCENTILES.map(|percent| times.value_at_percentile(percent))
 }
 
-fn worst(text: &mut String, report: &Report) {
-    let worst = report.timeline.worst(MOST_ROWS);
+fn write_worst_spans(text: &mut String, report: &Report) {
+    let worst = report.timeline.worst(MAX_ROWS);
     if worst.is_empty() {
         return;
     }
     line!(text, "\nworst spans of {} s", report.timeline.seconds());
-    for (begin, span) in worst {
+    for (start, span) in worst {
         line!(
             text,
             "{} served {} lost {} ({}), first byte {:.0} ms, at most {} ms",
-            clock(begin),
+            format_time(start),
             span.requests.served,
             span.requests.lost,
-            by_cause(&span.requests),
+            causes_text(&span.requests),
             span.mean_first_ms(),
             span.longest_first_ms
         );
-        for line in report.timeline.around(begin) {
+        for line in report.timeline.events_near(start) {
             line!(text, "    {line}");
         }
     }
 }
 
-fn by_cause(count: &Count) -> String {
+fn causes_text(count: &Count) -> String {
     let causes = count.causes.iter();
     let causes: Vec<String> = causes
         .map(|(cause, count)| format!("{cause} {count}"))
@@ -170,7 +174,7 @@
 }
 
 /// The time of day, as the routers' clocks say.
-fn clock(seconds: u64) -> String {
+fn format_time(seconds: u64) -> String {
     let time = UNIX_EPOCH + Duration::from_secs(seconds);
     humantime::format_rfc3339_seconds(time).to_string()
 }
@@ -182,7 +186,7 @@
     let spans = report.timeline.spans();
     json!({
         "lines": report.lines,
-        "requests": report.all,
+        "requests": report.requests,
         "attempts": report.attempts,
         "routes": report.routes,
         "zones": report.zones,
@@ -191,18 +195,18 @@
         "routers": report.routers,
         "times_ms": times.collect::<serde_json::Map<_, _>>(),
         "span_s": report.timeline.seconds(),
-        "spans": spans.map(|(begin, span)| span_json(begin, span)).collect::<Vec<_>>(),
+        "spans": spans.map(|(start, span)| span_json(start, span)).collect::<Vec<_>>(),
     })
 }
 
 fn times_json(times: &Times) -> Value {
     json!({
         "percentiles": PERCENTILES,
-        "first_byte": percentiles(&times.first),
+        "first_byte": percentiles(&times.first_byte),
         "whole": percentiles(&times.total),
     })
 }
 
-fn span_json(begin: u64, span: &Span) -> Value {
-    json!({ "at": clock(begin), "span": span })
+fn span_json(start: u64, span: &Span) -> Value {
+    json!({ "at": format_time(start), "span": span })
 }
--- a/crates/losses/src/report.rs
+++ b/crates/losses/src/report.rs
@@ -9,19 +9,19 @@
 use serde::Serialize;
 
 use crate::{
-    cause::{self, Cause, Fate},
-    line::{Fault, Line},
+    cause::{self, Cause, Outcome},
+    line::{self, Line},
     reader::{self, Next},
     tally::{Count, Tally},
     timeline::Timeline,
 };
 
 /// The longest time that is told apart, in milliseconds: an hour.
-const LONGEST_MS: u64 = 3_600_000;
+const MAX_MS: u64 = 3_600_000;
 /// How exactly times are kept, in significant digits.
-const DIGITS: u8 = 2;
+const SIGNIFICANT_DIGITS: u8 = 2;
 /// The most routes whose times are kept apart.
-const MOST_ROUTES: usize = 200;
+const MAX_ROUTES: usize = 200;
 
 /// How many lines were read, and of what kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -44,16 +44,16 @@
 #[derive(Clone, Debug)]
 pub struct Times {
     /// To the first byte.
-    pub first: Histogram<u32>,
+    pub first_byte: Histogram<u32>,
     /// To the last.
     pub total: Histogram<u32>,
 }
 
 impl Times {
     fn new() -> Option<Self> {
-        let empty = Histogram::new_with_max(LONGEST_MS, DIGITS).ok()?;
+        let empty = Histogram::new_with_max(MAX_MS, SIGNIFICANT_DIGITS).ok()?;
         Some(Self {
-            first: empty.clone(),
+            first_byte: empty.clone(),
             total: empty,
         })
     }
@@ -65,7 +65,7 @@
     /// How many there were.
     pub lines: Lines,
     /// All requests.
-    pub all: Count,
+    pub requests: Count,
     /// Requests by route.
     pub routes: Tally,
     /// By the zone of the server that had them last.
@@ -96,10 +96,10 @@
         loop {
             match reader::next(&mut input, &mut bytes)? {
                 Next::End => return Ok(()),
-                Next::Long => self.lines.long += 1,
+                Next::TooLong => self.lines.long += 1,
                 Next::Line => self.add_line(&String::from_utf8_lossy(&bytes), name),
                 // What is left of it may name the wrong route or server.
-                Next::Cut => self.lines.cut += 1,
+                Next::Truncated => self.lines.cut += 1,
             }
         }
     }
@@ -108,47 +108,47 @@
         match Line::parse(text) {
             Ok(line) => {
                 self.lines.read += 1;
-                self.take(&line, name);
+                self.add_parsed(&line, name);
             }
-            Err(Fault::Foreign) => self.lines.foreign += 1,
-            Err(Fault::Malformed) => self.lines.malformed += 1,
+            Err(line::Error::Foreign) => self.lines.foreign += 1,
+            Err(line::Error::Malformed) => self.lines.malformed += 1,
         }
     }
 
-    fn take(&mut self, line: &Line<'_>, name: &str) {
+    fn add_parsed(&mut self, line: &Line<'_>, name: &str) {
         let origin = line.origin.unwrap_or(name);
-        self.timeline.mark(line, origin);
+        self.timeline.add_event(line, origin);
         match line.event.as_ref() {
             "attempt_failed" => {
                 let outcome = line.get("outcome").unwrap_or("unknown");
-                count(&mut self.attempts, outcome);
+                increment(&mut self.attempts, outcome);
             }
             "log_lines_dropped" => self.lines.dropped += line.number("count").unwrap_or(0),
             _ => {}
         }
-        if let Some(fate) = cause::fate(line) {
-            self.ended(line, origin, fate);
+        if let Some(outcome) = cause::outcome(line) {
+            self.add_request(line, origin, outcome);
         }
     }
 
-    fn ended(&mut self, line: &Line<'_>, origin: &str, fate: Fate) {
-        self.all.add(fate);
-        let named = |key: &str| line.get(key).unwrap_or("none");
-        self.routes.add(named("route"), fate);
-        self.zones.add(named("zone"), fate);
-        self.workspaces.add(named("workspace"), fate);
-        self.servers.add(named("server"), fate);
-        self.routers.add(origin, fate);
+    fn add_request(&mut self, line: &Line<'_>, origin: &str, outcome: Outcome) {
+        self.requests.add(outcome);
+        let value_or_none = |key: &str| line.get(key).unwrap_or("none");
+        self.routes.add(value_or_none("route"), outcome);
+        self.zones.add(value_or_none("zone"), outcome);
+        self.workspaces.add(value_or_none("workspace"), outcome);
+        self.servers.add(value_or_none("server"), outcome);
+        self.routers.add(origin, outcome);
         let first_ms = line.number("first_ms");
-        self.timeline.ended(line.time, fate, first_ms);
-        if fate == Fate::Served {
-            self.served(named("route"), first_ms, line.number("total_ms"));
+        self.timeline.add_request(line.time, outcome, first_ms);
+        if outcome == Outcome::Served {
+            self.add_times(value_or_none("route"), first_ms, line.number("total_ms"));
         }
     }
 
-    fn served(&mut self, route: &str, first_ms: Option<u64>, total_ms: Option<u64>) {
+    fn add_times(&mut self, route: &str, first_ms: Option<u64>, total_ms: Option<u64>) {
         if !self.times.contains_key(route) {
-            if self.times.len() >= MOST_ROUTES {
+            if self.times.len() >= MAX_ROUTES {
                 return;
             }
             let Some(times) = Times::new() else {
@@ -159,23 +159,23 @@
         let Some(times) = self.times.get_mut(route) else {
             return;
         };
-        times.first.saturating_record(first_ms.unwrap_or(0));
+        times.first_byte.saturating_record(first_ms.unwrap_or(0));
         times.total.saturating_record(total_ms.unwrap_or(0));
     }
 
     /// Requests that were lost by `cause`.
     pub fn lost_by(&self, cause: Cause) -> u64 {
-        self.all.causes.get(&cause).copied().unwrap_or(0)
+        self.requests.causes.get(&cause).copied().unwrap_or(0)
     }
 }
 
 /// The most outcomes that are counted apart; routers know fewer.
-const MOST_OUTCOMES: usize = 32;
+const MAX_OUTCOMES: usize = 32;
 
-fn count(counts: &mut BTreeMap<String, u64>, name: &str) {
+fn increment(counts: &mut BTreeMap<String, u64>, name: &str) {
     if let Some(count) = counts.get_mut(name) {
         *count += 1;
-    } else if counts.len() < MOST_OUTCOMES {
+    } else if counts.len() < MAX_OUTCOMES {
         counts.insert(String::from(name), 1);
     }
 }
--- a/crates/losses/src/tally.rs
+++ b/crates/losses/src/tally.rs
@@ -4,10 +4,10 @@
 
 use serde::Serialize;
 
-use crate::cause::{Cause, Fate};
+use crate::cause::{Cause, Outcome};
 
 /// The most names of one kind that are counted apart.
-const MOST_NAMES: usize = 1_000;
+const MAX_NAMES: usize = 1_000;
 /// Under which name all further ones are counted.
 const OTHERS: &str = "(others)";
 
@@ -26,11 +26,11 @@
 
 impl Count {
     /// One more request.
-    pub fn add(&mut self, fate: Fate) {
-        match fate {
-            Fate::Served => self.served += 1,
-            Fate::Rejected => self.rejected += 1,
-            Fate::Lost(cause) => {
+    pub fn add(&mut self, outcome: Outcome) {
+        match outcome {
+            Outcome::Served => self.served += 1,
+            Outcome::Rejected => self.rejected += 1,
+            Outcome::Lost(cause) => {
                 self.lost += 1;
                 *self.causes.entry(cause).or_default() += 1;
             }
@@ -38,7 +38,7 @@
     }
 
     /// All requests of another count.
-    pub fn join(&mut self, other: &Self) {
+    pub fn merge(&mut self, other: &Self) {
         self.served += other.served;
         self.rejected += other.rejected;
         self.lost += other.lost;
@@ -48,7 +48,7 @@
     }
 
     /// The cause of most losses, if there are any.
-    pub fn main_cause(&self) -> Option<Cause> {
+    pub fn most_frequent_cause(&self) -> Option<Cause> {
         let most = self.causes.iter().max_by_key(|(_, count)| **count);
         most.map(|(cause, _)| *cause)
     }
@@ -63,23 +63,23 @@
 
 impl Tally {
     /// One more request of `name`.
-    pub fn add(&mut self, name: &str, fate: Fate) {
+    pub fn add(&mut self, name: &str, outcome: Outcome) {
         if let Some(count) = self.counts.get_mut(name) {
-            count.add(fate);
+            count.add(outcome);
             return;
         }
-        let is_full = self.counts.len() >= MOST_NAMES;
+        let is_full = self.counts.len() >= MAX_NAMES;
         let name = if is_full { OTHERS } else { name };
         let count = self.counts.entry(String::from(name)).or_default();
-        count.add(fate);
+        count.add(outcome);
     }
 
     /// The `most` names with most losses, worst first; names without any are left out.
-    pub fn worst(&self, most: usize) -> Vec<(&str, &Count)> {
+    pub fn worst(&self, limit: usize) -> Vec<(&str, &Count)> {
         let lost = self.counts.iter().filter(|(_, count)| count.lost > 0);
         let mut worst: Vec<_> = lost.map(|(name, count)| (name.as_str(), count)).collect();
         worst.sort_by_key(|(_, count)| std::cmp::Reverse(count.lost));
-        worst.truncate(most);
+        worst.truncate(limit);
         worst
     }
 
--- a/crates/losses/src/timeline.rs
+++ b/crates/losses/src/timeline.rs
@@ -7,15 +7,15 @@
 
 use serde::Serialize;
 
-use crate::{cause::Fate, line::Line, tally::Count};
+use crate::{cause::Outcome, line::Line, tally::Count};
 
 /// The most spans that are kept; with more, each is made twice as long.
-const MOST_SPANS: usize = 7_200;
+const MAX_SPANS: usize = 7_200;
 /// The most lines of events that one span keeps.
-const MOST_LINES: usize = 8;
+const MAX_EVENT_LINES: usize = 8;
 
 /// Events that change what a router believes, or that it lives by.
-const MARKED: [&str; 14] = [
+const SHOWN_EVENTS: [&str; 14] = [
     "started",
     "leaving",
     "closed",
@@ -53,15 +53,15 @@
         self.first_ms as f64 / self.requests.served.max(1) as f64
     }
 
-    fn join(&mut self, other: Self) {
-        self.requests.join(&other.requests);
+    fn merge(&mut self, other: Self) {
+        self.requests.merge(&other.requests);
         self.first_ms += other.first_ms;
         self.longest_first_ms = self.longest_first_ms.max(other.longest_first_ms);
         for (event, count) in other.events {
             *self.events.entry(event).or_default() += count;
         }
         self.lines.extend(other.lines);
-        self.lines.truncate(MOST_LINES);
+        self.lines.truncate(MAX_EVENT_LINES);
     }
 }
 
@@ -84,10 +84,10 @@
 
 impl Timeline {
     /// A request ended at `time`, with its first byte after so many milliseconds.
-    pub fn ended(&mut self, time: SystemTime, fate: Fate, first_ms: Option<u64>) {
+    pub fn add_request(&mut self, time: SystemTime, outcome: Outcome, first_ms: Option<u64>) {
         let span = self.span(time);
-        span.requests.add(fate);
-        if fate == Fate::Served {
+        span.requests.add(outcome);
+        if outcome == Outcome::Served {
             let first_ms = first_ms.unwrap_or(0);
             span.first_ms += first_ms;
             span.longest_first_ms = span.longest_first_ms.max(first_ms);
@@ -95,32 +95,32 @@
     }
 
     /// Marks what a line says, if it is one of the marked events.
-    pub fn mark(&mut self, line: &Line<'_>, origin: &str) {
-        if !MARKED.contains(&line.event.as_ref()) {
+    pub fn add_event(&mut self, line: &Line<'_>, origin: &str) {
+        if !SHOWN_EVENTS.contains(&line.event.as_ref()) {
             return;
         }
-        let text = text(line, origin);
+        let text = event_text(line, origin);
         let span = self.span(line.time);
         *span.events.entry(line.event.to_string()).or_default() += 1;
-        if span.lines.len() < MOST_LINES {
+        if span.lines.len() < MAX_EVENT_LINES {
             span.lines.push(text);
         }
     }
 
     fn span(&mut self, time: SystemTime) -> &mut Span {
-        let since = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
-        let mut index = since.as_secs() / self.seconds;
-        while self.spans.len() >= MOST_SPANS && !self.spans.contains_key(&index) {
-            self.widen();
-            index = since.as_secs() / self.seconds;
+        let since_epoch = time.duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
+        let mut index = since_epoch.as_secs() / self.seconds;
+        while self.spans.len() >= MAX_SPANS && !self.spans.contains_key(&index) {
+            self.double_span_length();
+            index = since_epoch.as_secs() / self.seconds;
         }
         self.spans.entry(index).or_default()
     }
 
-    fn widen(&mut self) {
+    fn double_span_length(&mut self) {
         self.seconds = self.seconds.saturating_mul(2);
         for (index, span) in std::mem::take(&mut self.spans) {
-            self.spans.entry(index / 2).or_default().join(span);
+            self.spans.entry(index / 2).or_default().merge(span);
         }
     }
 
@@ -138,17 +138,17 @@
     }
 
     /// The `most` spans with most losses, worst first.
-    pub fn worst(&self, most: usize) -> Vec<(u64, &Span)> {
+    pub fn worst(&self, limit: usize) -> Vec<(u64, &Span)> {
         let lost = self.spans().filter(|(_, span)| span.requests.lost > 0);
         let mut worst: Vec<_> = lost.collect();
         worst.sort_by_key(|(_, span)| std::cmp::Reverse(span.requests.lost));
-        worst.truncate(most);
+        worst.truncate(limit);
         worst
     }
 
     /// What was marked in a span and in those next to it.
-    pub fn around(&self, begin: u64) -> Vec<&str> {
-        let index = begin / self.seconds;
+    pub fn events_near(&self, start: u64) -> Vec<&str> {
+        let index = start / self.seconds;
         let near = self.spans.range(index.saturating_sub(1)..=index + 1);
         let lines = near.flat_map(|(_, span)| span.lines.iter());
         lines.map(String::as_str).collect()
@@ -156,11 +156,11 @@
 }
 
 /// A marked event in few words.
-fn text(line: &Line<'_>, origin: &str) -> String {
-    const TOLD: [&str; 8] = [
+fn event_text(line: &Line<'_>, origin: &str) -> String {
+    const SHOWN_KEYS: [&str; 8] = [
         "zone", "zones", "server", "standing", "outcome", "config", "topic", "peer",
     ];
-    let pairs = line.pairs().filter(|(key, _)| TOLD.contains(key));
+    let pairs = line.pairs().filter(|(key, _)| SHOWN_KEYS.contains(key));
     let pairs: Vec<String> = pairs.map(|(key, value)| format!("{key}={value}")).collect();
     format!("{origin} {} {}", line.event, pairs.join(" "))
 }
--- a/crates/losses/tests/golden.rs
+++ b/crates/losses/tests/golden.rs
@@ -6,40 +6,40 @@
 
 use losses::{plot, render, report::Report};
 
-fn path(name: &str) -> PathBuf {
+fn golden_path(name: &str) -> PathBuf {
     let tests = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden");
     tests.join(name)
 }
 
-fn compare(name: &str, text: &str) {
+fn assert_golden(name: &str, text: &str) {
     if env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(path(name), text).expect("the file is written");
+        fs::write(golden_path(name), text).expect("the file is written");
     }
-    let golden = fs::read_to_string(path(name)).expect("the file is read");
+    let golden = fs::read_to_string(golden_path(name)).expect("the file is read");
     assert_eq!(text, golden, "{name} differs");
 }
 
 fn report() -> Report {
     let mut report = Report::default();
-    let day = fs::read(path("day.log")).expect("the file is read");
+    let day = fs::read(golden_path("day.log")).expect("the file is read");
     report.add(day.as_slice(), "day").expect("it is read");
     report
 }
 
 /// Five seconds of two routers, one of them in a zone that is cut off.
 #[test]
-fn golden_report() {
-    compare("day.txt", &render::text(&report()));
+fn golden_text_report() {
+    assert_golden("day.txt", &render::text(&report()));
 }
 
 #[test]
-fn golden_report_for_programs() {
+fn golden_json_report() {
     let json = format!("{:#}\n", render::json(&report()));
-    compare("day.json", &json);
+    assert_golden("day.json", &json);
 }
 
 #[test]
-fn a_picture_shows_both_curves() {
+fn plot_shows_both_curves() {
     let picture = plot::svg(&report()).expect("a picture");
     assert!(picture.starts_with("<svg"));
     assert!(picture.contains("requests lost"));
@@ -47,6 +47,6 @@
 }
 
 #[test]
-fn there_is_no_picture_of_nothing() {
+fn empty_report_has_no_plot() {
     assert!(plot::svg(&Report::default()).is_err());
 }
--- a/crates/losses/tests/lines.rs
+++ b/crates/losses/tests/lines.rs
@@ -1,24 +1,24 @@
 //! Log lines and what they say of requests.
 
 use losses::{
-    cause::{self, Cause, Fate},
-    line::{Fault, Line},
+    cause::{self, Cause, Outcome},
+    line::{self, Line},
     reader::{self, Next},
     report::Report,
 };
 use proptest::prelude::*;
 use yare::parameterized;
 
-const HEAD: &str = "time=2026-12-03T00:03:20.151Z level=info process=weir-platform";
+const LINE_START: &str = "time=2026-12-03T00:03:20.151Z level=info process=weir-platform";
 
-fn fate(pairs: &str) -> Option<Fate> {
-    let text = format!("{HEAD} {pairs}");
-    cause::fate(&Line::parse(&text).expect("a line"))
+fn outcome(pairs: &str) -> Option<Outcome> {
+    let text = format!("{LINE_START} {pairs}");
+    cause::outcome(&Line::parse(&text).expect("a line"))
 }
 
 #[test]
-fn a_line_is_read_with_its_origin_and_quoted_values() {
-    let text = format!(r#" 1.2 host-1 {HEAD} event=x reason="a \"b\" = \\c" empty="" n=7"#);
+fn line_is_parsed_with_its_origin_and_quoted_values() {
+    let text = format!(r#" 1.2 host-1 {LINE_START} event=x reason="a \"b\" = \\c" empty="" n=7"#);
     let line = Line::parse(&text).expect("a line");
     assert_eq!(line.origin, Some("host-1"));
     assert_eq!(line.event, "x");
@@ -30,55 +30,58 @@
 /// A process is killed while it writes, or text of another program stands
 /// between. Read as lines of a router, they would make losses that never were.
 #[parameterized(
-    other_text = { "panicked at somewhere", Fault::Foreign },
-    no_event = { "time=2026-12-03T00:03:20.151Z level=info", Fault::Malformed },
-    no_time = { "time=yesterday event=x", Fault::Malformed },
-    open_quote = { "time=2026-12-03T00:03:20.151Z event=\"x", Fault::Malformed },
-    no_value = { "time=2026-12-03T00:03:20.151Z event=x more", Fault::Malformed },
+    other_text = { "panicked at somewhere", line::Error::Foreign },
+    no_event = { "time=2026-12-03T00:03:20.151Z level=info", line::Error::Malformed },
+    no_time = { "time=yesterday event=x", line::Error::Malformed },
+    open_quote = { "time=2026-12-03T00:03:20.151Z event=\"x", line::Error::Malformed },
+    no_value = { "time=2026-12-03T00:03:20.151Z event=x more", line::Error::Malformed },
 )]
-fn what_is_no_line_is_told_apart(text: &str, fault: Fault) {
-    assert_eq!(Line::parse(text), Err(fault));
+fn text_that_is_not_a_line_is_rejected(text: &str, error: line::Error) {
+    assert_eq!(Line::parse(text), Err(error));
 }
 
 #[parameterized(
-    served = { "event=request_done status=200 ending=complete", Fate::Served },
-    not_found_by_the_server = { "event=request_done status=404 ending=complete", Fate::Served },
-    failed = { "event=request_done status=500 ending=complete", Fate::Lost(Cause::ServerFailed) },
-    late = { "event=request_done status=200 ending=late", Fate::Lost(Cause::ServerSilent) },
-    left = { "event=request_done status=200 ending=\"caller left\"", Fate::Lost(Cause::CallerLeft) },
-    broke = { "event=request_done status=200 ending=\"connection reset\"", Fate::Lost(Cause::ServerBroke) },
-    abandoned = { "event=request_abandoned sends=0", Fate::Lost(Cause::CallerLeft) },
-    empty = { "event=request_refused code=no_server verdict=not_run unreachable=0", Fate::Lost(Cause::NoServer) },
-    out_of_reach = { "event=request_refused code=no_server verdict=not_run unreachable=4", Fate::Lost(Cause::Unreachable) },
-    full = { "event=request_refused code=busy verdict=not_run", Fate::Lost(Cause::Full) },
-    cold = { "event=request_refused code=cold verdict=not_run", Fate::Lost(Cause::Cold) },
-    budget = { "event=request_refused code=retry_budget verdict=may_have_run", Fate::Lost(Cause::Budget) },
-    silent = { "event=request_refused code=deadline verdict=may_have_run", Fate::Lost(Cause::ServerSilent) },
-    too_late = { "event=request_refused code=deadline verdict=not_run", Fate::Lost(Cause::Deadline) },
-    crashed = { "event=request_refused code=backend_died verdict=may_have_run", Fate::Lost(Cause::ServerBroke) },
-    starting = { "event=request_rejected code=not_ready", Fate::Lost(Cause::Router) },
-    no_key = { "event=request_rejected code=bad_key", Fate::Rejected },
+    served = { "event=request_done status=200 ending=complete", Outcome::Served },
+    not_found_by_the_server = { "event=request_done status=404 ending=complete", Outcome::Served },
+    server_error = { "event=request_done status=500 ending=complete", Outcome::Lost(Cause::ServerFailed) },
+    response_timed_out = { "event=request_done status=200 ending=late", Outcome::Lost(Cause::ServerSilent) },
+    caller_left = { "event=request_done status=200 ending=\"caller left\"", Outcome::Lost(Cause::CallerLeft) },
+    connection_reset = { "event=request_done status=200 ending=\"connection reset\"", Outcome::Lost(Cause::ServerBroke) },
+    abandoned = { "event=request_abandoned sends=0", Outcome::Lost(Cause::CallerLeft) },
+    no_server = { "event=request_refused code=no_server verdict=not_run unreachable=0", Outcome::Lost(Cause::NoServer) },
+    unreachable = { "event=request_refused code=no_server verdict=not_run unreachable=4", Outcome::Lost(Cause::Unreachable) },
+    full = { "event=request_refused code=busy verdict=not_run", Outcome::Lost(Cause::Full) },
+    cold = { "event=request_refused code=cold verdict=not_run", Outcome::Lost(Cause::Cold) },
+    budget = { "event=request_refused code=retry_budget verdict=may_have_run", Outcome::Lost(Cause::Budget) },
+    deadline_after_sending = { "event=request_refused code=deadline verdict=may_have_run", Outcome::Lost(Cause::ServerSilent) },
+    deadline_before_sending = { "event=request_refused code=deadline verdict=not_run", Outcome::Lost(Cause::Deadline) },
+    backend_died = { "event=request_refused code=backend_died verdict=may_have_run", Outcome::Lost(Cause::ServerBroke) },
+    router_not_ready = { "event=request_rejected code=not_ready", Outcome::Lost(Cause::Router) },
+    bad_key = { "event=request_rejected code=bad_key", Outcome::Rejected },
 )]
-fn the_last_line_of_a_request_tells_its_fate(pairs: &str, expected: Fate) {
-    assert_eq!(fate(pairs), Some(expected));
+fn last_line_of_a_request_gives_its_outcome(pairs: &str, expected: Outcome) {
+    assert_eq!(outcome(pairs), Some(expected));
 }
 
 /// An attempt that failed is made good by another server. Counted by its line, a
 /// request that was served would be a loss.
 #[test]
-fn an_attempt_is_not_the_end_of_its_request() {
-    assert_eq!(fate("event=attempt_failed outcome=failed"), None);
+fn failed_attempt_does_not_end_its_request() {
+    assert_eq!(outcome("event=attempt_failed outcome=failed"), None);
 }
 
 /// One line grows without end, since its writer forgot the line break. Kept
 /// whole, it would take all memory.
 #[test]
-fn a_line_without_an_end_is_passed_over() {
+fn overlong_line_is_skipped() {
     let mut text = vec![b'x'; 1 << 20];
     text.extend_from_slice(b"\nnext\n");
     let mut input = text.as_slice();
     let mut line = Vec::new();
-    assert_eq!(reader::next(&mut input, &mut line).ok(), Some(Next::Long));
+    assert_eq!(
+        reader::next(&mut input, &mut line).ok(),
+        Some(Next::TooLong)
+    );
     assert!(line.len() <= 1 << 15);
     assert_eq!(reader::next(&mut input, &mut line).ok(), Some(Next::Line));
     assert_eq!(line, b"next");
@@ -113,7 +116,7 @@
 
     /// Logs hold whatever callers sent.
     #[test]
-    fn any_text_is_read_or_refused(text in "(time=2026-12-03T00:03:20Z )?[a-z=\" \\\\é]{0,60}") {
+    fn any_text_is_parsed_or_rejected(text in "(time=2026-12-03T00:03:20Z )?[a-z=\" \\\\é]{0,60}") {
         drop(Line::parse(&text));
     }
 }
