--- a/crates/losses/src/cause.rs
+++ b/crates/losses/src/cause.rs
@@ -1,4 +1,4 @@
-//! Why a request was lost.
+//! Outcomes of requests and causes of losses, derived from routers' log lines.
 
 use std::fmt;
 
@@ -6,33 +6,34 @@
 
 use crate::line::Line;
 
-/// Why a caller did not get a server's success.
+/// Why a caller did not receive a successful response from a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Cause {
-    /// No server of the service is known, or all were tried.
+    /// No server of the service is known, or all of them were tried.
     NoServer,
-    /// No connection to a server came about.
+    /// No connection to a server could be established.
     Unreachable,
-    /// All servers were at their limit.
+    /// All servers were at their concurrency limit.
     Full,
-    /// The servers with room were starting.
+    /// The servers with free capacity were limited by slow start.
     Cold,
-    /// The repeats of the service were used up.
+    /// The retry budget of the service was exhausted.
     Budget,
-    /// The time was up before the request was sent.
+    /// The deadline passed before the request was sent to a server.
     Deadline,
-    /// The server failed the request.
+    /// The server answered with a server error.
     ServerFailed,
-    /// The server broke off.
+    /// The server closed the connection before its response was complete, or the response was
+    /// invalid.
     ServerBroke,
-    /// The server did not answer, or its answer stopped, until the time was up.
+    /// The server did not answer, or its response stalled, until the deadline.
     ServerSilent,
-    /// Servers died while they ran the request.
+    /// Servers crashed while running the request, so the request is suspected of crashing them.
     Suspect,
-    /// The router was starting or ending.
+    /// The router was starting or shutting down, or failed internally.
     Router,
-    /// The caller left.
+    /// The caller disconnected.
     CallerLeft,
 }
 
@@ -53,7 +54,7 @@
         Self::CallerLeft,
     ];
 
-    /// Its name in reports.
+    /// Name of the cause in reports.
     pub const fn name(self) -> &'static str {
         match self {
             Self::NoServer => "no_server",
@@ -78,18 +79,18 @@
     }
 }
 
-/// What became of a request.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It got a server's answer to its end.
+    /// The caller received a complete response from a server, other than a server error.
     Served,
-    /// It was not allowed or could not be read, so that no server was asked.
+    /// The request was not authorized or was invalid, and was not sent to a server.
     Rejected,
-    /// It got no such answer.
+    /// The caller received no such response.
     Lost(Cause),
 }
 
-/// What a line says of a request, if it is the last one about it.
+/// Outcome of a request, if the log line is the last one for its request.
 pub fn outcome(line: &Line<'_>) -> Option<Outcome> {
     match line.event.as_ref() {
         "request_done" => Some(completed(line)),
--- a/crates/losses/src/lib.rs
+++ b/crates/losses/src/lib.rs
@@ -1,7 +1,7 @@
-//! Where requests were lost, by the log lines of routers.
+//! Reports where, when and why requests were lost, from routers' log lines.
 //!
-//! Lines are read one at a time and added up in bounded memory, so that hours of
-//! a large fleet's logs can be read.
+//! Lines are read one at a time and aggregated in bounded memory, so that hours of logs from
+//! a large fleet can be processed.
 
 pub mod cause;
 pub mod line;
--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -1,39 +1,39 @@
-//! One log line.
+//! Parser for the log lines of routers.
 
 use std::{borrow::Cow, time::SystemTime};
 
 use smallvec::SmallVec;
 
-/// What every line of a router holds, and its pairs.
+/// A parsed log line: the fields that every line has, and the remaining key-value pairs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Line<'a> {
-    /// What stands before the line in a merged log, such as the host's name.
+    /// Last word before the line in a merged log, usually the name of the host.
     pub origin: Option<&'a str>,
-    /// When it was written, by its router's clock.
+    /// Time stamp, by the router's clock.
     pub time: SystemTime,
-    /// What happened.
+    /// Name of the event.
     pub event: Cow<'a, str>,
     pairs: SmallVec<[(&'a str, Cow<'a, str>); 24]>,
 }
 
-/// Text that is no line of a router.
+/// Why a text is not a valid log line of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It does not look like a line at all.
+    /// It has no time stamp key, so it is not a log line of a router.
     Foreign,
-    /// It begins like a line, and cannot be read.
+    /// It has a time stamp key but cannot be parsed.
     Malformed,
 }
 
-/// How each line begins.
+/// First key of every log line.
 const TIME_PREFIX: &str = "time=";
 
 impl<'a> Line<'a> {
-    /// Reads a line.
+    /// Parses a log line.
     ///
     /// # Errors
     ///
-    /// When the text is not one.
+    /// Returns an error if the text is not a valid log line.
     pub fn parse(text: &'a str) -> Result<Self, Error> {
         let start = text.find(TIME_PREFIX).ok_or(Error::Foreign)?;
         let origin = text[..start].split_whitespace().next_back();
@@ -52,7 +52,7 @@
         })
     }
 
-    /// The value of a key; nothing if it is missing or empty.
+    /// Value of a key, or `None` if the key is missing or its value empty.
     pub fn get(&self, wanted: &str) -> Option<&str> {
         let found = self.pairs.iter().find(|(key, _)| *key == wanted);
         found
@@ -60,12 +60,12 @@
             .filter(|value| !value.is_empty())
     }
 
-    /// The value of a key as a number.
+    /// Value of a key as a number, or `None` if it is missing or not a number.
     pub fn number(&self, wanted: &str) -> Option<u64> {
         self.get(wanted)?.parse().ok()
     }
 
-    /// The pairs, as they were written.
+    /// The key-value pairs other than `time` and `event`, in the order of the line.
     pub fn pairs(&self) -> impl Iterator<Item = (&str, &str)> {
         self.pairs.iter().map(|(key, value)| (*key, value.as_ref()))
     }
@@ -73,7 +73,7 @@
 
 type Pairs<'a> = SmallVec<[(&'a str, Cow<'a, str>); 24]>;
 
-/// The key=value pairs of a line; nothing if it cannot be read to its end.
+/// Parses the `key=value` pairs of a line; `None` if any part of it is malformed.
 fn pairs(text: &str) -> Option<Pairs<'_>> {
     let mut pairs = Pairs::new();
     let mut remaining = text.trim();
@@ -89,7 +89,7 @@
     Some(pairs)
 }
 
-/// The value at the front of `text`, and what follows it.
+/// Splits the leading value, quoted or not, from the text that follows it.
 fn value(text: &str) -> Option<(Cow<'_, str>, &str)> {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(char::is_whitespace).unwrap_or(text.len());
@@ -110,10 +110,10 @@
     Some((value, &quoted[end + 1..]))
 }
 
-/// The text without the backslashes before quotes and backslashes.
+/// Removes the backslashes that escape quotes and backslashes.
 ///
-/// Other escapes stand for control characters and stay as they are: what is
-/// printed must not hold any.
+/// Other escapes represent control characters and are kept, because the report is printed to
+/// a terminal and must not contain control characters.
 fn unescape(text: &str) -> String {
     let mut unescaped = String::with_capacity(text.len());
     let mut chars = text.chars();
--- a/crates/losses/src/plot.rs
+++ b/crates/losses/src/plot.rs
@@ -1,4 +1,4 @@
-//! A report as a picture: first bytes and losses over time, with events marked.
+//! Plots a report: time to first byte and lost requests over time, with events marked.
 
 use plotters::{
     chart::ChartBuilder,
@@ -9,21 +9,23 @@
 
 use crate::{report::Report, timeline::Span};
 
-/// The size of the picture, in pixels.
+/// Width and height of the plot.
 const SIZE_PX: (u32, u32) = (1_200, 700);
-/// The most events that are marked; more would hide the curves.
+/// Maximum number of spans whose events are marked; more marks would hide the curves.
 const MAX_EVENTS: usize = 60;
 const GREY: RGBColor = RGBColor(160, 160, 160);
 
-/// The picture as SVG.
+/// Renders the plot as SVG.
 ///
 /// # Errors
 ///
-/// When there is nothing to draw, or the library cannot draw it.
+/// Returns an error if the report contains no log line of a router or if drawing fails.
 pub fn svg(report: &Report) -> Result<String, String> {
     let spans: Vec<(u64, &Span)> = report.timeline.spans().collect();
     let (Some((start, _)), Some((end, _))) = (spans.first(), spans.last()) else {
-        return Err(String::from("there is no line of a router to draw"));
+        return Err(String::from(
+            "the input contains no router log lines to plot",
+        ));
     };
     let points = Points::new(&spans, *start);
     let duration_s = (end - start).max(1) as f64;
@@ -35,7 +37,7 @@
     Ok(picture)
 }
 
-/// What is drawn, at seconds since the first line.
+/// Data points of the plot; times are in seconds since the first span.
 struct Points {
     lost: Vec<(f64, f64)>,
     first_ms: Vec<(f64, f64)>,
@@ -68,7 +70,7 @@
     area.fill(&plotters::style::WHITE)?;
     let halves = area.split_evenly((2, 1));
     let [upper, lower] = halves.as_slice() else {
-        return Err("the picture cannot be split".into());
+        return Err("the drawing area cannot be split into two halves".into());
     };
     let above = ("mean time to the first byte, ms", &BLUE);
     draw_curve(upper, above, &points.first_ms, points, duration_s)?;
--- a/crates/losses/src/reader.rs
+++ b/crates/losses/src/reader.rs
@@ -1,20 +1,20 @@
-//! Lines of a file, one at a time and none longer than a limit.
+//! Reads a file line by line, with a limit on the length of a line.
 
 use std::io::{self, BufRead};
 
-/// The longest line that is read, in bytes.
+/// Maximum length of a line; longer lines are skipped.
 const MAX_LINE_BYTES: usize = 16 * 1024;
 
-/// What the input holds next.
+/// Result of reading the next line.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// A line.
+    /// A complete line.
     Line,
-    /// Text after the last line break: its line was cut off, or is still being written.
+    /// Text after the last line break: the line was truncated or is still being written.
     Truncated,
-    /// A line that is too long; it is passed over.
+    /// A line longer than the limit, which was skipped.
     TooLong,
-    /// Nothing more.
+    /// End of the input.
     End,
 }
 
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 ///
-/// When the input cannot be read.
+/// Returns an error if reading the input fails.
 pub fn next(input: &mut impl BufRead, line: &mut Vec<u8>) -> io::Result<Next> {
     line.clear();
     let mut is_too_long = false;
--- a/crates/losses/src/render.rs
+++ b/crates/losses/src/render.rs
@@ -1,4 +1,4 @@
-//! A report as text and as JSON.
+//! Renders a report as text and as JSON.
 
 use std::{
     fmt::Write,
@@ -15,12 +15,12 @@
     timeline::Span,
 };
 
-/// The most rows of one table.
+/// Maximum number of rows of a table.
 const MAX_ROWS: usize = 10;
-/// Percentiles that are shown.
+/// Percentiles of response times in the report.
 const PERCENTILES: [f64; 3] = [50.0, 95.0, 99.0];
 
-/// The report for people.
+/// Renders the report as text for people to read.
 pub fn text(report: &Report) -> String {
     let mut text = String::new();
     write_summary(&mut text, report);
@@ -35,7 +35,7 @@
     text
 }
 
-/// Appends a line. Writing to a text cannot fail.
+/// Appends a formatted line. Writing to a `String` cannot fail.
 macro_rules! line {
     ($text:expr, $($argument:tt)*) => {
         writeln!($text, $($argument)*).unwrap_or_default()
@@ -173,13 +173,13 @@
     causes.join(", ")
 }
 
-/// The time of day, as the routers' clocks say.
+/// Formats seconds since the Unix epoch as an RFC 3339 time stamp in UTC.
 fn format_time(seconds: u64) -> String {
     let time = UNIX_EPOCH + Duration::from_secs(seconds);
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
-/// The report for programs.
+/// Renders the report as JSON for programs to read.
 pub fn json(report: &Report) -> Value {
     let times = report.times.iter();
     let times = times.map(|(route, times)| (route.clone(), times_json(times)));
--- a/crates/losses/src/report.rs
+++ b/crates/losses/src/report.rs
@@ -1,4 +1,4 @@
-//! What all lines together say.
+//! Totals over all log lines read.
 
 use std::{
     collections::BTreeMap,
@@ -16,36 +16,36 @@
     timeline::Timeline,
 };
 
-/// The longest time that is told apart, in milliseconds: an hour.
+/// Largest time that a histogram records, one hour; longer times count as this.
 const MAX_MS: u64 = 3_600_000;
-/// How exactly times are kept, in significant digits.
+/// Precision of the histograms of times, in significant decimal digits.
 const SIGNIFICANT_DIGITS: u8 = 2;
-/// The most routes whose times are kept apart.
+/// Maximum number of routes with their own histograms; times of further routes are dropped.
 const MAX_ROUTES: usize = 200;
 
-/// How many lines were read, and of what kind.
+/// Numbers of lines in the input, by kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Lines {
-    /// Lines of routers.
+    /// Valid log lines of routers.
     pub read: u64,
-    /// Other text.
+    /// Lines that are not log lines of a router.
     pub foreign: u64,
-    /// Lines of routers that cannot be read.
+    /// Log lines of routers that cannot be parsed.
     pub malformed: u64,
-    /// Lines that are longer than any router writes.
+    /// Lines that exceed the maximum length, which no log line of a router does.
     pub long: u64,
-    /// Last lines without their end.
+    /// Truncated lines at the end of an input.
     pub cut: u64,
-    /// Lines that routers say they left out.
+    /// Log lines that routers reported as dropped.
     pub dropped: u64,
 }
 
-/// Times of one route, in milliseconds.
+/// Response times of one route, in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Times {
-    /// To the first byte.
+    /// Times to first byte.
     pub first_byte: Histogram<u32>,
-    /// To the last.
+    /// Times to last byte.
     pub total: Histogram<u32>,
 }
 
@@ -59,38 +59,37 @@
     }
 }
 
-/// What all lines together say.
+/// Totals over all log lines read.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// How many there were.
+    /// Numbers of lines read.
     pub lines: Lines,
-    /// All requests.
+    /// Counts over all requests.
     pub requests: Count,
     /// Requests by route.
     pub routes: Tally,
-    /// By the zone of the server that had them last.
+    /// Requests by the availability zone of the server that handled them last.
     pub zones: Tally,
-    /// By workspace.
+    /// Requests by workspace.
     pub workspaces: Tally,
-    /// By the server that had them last.
+    /// Requests by the server that handled them last.
     pub servers: Tally,
-    /// By router.
+    /// Requests by router.
     pub routers: Tally,
-    /// Attempts that did not lead to an answer, by outcome.
+    /// Failed attempts by outcome.
     pub attempts: BTreeMap<String, u64>,
-    /// Times of requests that were served, by route.
+    /// Response times of served requests by route.
     pub times: BTreeMap<String, Times>,
-    /// All over time.
+    /// Requests and events over time.
     pub timeline: Timeline,
 }
 
 impl Report {
-    /// Adds all lines of one input, which `name` stands for where lines do not
-    /// name their router.
+    /// Adds all lines of one input. `name` is used as the router of lines without an origin.
     ///
     /// # Errors
     ///
-    /// When the input cannot be read; what was read until then is kept.
+    /// Returns an error if reading the input fails; lines read before that stay in the report.
     pub fn add(&mut self, mut input: impl BufRead, name: &str) -> io::Result<()> {
         let mut bytes = Vec::new();
         loop {
@@ -98,7 +97,7 @@
                 Next::End => return Ok(()),
                 Next::TooLong => self.lines.long += 1,
                 Next::Line => self.add_line(&String::from_utf8_lossy(&bytes), name),
-                // What is left of it may name the wrong route or server.
+                // A truncated line may contain a truncated name of a route or server.
                 Next::Truncated => self.lines.cut += 1,
             }
         }
@@ -163,13 +162,14 @@
         times.total.saturating_record(total_ms.unwrap_or(0));
     }
 
-    /// Requests that were lost by `cause`.
+    /// Number of requests lost by `cause`.
     pub fn lost_by(&self, cause: Cause) -> u64 {
         self.requests.causes.get(&cause).copied().unwrap_or(0)
     }
 }
 
-/// The most outcomes that are counted apart; routers know fewer.
+/// Maximum number of attempt outcomes that are counted; routers log fewer. Further ones are
+/// ignored.
 const MAX_OUTCOMES: usize = 32;
 
 fn increment(counts: &mut BTreeMap<String, u64>, name: &str) {
--- a/crates/losses/src/tally.rs
+++ b/crates/losses/src/tally.rs
@@ -1,4 +1,4 @@
-//! Counts by name, in bounded memory.
+//! Request counts by name, in bounded memory.
 
 use std::collections::BTreeMap;
 
@@ -6,26 +6,26 @@
 
 use crate::cause::{Cause, Outcome};
 
-/// The most names of one kind that are counted apart.
+/// Maximum number of names that one tally counts separately.
 const MAX_NAMES: usize = 1_000;
-/// Under which name all further ones are counted.
+/// Name under which requests are counted once the tally holds `MAX_NAMES` names.
 const OTHERS: &str = "(others)";
 
-/// Requests served and lost, and why.
+/// Numbers of requests served, rejected and lost, and the causes of the losses.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Count {
-    /// Requests that got a server's answer to its end.
+    /// Requests that received a complete response from a server.
     pub served: u64,
-    /// Requests that were not allowed, or could not be read.
+    /// Requests that were not authorized or were invalid.
     pub rejected: u64,
-    /// All others.
+    /// All other requests.
     pub lost: u64,
-    /// These by cause.
+    /// Lost requests by cause.
     pub causes: BTreeMap<Cause, u64>,
 }
 
 impl Count {
-    /// One more request.
+    /// Counts one request.
     pub fn add(&mut self, outcome: Outcome) {
         match outcome {
             Outcome::Served => self.served += 1,
@@ -37,7 +37,7 @@
         }
     }
 
-    /// All requests of another count.
+    /// Adds the requests of another count.
     pub fn merge(&mut self, other: &Self) {
         self.served += other.served;
         self.rejected += other.rejected;
@@ -47,14 +47,14 @@
         }
     }
 
-    /// The cause of most losses, if there are any.
+    /// The cause of the most losses, or `None` if no request was lost.
     pub fn most_frequent_cause(&self) -> Option<Cause> {
         let most = self.causes.iter().max_by_key(|(_, count)| **count);
         most.map(|(cause, _)| *cause)
     }
 }
 
-/// Counts by name.
+/// Request counts by name, such as the name of a route or a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 #[serde(transparent)]
 pub struct Tally {
@@ -62,7 +62,7 @@
 }
 
 impl Tally {
-    /// One more request of `name`.
+    /// Counts one request under `name`.
     pub fn add(&mut self, name: &str, outcome: Outcome) {
         if let Some(count) = self.counts.get_mut(name) {
             count.add(outcome);
@@ -74,7 +74,7 @@
         count.add(outcome);
     }
 
-    /// The `most` names with most losses, worst first; names without any are left out.
+    /// Up to `limit` names with the most losses, in descending order; omits names without losses.
     pub fn worst(&self, limit: usize) -> Vec<(&str, &Count)> {
         let lost = self.counts.iter().filter(|(_, count)| count.lost > 0);
         let mut worst: Vec<_> = lost.map(|(name, count)| (name.as_str(), count)).collect();
@@ -83,12 +83,12 @@
         worst
     }
 
-    /// How many names there are.
+    /// Number of names, including the one for further names.
     pub fn len(&self) -> usize {
         self.counts.len()
     }
 
-    /// Whether nothing was counted.
+    /// Whether no request was counted.
     pub fn is_empty(&self) -> bool {
         self.counts.is_empty()
     }
--- a/crates/losses/src/timeline.rs
+++ b/crates/losses/src/timeline.rs
@@ -1,4 +1,4 @@
-//! Losses and events over time, in bounded memory.
+//! Request counts and router events over time, in bounded memory.
 
 use std::{
     collections::BTreeMap,
@@ -9,12 +9,13 @@
 
 use crate::{cause::Outcome, line::Line, tally::Count};
 
-/// The most spans that are kept; with more, each is made twice as long.
+/// Maximum number of spans; when more are needed, the length of every span is doubled.
 const MAX_SPANS: usize = 7_200;
-/// The most lines of events that one span keeps.
+/// Maximum number of event descriptions that one span keeps.
 const MAX_EVENT_LINES: usize = 8;
 
-/// Events that change what a router believes, or that it lives by.
+/// Events that are shown: changes to a router's view of servers, zones, peers and the store,
+/// to its configuration and to its lifecycle.
 const SHOWN_EVENTS: [&str; 14] = [
     "started",
     "leaving",
@@ -32,23 +33,23 @@
     "peer_lost",
 ];
 
-/// One span of time.
+/// Requests and events within one span of time.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Span {
-    /// Requests that ended in it.
+    /// Requests that ended within the span.
     pub requests: Count,
-    /// The sum of their times to the first byte, in milliseconds.
+    /// Sum of the times to first byte of the served requests, in milliseconds.
     pub first_ms: u64,
-    /// The longest of these.
+    /// Longest time to first byte of a served request, in milliseconds.
     pub longest_first_ms: u64,
-    /// How often each marked event was logged.
+    /// Number of occurrences of each shown event.
     pub events: BTreeMap<String, u64>,
-    /// The first few of these, as short texts.
+    /// Short descriptions of the first few of these events.
     pub lines: Vec<String>,
 }
 
 impl Span {
-    /// The mean time to the first byte, in milliseconds.
+    /// Mean time to first byte of the served requests, in milliseconds.
     pub fn mean_first_ms(&self) -> f64 {
         self.first_ms as f64 / self.requests.served.max(1) as f64
     }
@@ -65,10 +66,11 @@
     }
 }
 
-/// Spans of one length, from the first line to the last.
+/// Spans of equal length that cover the log lines read; spans without requests or shown events
+/// are absent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Timeline {
-    /// The length of a span, in seconds.
+    /// Length of a span, in seconds.
     seconds: u64,
     spans: BTreeMap<u64, Span>,
 }
@@ -83,7 +85,7 @@
 }
 
 impl Timeline {
-    /// A request ended at `time`, with its first byte after so many milliseconds.
+    /// Adds a request that ended at `time`, with its time to first byte in milliseconds.
     pub fn add_request(&mut self, time: SystemTime, outcome: Outcome, first_ms: Option<u64>) {
         let span = self.span(time);
         span.requests.add(outcome);
@@ -94,7 +96,7 @@
         }
     }
 
-    /// Marks what a line says, if it is one of the marked events.
+    /// Adds the event of a log line if it is one of the shown events.
     pub fn add_event(&mut self, line: &Line<'_>, origin: &str) {
         if !SHOWN_EVENTS.contains(&line.event.as_ref()) {
             return;
@@ -124,12 +126,12 @@
         }
     }
 
-    /// The length of a span, in seconds.
+    /// Length of a span, in seconds.
     pub fn seconds(&self) -> u64 {
         self.seconds
     }
 
-    /// The spans, each with the second since 1970 at which it begins.
+    /// The spans in order of time, each with its start in seconds since the Unix epoch.
     pub fn spans(&self) -> impl Iterator<Item = (u64, &Span)> {
         let seconds = self.seconds;
         self.spans
@@ -137,7 +139,7 @@
             .map(move |(index, span)| (index * seconds, span))
     }
 
-    /// The `most` spans with most losses, worst first.
+    /// Up to `limit` spans with the most losses, in descending order; omits spans without losses.
     pub fn worst(&self, limit: usize) -> Vec<(u64, &Span)> {
         let lost = self.spans().filter(|(_, span)| span.requests.lost > 0);
         let mut worst: Vec<_> = lost.collect();
@@ -146,7 +148,7 @@
         worst
     }
 
-    /// What was marked in a span and in those next to it.
+    /// Descriptions of the events in the span that starts at `start` and in the two adjacent spans.
     pub fn events_near(&self, start: u64) -> Vec<&str> {
         let index = start / self.seconds;
         let near = self.spans.range(index.saturating_sub(1)..=index + 1);
@@ -155,7 +157,7 @@
     }
 }
 
-/// A marked event in few words.
+/// Short description of a shown event: router, event and selected keys.
 fn event_text(line: &Line<'_>, origin: &str) -> String {
     const SHOWN_KEYS: [&str; 8] = [
         "zone", "zones", "server", "standing", "outcome", "config", "topic", "peer",
--- a/crates/losses/tests/golden.rs
+++ b/crates/losses/tests/golden.rs
@@ -1,6 +1,6 @@
-//! A whole report, compared byte by byte.
+//! Compares complete reports with golden files byte by byte.
 //!
-//! `UPDATE_GOLDEN=1 cargo test --workspace golden` writes the files anew.
+//! `UPDATE_GOLDEN=1 cargo test --workspace golden` rewrites the golden files.
 
 use std::{env, fs, path::PathBuf};
 
@@ -13,20 +13,22 @@
 
 fn assert_golden(name: &str, text: &str) {
     if env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(golden_path(name), text).expect("the file is written");
+        fs::write(golden_path(name), text).expect("the golden file is writable");
     }
-    let golden = fs::read_to_string(golden_path(name)).expect("the file is read");
-    assert_eq!(text, golden, "{name} differs");
+    let golden = fs::read_to_string(golden_path(name)).expect("the golden file is readable");
+    assert_eq!(text, golden, "report differs from the golden file {name}");
 }
 
 fn report() -> Report {
     let mut report = Report::default();
-    let day = fs::read(golden_path("day.log")).expect("the file is read");
-    report.add(day.as_slice(), "day").expect("it is read");
+    let day = fs::read(golden_path("day.log")).expect("the log file is readable");
+    report
+        .add(day.as_slice(), "day")
+        .expect("the log is readable");
     report
 }
 
-/// Five seconds of two routers, one of them in a zone that is cut off.
+/// The log covers five seconds of two routers, one of them in a partitioned availability zone.
 #[test]
 fn golden_text_report() {
     assert_golden("day.txt", &render::text(&report()));
@@ -40,7 +42,7 @@
 
 #[test]
 fn plot_shows_both_curves() {
-    let picture = plot::svg(&report()).expect("a picture");
+    let picture = plot::svg(&report()).expect("the report can be plotted");
     assert!(picture.starts_with("<svg"));
     assert!(picture.contains("requests lost"));
     assert!(picture.contains("first byte"));
--- a/crates/losses/tests/lines.rs
+++ b/crates/losses/tests/lines.rs
@@ -1,4 +1,4 @@
-//! Log lines and what they say of requests.
+//! Parsing of log lines and the outcomes of requests derived from them.
 
 use losses::{
     cause::{self, Cause, Outcome},
@@ -13,13 +13,13 @@
 
 fn outcome(pairs: &str) -> Option<Outcome> {
     let text = format!("{LINE_START} {pairs}");
-    cause::outcome(&Line::parse(&text).expect("a line"))
+    cause::outcome(&Line::parse(&text).expect("the line is valid"))
 }
 
 #[test]
 fn line_is_parsed_with_its_origin_and_quoted_values() {
     let text = format!(r#" 1.2 host-1 {LINE_START} event=x reason="a \"b\" = \\c" empty="" n=7"#);
-    let line = Line::parse(&text).expect("a line");
+    let line = Line::parse(&text).expect("the line is valid");
     assert_eq!(line.origin, Some("host-1"));
     assert_eq!(line.event, "x");
     assert_eq!(line.get("reason"), Some(r#"a "b" = \c"#));
@@ -27,8 +27,8 @@
     assert_eq!(line.number("n"), Some(7));
 }
 
-/// A process is killed while it writes, or text of another program stands
-/// between. Read as lines of a router, they would make losses that never were.
+/// A log contains truncated lines of killed processes and output of other programs. Taken for
+/// lines of a router, they would be counted as losses that did not occur.
 #[parameterized(
     other_text = { "panicked at somewhere", line::Error::Foreign },
     no_event = { "time=2026-12-03T00:03:20.151Z level=info", line::Error::Malformed },
@@ -63,15 +63,14 @@
     assert_eq!(outcome(pairs), Some(expected));
 }
 
-/// An attempt that failed is made good by another server. Counted by its line, a
-/// request that was served would be a loss.
+/// A request whose attempt failed may be served by another server. If the line of the failed
+/// attempt counted as its outcome, a served request would be counted as lost.
 #[test]
 fn failed_attempt_does_not_end_its_request() {
     assert_eq!(outcome("event=attempt_failed outcome=failed"), None);
 }
 
-/// One line grows without end, since its writer forgot the line break. Kept
-/// whole, it would take all memory.
+/// A program writes without line breaks. Buffering its line completely would exhaust the memory.
 #[test]
 fn overlong_line_is_skipped() {
     let mut text = vec![b'x'; 1 << 20];
@@ -88,8 +87,8 @@
     assert_eq!(reader::next(&mut input, &mut line).ok(), Some(Next::End));
 }
 
-/// Logs of a month name a hundred thousand servers and three million seconds.
-/// Kept apart they would take gigabytes.
+/// Logs of a month contain 100,000 server names and span three million seconds. Counting each
+/// name and second separately would take gigabytes.
 #[test]
 fn names_and_seconds_are_bounded() {
     let mut report = Report::default();
@@ -99,7 +98,9 @@
             "time=2026-12-{days:02}T{hours:02}:{:02}:00.000Z event=request_done server=i-{index} status=200 ending=complete\n",
             index % 60
         );
-        report.add(text.as_bytes(), "log").expect("it is read");
+        report
+            .add(text.as_bytes(), "log")
+            .expect("the log is readable");
     }
     assert!(report.servers.len() <= 1_001, "{}", report.servers.len());
     assert!(report.timeline.spans().count() <= 7_200);
@@ -114,7 +115,7 @@
 proptest! {
     #![proptest_config(ProptestConfig { rng_seed: proptest::test_runner::RngSeed::Fixed(1), ..ProptestConfig::with_cases(2000) })]
 
-    /// Logs hold whatever callers sent.
+    /// Log lines contain arbitrary text sent by callers; parsing must not panic.
     #[test]
     fn any_text_is_parsed_or_rejected(text in "(time=2026-12-03T00:03:20Z )?[a-z=\" \\\\é]{0,60}") {
         drop(Line::parse(&text));
