--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -6,35 +6,35 @@
 
 use crate::value;
 
-/// What `--help` says first.
-pub const ABOUT: &str = "Plays callers against a fleet of routers and reports what they got. \
-                         WEIR_CALLER_KEY holds the callers' key, if the workspaces ask for one.";
+/// Description of the program in `--help`.
+pub const ABOUT: &str = "Simulates callers of a fleet of routers and reports the results. \
+                         WEIR_CALLER_KEY is the API key of the callers, if the workspaces require one.";
 
-/// The most callers of one kind.
+/// Maximum number of callers of one kind.
 const MAX_CALLERS: u32 = 100_000;
 
-/// What to do.
+/// What the program is to do, with valid settings.
 pub enum Task {
-    /// Play callers.
+    /// Run a load test.
     Run {
         /// The settings.
         settings: Settings,
-        /// Whether each second is told.
+        /// Whether the report has a line for each second.
         has_timeline: bool,
     },
-    /// Compare a router with a direct connection.
+    /// Measure what a router adds to response times over a direct connection.
     Compare(compare::Comparison),
 }
 
-/// What was given.
+/// The command and its settings as given, not yet validated.
 pub enum Command {
-    /// For a run.
+    /// A load test.
     Run(Box<Run>),
-    /// For a comparison.
+    /// A comparison.
     Compare(Box<Compare>),
 }
 
-/// The settings of a run as they were given.
+/// Settings of a load test as given, not yet validated.
 pub struct Run {
     routers: Raw,
     ledgers: Raw,
@@ -57,7 +57,7 @@
     has_timeline: bool,
 }
 
-/// What requests look like.
+/// Settings of the requests that both commands have.
 pub struct Sizes {
     workspaces: Raw,
     key: Raw,
@@ -66,7 +66,7 @@
     model: Raw,
 }
 
-/// The settings of a comparison as they were given.
+/// Settings of a comparison as given, not yet validated.
 pub struct Compare {
     direct: Raw,
     routed: Raw,
@@ -75,12 +75,12 @@
     sizes: Sizes,
 }
 
-/// Reads the command, if any, and the flags.
+/// Parser of the optional command and its flags.
 pub fn command() -> impl Parser<Command> {
     let compare = compare().map(Box::new).map(Command::Compare);
     let compare = compare
         .to_options()
-        .descr("Measure what a router adds over a direct connection")
+        .descr("Measure what a router adds to response times over a direct connection")
         .command("compare");
     let run = run().map(Box::new).map(Command::Run);
     construct!([compare, run])
@@ -91,26 +91,26 @@
         "workspaces",
         "WEIR_LOAD_WORKSPACES",
         "NAME,...",
-        "Workspaces, the largest first [default]",
+        "Workspaces in descending order of traffic [default]",
     );
     let key = secret("WEIR_CALLER_KEY");
     let words = text(
         "words",
         "WEIR_LOAD_WORDS",
         "N",
-        "Words of a caller's message [40]",
+        "Number of words in a user message [40]",
     );
     let tokens = text(
         "tokens",
         "WEIR_LOAD_TOKENS",
         "N",
-        "Tokens of an answer [24]",
+        "Number of tokens in a response [24]",
     );
     let model = text(
         "model",
         "WEIR_LOAD_MODEL",
         "NAME",
-        "Model that chats name [weir]",
+        "Model that chats request [weir]",
     );
     construct!(Sizes {
         workspaces,
@@ -126,94 +126,104 @@
         "routers",
         "WEIR_LOAD_ROUTERS",
         "IP:PORT,...",
-        "Routers that callers ask",
+        "Routers that callers send requests to",
     );
     let ledgers = text(
         "ledgers",
         "WEIR_LOAD_LEDGERS",
         "IP:PORT,...",
-        "Plain services whose ledgers are read [none]",
+        "Plain services whose ledgers are checked for bookings that ran twice [none]",
     );
     let sizes = sizes();
     let duration = text(
         "duration-ms",
         "WEIR_LOAD_DURATION_MS",
         "MILLISECONDS",
-        "Time in which requests begin [10000]",
+        "How long callers start new requests [10000]",
+    );
+    let chats = text(
+        "chats",
+        "WEIR_LOAD_CHATS",
+        "N",
+        "Number of concurrent chats [40]",
     );
-    let chats = text("chats", "WEIR_LOAD_CHATS", "N", "Open chats [40]");
     let pause = text(
         "pause-ms",
         "WEIR_LOAD_PAUSE_MS",
         "MILLISECONDS",
-        "Mean pause of a chat [500]",
+        "Mean pause between a response and the next message of its chat [500]",
     );
     let turns = text(
         "turns",
         "WEIR_LOAD_TURNS",
         "N",
-        "Messages of a chat before it starts over [12]",
+        "User messages per chat before a new chat begins [12]",
+    );
+    let booking_callers = text(
+        "bookers",
+        "WEIR_LOAD_BOOKERS",
+        "N",
+        "Number of callers that send bookings [4]",
     );
-    let booking_callers = text("bookers", "WEIR_LOAD_BOOKERS", "N", "Callers that book [4]");
     let booking_pause = text(
         "booking-pause-ms",
         "WEIR_LOAD_BOOKING_PAUSE_MS",
         "MILLISECONDS",
-        "Mean pause between bookings [200]",
+        "Mean pause between two bookings of a caller [200]",
     );
     let booking_path = text(
         "booking-path",
         "WEIR_LOAD_BOOKING_PATH",
         "PATH",
-        "Where bookings go [/bookings]",
+        "Path of bookings [/bookings]",
     );
     let duplicate_percent = text(
         "repeats",
         "WEIR_LOAD_REPEATS",
         "PERCENT",
-        "Bookings that are sent twice at once with one key [20]",
+        "Percentage of bookings that are sent twice concurrently with the same idempotency key [20]",
     );
     let lookup_callers = text(
         "lookers",
         "WEIR_LOAD_LOOKERS",
         "N",
-        "Callers that look up [4]",
+        "Number of callers that send lookups [4]",
     );
     let lookup_pause = text(
         "lookup-pause-ms",
         "WEIR_LOAD_LOOKUP_PAUSE_MS",
         "MILLISECONDS",
-        "Mean pause between lookups [200]",
+        "Mean pause between two lookups of a caller [200]",
     );
     let lookup_path = text(
         "lookup-path",
         "WEIR_LOAD_LOOKUP_PATH",
         "PATH",
-        "Under which lookups are [/lookups]",
+        "Path prefix of lookups [/lookups]",
     );
     let timeout = text(
         "patience-ms",
         "WEIR_LOAD_PATIENCE_MS",
         "MILLISECONDS",
-        "How long a caller waits for its final answer [20000]",
+        "Timeout of a request including its retries [20000]",
     );
     let seed = text(
         "seed",
         "WEIR_LOAD_SEED",
         "N",
-        "Seed of all random choices [1]",
+        "Seed of the random number generators [1]",
     );
     let retries_broken = bpaf::long("repeat-broken")
-        .help("Send a request again whose connection broke")
+        .help("Retry requests whose connection broke")
         .switch();
     let phases = text(
         "phases-ms",
         "WEIR_LOAD_PHASES_MS",
         "MILLISECONDS,...",
-        "When each further phase of the report begins [none]",
+        "Start times of the further phases of the report [none]",
     );
     let has_timeline = bpaf::long("timeline")
-        .help("Print a line for each second")
+        .help("Print a line of results for each second")
         .switch();
     construct!(Run {
         routers,
@@ -239,24 +249,29 @@
 }
 
 fn compare() -> impl Parser<Compare> {
-    let direct = text("direct", "WEIR_LOAD_DIRECT", "IP:PORT", "An engine");
+    let direct = text(
+        "direct",
+        "WEIR_LOAD_DIRECT",
+        "IP:PORT",
+        "Address of an engine",
+    );
     let routed = text(
         "through",
         "WEIR_LOAD_THROUGH",
         "IP:PORT",
-        "A router that routes to it",
+        "Address of a router that routes to this engine",
     );
     let requests = text(
         "requests",
         "WEIR_LOAD_REQUESTS",
         "N",
-        "Requests each way [2000]",
+        "Number of measured requests to each address [2000]",
     );
     let warm_up = text(
         "warm-up",
         "WEIR_LOAD_WARM_UP",
         "N",
-        "Requests each way before them [200]",
+        "Number of warm-up requests to each address [200]",
     );
     let sizes = sizes();
     construct!(Compare {
@@ -268,7 +283,7 @@
     })
 }
 
-/// Turns what was given into a task.
+/// Validates the settings and converts them to a task. Adds invalid settings to `faults`.
 pub fn check(command: Command, faults: &mut Faults) -> Option<Task> {
     match command {
         Command::Run(raw) => check_run(&raw, faults).map(|settings| Task::Run {
--- a/crates/load/src/balancer.rs
+++ b/crates/load/src/balancer.rs
@@ -1,4 +1,4 @@
-//! The platform's balancer: it spreads requests over the routers that are ready.
+//! Simulation of the platform's load balancer: distributes requests over the ready routers.
 
 use std::{
     net::SocketAddr,
@@ -16,17 +16,17 @@
 
 use crate::client::Pool;
 
-/// How often each router is asked whether it is ready.
+/// Interval between two readiness probes of a router.
 const PROBE_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a router may take to say so.
+/// Timeout of a readiness probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The routers and which of them are ready.
+/// Round-robin load balancer over the ready routers.
 #[derive(Debug)]
 pub struct Balancer {
     routers: Vec<Router>,
     next: AtomicUsize,
-    /// The connections to the routers.
+    /// Pool of connections to the routers.
     pub pool: Pool,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Balancer {
-    /// A balancer over `addresses`, none of which counts as ready before it is asked.
+    /// A balancer over `addresses`. Each router counts as not ready until its first probe.
     pub fn new(addresses: &[SocketAddr]) -> Self {
         let routers = addresses.iter().map(|address| Router {
             address: *address,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The next router that is ready.
+    /// Picks the next ready router in round-robin order.
     pub fn pick(&self) -> Option<SocketAddr> {
         let first = self.next.fetch_add(1, Ordering::Relaxed);
         let count = self.routers.len();
@@ -59,7 +59,7 @@
         ready.next().map(|router| router.address)
     }
 
-    /// Asks each router once whether it is ready.
+    /// Probes the readiness of every router once.
     pub async fn probe(&self) {
         let probes = self.routers.iter().map(|router| self.probe_router(router));
         futures_util::future::join_all(probes).await;
@@ -93,7 +93,7 @@
         is_ready
     }
 
-    /// Asks all routers again and again until it is aborted.
+    /// Probes all routers periodically until the task is aborted.
     pub async fn probe_periodically(self: Arc<Self>) {
         loop {
             self.probe().await;
--- a/crates/load/src/booking.rs
+++ b/crates/load/src/booking.rs
@@ -1,4 +1,4 @@
-//! Bookings, which run at most once.
+//! Callers that send bookings, which must run at most once.
 
 use std::{sync::Arc, time::Instant};
 
@@ -17,10 +17,10 @@
     traffic,
 };
 
-/// The stream of random numbers that bookings take theirs from.
+/// Stream of the random number generators of bookings.
 const RNG_STREAM: u64 = 2;
 
-/// A call for the booking `id`.
+/// A call that makes the booking `id`, with `id` as its idempotency key.
 pub fn call(settings: &Settings, workspace: &str, id: &str) -> Call {
     let mut headers = traffic::headers(settings, workspace);
     traffic::add_header(&mut headers, "idempotency-key", id);
@@ -33,7 +33,7 @@
     }
 }
 
-/// Plays a caller that books until `end`; some bookings it sends twice at once.
+/// Simulates a caller that sends bookings until `end`. Some bookings are sent twice concurrently.
 pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
@@ -42,7 +42,7 @@
     end: Instant,
 ) {
     let mut rng = traffic::rng(&settings, RNG_STREAM, caller);
-    // Two runs against the same services must not share keys.
+    // Runs against the same services must not share idempotency keys.
     let run: u64 = rand::random();
     for number in 0_u32.. {
         time::sleep(traffic::pause(settings.booking_pause, &mut rng)).await;
--- a/crates/load/src/call.rs
+++ b/crates/load/src/call.rs
@@ -1,4 +1,4 @@
-//! One request and the reading of its answer.
+//! Sending a request once and checking its response.
 
 use std::time::Instant;
 
@@ -13,40 +13,40 @@
     traffic,
 };
 
-/// A request that may be sent several times.
+/// A request that can be sent several times, and its expected response.
 #[derive(Clone, Debug)]
 pub struct Call {
-    /// The method.
+    /// HTTP method.
     pub method: Method,
-    /// The path and query.
+    /// Path and query of the URL.
     pub path: String,
-    /// The headers of the system's own protocol.
+    /// Headers, except for the request ID and the host, which differ between attempts.
     pub headers: HeaderMap,
-    /// The body.
+    /// Request body.
     pub body: Bytes,
-    /// What the whole answer is.
+    /// Expected response.
     pub expected: Expected,
 }
 
-/// What the whole answer to a request is.
+/// Expected response to a request.
 #[derive(Clone, Debug)]
 pub enum Expected {
-    /// Server-sent events whose text is this.
+    /// A chat completion as a stream of server-sent events, with its text.
     Stream(String),
-    /// A chat completion whose text is this.
+    /// A chat completion in one piece, with its text.
     Completion(String),
-    /// A service's confirmation, which is this.
+    /// A confirmation by a plain service, with its text.
     Confirmation(String),
 }
 
-/// One try, when it got its first token and what it ended with.
+/// One attempt to send a call and its result.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The outcome.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// When the first token came.
+    /// When the first token was received; for a response in one piece, when all of it was.
     pub first_token: Option<Instant>,
-    /// Whether anything was sent.
+    /// Whether any part of the request was sent.
     pub was_sent: bool,
 }
 
@@ -66,7 +66,7 @@
     message: Option<Content>,
 }
 
-/// A chat completion or one piece of it, or a refusal in its place.
+/// A chat completion, one chunk of a streamed chat completion, or a refusal within a stream.
 #[derive(Deserialize)]
 struct Chunk {
     #[serde(default)]
@@ -81,9 +81,9 @@
 }
 
 impl Call {
-    /// Sends it once to `address` and reads the answer to its end.
+    /// Sends the call once to `address` and reads the complete response.
     ///
-    /// The routers' logs tell of it by `id`, which is 16 hex digits.
+    /// The routers log the request under `id`, which has 16 hexadecimal digits.
     pub async fn send(&self, id: &str, pool: &Pool, address: std::net::SocketAddr) -> Attempt {
         let exchange = match pool.send(address, self.request(id, address)).await {
             Ok(exchange) => exchange,
@@ -163,12 +163,15 @@
             (Some(refusal), _) => Outcome::Refused(refusal),
             (None, Err(error)) => Outcome::Lost(format!("stream broke: {error}")),
             (None, Ok(())) if !stream.is_done => {
-                Outcome::Lost(String::from("stream ended short as if it were whole"))
+                Outcome::Lost(String::from("stream ended without [DONE]"))
             }
             (None, Ok(())) => {
                 pool.release(connection);
                 let Expected::Stream(expected) = &self.expected else {
-                    return Attempt::failed(String::from("no stream was asked for"), true);
+                    return Attempt::failed(
+                        String::from("received a stream although none was requested"),
+                        true,
+                    );
                 };
                 check_text(expected, Some(stream.text), stream.usage)
             }
@@ -182,7 +185,7 @@
 }
 
 impl Attempt {
-    /// A try that came to nothing.
+    /// An attempt without a complete response.
     pub fn failed(reason: String, was_sent: bool) -> Self {
         Self {
             outcome: Outcome::Lost(reason),
@@ -192,7 +195,7 @@
     }
 }
 
-/// What has been read of a stream of events.
+/// State of a partially read stream of server-sent events.
 #[derive(Default)]
 struct Stream {
     buffer: BytesMut,
@@ -240,7 +243,7 @@
     }
 }
 
-/// Compares the text that came with the one expected.
+/// Compares the received text with the expected text.
 fn check_text(expected: &str, received: Option<String>, usage: Usage) -> Outcome {
     match received {
         Some(received) if received == expected => Outcome::Served(usage),
@@ -252,7 +255,8 @@
     }
 }
 
-/// The refusal in a body; without one, the caller knows nothing.
+/// Parses the refusal in a response body. Without one, the request counts as lost, because the
+/// caller cannot know whether it ran.
 fn refusal(status: StatusCode, body: &[u8]) -> Outcome {
     match serde_json::from_slice::<ErrorBody>(body) {
         Ok(body) => Outcome::Refused(body.error),
@@ -263,7 +267,7 @@
     }
 }
 
-/// The beginning of `text`, for a report.
+/// First characters of `text`, for a report.
 fn excerpt(text: &[u8]) -> String {
     const MAX_CHARS: usize = 80;
     let text = String::from_utf8_lossy(text);
--- a/crates/load/src/chat.rs
+++ b/crates/load/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chats that return after pauses, with growing histories.
+//! Callers that hold chats: each message follows after a pause and repeats the history of its chat.
 
 use std::{sync::Arc, time::Instant};
 
@@ -19,17 +19,17 @@
     traffic,
 };
 
-/// The stream of random numbers that chats take theirs from.
+/// Stream of the random number generators of chats.
 const RNG_STREAM: u64 = 1;
-/// Every how many requests one asks for its answer in one piece.
+/// On average, one request in this many requests its response in one piece instead of a stream.
 const NON_STREAMING_ONE_IN: u32 = 8;
 
-/// One message.
+/// A message of a chat.
 #[derive(Clone, Debug, Serialize)]
 pub struct Message {
     /// `user` or `assistant`.
     pub role: &'static str,
-    /// The text.
+    /// Text of the message.
     pub content: String,
 }
 
@@ -41,7 +41,7 @@
     max_tokens: u32,
 }
 
-/// A call for the answer to `messages`.
+/// A call that requests the response to `messages`.
 pub fn call(
     settings: &Settings,
     workspace: &str,
@@ -71,13 +71,13 @@
     }
 }
 
-/// The whole answer to `messages`.
+/// The response that the stand-in engine gives to `messages`.
 fn expected_answer(settings: &Settings, messages: &[Message]) -> String {
     let prompt = messages.last().map_or("", |m| m.content.as_str());
     standin::answer::text(prompt, settings.tokens)
 }
 
-/// Plays the caller of one chat after the other until `end`.
+/// Simulates a caller that holds one chat after another until `end`.
 pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
@@ -111,7 +111,9 @@
 }
 
 impl Chat {
-    /// Sends the next message, and keeps the answer for the one after.
+    /// Sends the next message and adds the response to the history of the chat.
+    ///
+    /// If the message is not served, it is removed from the history.
     async fn send_message(
         &mut self,
         settings: &Settings,
--- a/crates/load/src/client.rs
+++ b/crates/load/src/client.rs
@@ -1,4 +1,4 @@
-//! Connections to routers, kept while they work.
+//! HTTP client with a pool of persistent connections.
 
 use std::{
     collections::BTreeMap,
@@ -14,12 +14,12 @@
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// Why a request got no answer.
+/// Why a request received no response.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent.
+    /// Nothing was sent, for example because the connection could not be established.
     Unreached(String),
-    /// It was sent, at least in part.
+    /// The connection broke after at least a part of the request was sent.
     Broken(String),
 }
 
@@ -29,16 +29,16 @@
     idle: Mutex<BTreeMap<SocketAddr, Vec<Sender>>>,
 }
 
-/// An answer and the connection to put back once its body has been read.
+/// A response and its connection, to be released once the body has been read.
 pub struct Exchange {
-    /// The answer, whose body is still to be read.
+    /// The response, whose body has not been read yet.
     pub response: Response<body::Incoming>,
     address: SocketAddr,
     sender: Sender,
 }
 
 impl Exchange {
-    /// Takes the answer apart from its connection.
+    /// Separates the response from its connection.
     pub fn split(self) -> (Response<body::Incoming>, Connection) {
         let connection = Connection {
             address: self.address,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A connection that may be used again.
+/// A connection that can be reused.
 pub struct Connection {
     address: SocketAddr,
     sender: Sender,
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     ///
-    /// [`Failure`], which says whether anything was sent.
+    /// Returns a [`Failure`], which shows whether anything was sent.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -69,8 +69,7 @@
         while let Some(mut sender) = self.take_idle(address) {
             match sender.try_send_request(request).await {
                 Ok(response) => return Ok(exchange(address, response, sender)),
-                // The connection had ended while it was idle, and the request
-                // was handed back unsent.
+                // The connection was closed while idle; hyper returned the unsent request.
                 Err(mut error) => match error.take_message() {
                     Some(unsent) => request = unsent,
                     None => return Err(Failure::Broken(error.into_error().to_string())),
@@ -92,7 +91,7 @@
         }
     }
 
-    /// Keeps a connection whose answer has been read to its end.
+    /// Returns a connection to the pool after its response has been read completely.
     pub fn release(&self, connection: Connection) {
         let mut idle = self.idle.lock().unwrap_or_else(PoisonError::into_inner);
         idle.entry(connection.address)
--- a/crates/load/src/compare.rs
+++ b/crates/load/src/compare.rs
@@ -1,4 +1,4 @@
-//! What the routers add over a direct connection, side by side in one run.
+//! Measures what a router adds to response times over a direct connection to an engine.
 
 use std::{fmt, net::SocketAddr, time::Instant};
 
@@ -14,22 +14,22 @@
     traffic,
 };
 
-/// What a comparison does.
+/// Settings of a comparison.
 #[derive(Clone, Debug)]
 pub struct Comparison {
-    /// An engine.
+    /// Address of an engine.
     pub direct: SocketAddr,
-    /// A router that routes to it.
+    /// Address of a router that routes to this engine.
     pub routed: SocketAddr,
-    /// How many requests go each way.
+    /// Number of measured requests to each address.
     pub requests: u32,
-    /// How many requests go first, each way, without being counted.
+    /// Number of warm-up requests to each address, which are not measured.
     pub warm_up: u32,
-    /// The workspace, the model and the sizes of the requests.
+    /// Workspace, model and sizes of the requests; other settings are ignored.
     pub load: Settings,
 }
 
-/// The times of one way.
+/// An address under test and its response times.
 #[derive(Clone, Debug)]
 struct Target {
     name: &'static str,
@@ -76,16 +76,16 @@
     }
 }
 
-/// The times of both ways.
+/// Response times of the engine directly and through the router.
 #[derive(Clone, Debug)]
 pub struct Report {
     direct: Target,
     routed: Target,
 }
 
-/// Sends the same requests both ways, one at a time and in turns.
+/// Sends the same requests to both addresses, one at a time and alternately.
 ///
-/// In turns, because whatever else the machine does then slows both ways.
+/// Alternating ensures that other load on the machine affects both measurements alike.
 pub async fn run(comparison: &Comparison) -> Report {
     let pool = Pool::default();
     let mut direct = Target::new("direct", comparison.direct);
@@ -95,7 +95,8 @@
             direct.reset();
             routed.reset();
         }
-        // Each way has its own chat, so neither finds the other's prefix cached.
+        // Each address has its own chat, so that neither benefits from prefixes cached for the
+        // other.
         let direct_call = call(comparison, direct.name, number);
         let routed_call = call(comparison, routed.name, number);
         if number % 2 == 0 {
@@ -131,12 +132,12 @@
         self.direct.failed == 0 && self.routed.failed == 0
     }
 
-    /// What the router adds to the first token at `quantile`, in milliseconds.
+    /// Difference that the router makes to the time to first token at `quantile`, in milliseconds.
     pub fn added_first_token(&self, quantile: f64) -> f64 {
         added(&self.direct.first_token, &self.routed.first_token, quantile)
     }
 
-    /// What the router adds to the whole answer at `quantile`, in milliseconds.
+    /// Difference that the router makes to the total response time at `quantile`, in milliseconds.
     pub fn added_total(&self, quantile: f64) -> f64 {
         added(&self.direct.total, &self.routed.total, quantile)
     }
@@ -165,7 +166,7 @@
     }
 }
 
-/// Negative where the way through the router was the faster one.
+/// Difference of two response times in milliseconds; negative if the router was faster.
 fn added(direct: &Histogram<u64>, routed: &Histogram<u64>, quantile: f64) -> f64 {
     let millis = |times: &Histogram<u64>| times.value_at_quantile(quantile) as f64 / 1000.0;
     millis(routed) - millis(direct)
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,8 +1,8 @@
-//! Load tool: returning chats, bookings and lookups, and a report.
+//! Load generator: multi-turn chats, bookings and lookups, and a report on their results.
 //!
-//! It plays the callers and the platform's balancer in front of the routers. It
-//! checks that every caller gets the whole answer to its own request or a final
-//! refusal, and reads the services' ledgers for bookings that ran twice.
+//! It simulates the callers and the platform's load balancer in front of the routers. It checks
+//! that every caller receives the complete response to its own request or a final refusal, and
+//! reads the ledgers of the plain services to find bookings that ran twice.
 
 pub mod balancer;
 pub mod booking;
--- a/crates/load/src/lookup.rs
+++ b/crates/load/src/lookup.rs
@@ -1,4 +1,4 @@
-//! Lookups, which are idempotent.
+//! Callers that send lookups, which are idempotent.
 
 use std::{sync::Arc, time::Instant};
 
@@ -16,10 +16,10 @@
     traffic,
 };
 
-/// The stream of random numbers that lookups take theirs from.
+/// Stream of the random number generators of lookups.
 const RNG_STREAM: u64 = 3;
 
-/// A call for the entry `number`.
+/// A call that looks up the entry `number`.
 pub fn call(settings: &Settings, workspace: &str, number: u32) -> Call {
     let path = format!("{}/{number}", settings.lookup_path);
     Call {
@@ -31,7 +31,7 @@
     }
 }
 
-/// Plays a caller that looks entries up until `end`.
+/// Simulates a caller that sends lookups until `end`.
 pub async fn run_caller(
     settings: Arc<Settings>,
     balancer: Arc<Balancer>,
--- a/crates/load/src/main.rs
+++ b/crates/load/src/main.rs
@@ -1,4 +1,4 @@
-//! `weir-load`: plays callers against a fleet of routers and reports.
+//! `weir-load`: load generator that simulates callers of a fleet of routers and reports results.
 
 mod arguments;
 mod value;
--- a/crates/load/src/outcome.rs
+++ b/crates/load/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What became of a request.
+//! Outcomes of requests.
 
 use std::{
     fmt,
@@ -7,27 +7,27 @@
 
 use serde::Deserialize;
 
-/// A refusal as the caller reads it.
+/// A refusal in the response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Deserialize)]
 pub struct Refusal {
-    /// Why.
+    /// Code of the reason.
     pub code: String,
-    /// `not_run` or `may_have_run`.
+    /// Whether the request ran: `not_run` or `may_have_run`.
     pub verdict: String,
-    /// When to come back, in whole seconds.
+    /// Delay after which the caller may retry, in seconds.
     #[serde(default)]
     pub retry_after: Option<u64>,
 }
 
 impl Refusal {
-    /// Whether it says that another request with the same idempotency key runs.
+    /// Whether another request with the same idempotency key is running.
     ///
-    /// A repeat cannot run it a second time, and gets its recorded outcome later.
+    /// A retry cannot run the request a second time, and later receives the recorded outcome.
     pub fn is_claimed(&self) -> bool {
         self.code == "claim_taken"
     }
 
-    /// Whether it says that the request has not run.
+    /// Whether the refusal states that the request has not run.
     pub fn is_not_run(&self) -> bool {
         self.verdict == "not_run"
     }
@@ -39,48 +39,48 @@
     }
 }
 
-/// The tokens of an answer.
+/// Token counts of a chat completion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 pub struct Usage {
-    /// Tokens of the prompt.
+    /// Number of tokens of the prompt.
     pub prompt_tokens: u64,
-    /// Those of them that were in the cache.
+    /// Number of prompt tokens that were in the cache.
     pub cached_tokens: u64,
 }
 
 impl Usage {
-    /// Cached prompt tokens over all prompt tokens.
+    /// Ratio of cached prompt tokens to all prompt tokens.
     pub fn cache_hit_ratio(&self) -> f64 {
         self.cached_tokens as f64 / self.prompt_tokens.max(1) as f64
     }
 }
 
-/// What a request ended with.
+/// Outcome of a request or of one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// The whole answer to this request.
+    /// The caller received the complete and correct response.
     Served(Usage),
-    /// A refusal with a verdict.
+    /// The caller received a refusal with a verdict.
     Refused(Refusal),
-    /// Neither an answer nor a refusal.
+    /// The caller received neither a complete response nor a refusal.
     Lost(String),
-    /// An answer that is not the one to this request.
+    /// The caller received a response other than the expected one.
     Wrong(String),
 }
 
-/// A request and what became of it.
+/// Final outcome and times of a request, including its retries.
 #[derive(Clone, Debug)]
 pub struct Sample {
-    /// The id that it was last sent with.
+    /// Request ID of the last attempt.
     pub id: String,
-    /// The last outcome.
+    /// Outcome of the last attempt.
     pub outcome: Outcome,
-    /// When its caller first sent it.
+    /// When the caller started the first attempt.
     pub started: Instant,
-    /// From then to the first token of the answer.
+    /// Time from the start to the first token of the response.
     pub first_token: Option<Duration>,
-    /// From then to the end.
+    /// Time from the start to the final outcome.
     pub total: Duration,
-    /// How often it was sent.
+    /// Number of attempts that sent anything.
     pub sends: u32,
 }
--- a/crates/load/src/report.rs
+++ b/crates/load/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run found.
+//! Results of a load test.
 
 mod counts;
 mod phase;
@@ -19,13 +19,13 @@
 pub use phase::Phase;
 pub use second::Second;
 
-/// How many lost and wrong answers are told one by one.
+/// Maximum number of lost, duplicated and wrong requests that the report lists individually.
 const MAX_LISTED_FAILURES: usize = 20;
 
-/// What was asked for.
+/// Kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Kind {
-    /// An answer of a model.
+    /// A chat completion.
     Chat,
     /// A booking.
     Booking,
@@ -43,47 +43,47 @@
     }
 }
 
-/// A request that has ended.
+/// A completed request.
 #[derive(Clone, Debug)]
 pub struct Record {
-    /// What was asked for.
+    /// Kind of the request.
     pub kind: Kind,
-    /// The chat, the booking or the path.
+    /// Name of the chat, ID of the booking, or path of the lookup.
     pub name: String,
-    /// What became of it.
+    /// Outcome and times of the request.
     pub sample: Sample,
 }
 
-/// Where callers send their results.
+/// Channel on which callers send the records of their requests.
 #[derive(Clone, Debug)]
 pub struct Sender(mpsc::UnboundedSender<Record>);
 
 impl Sender {
-    /// Sends a result; once the report is closed, it is dropped.
+    /// Sends a record. It is dropped if the receiver is closed.
     pub fn send(&self, kind: Kind, name: &str, sample: Sample) {
         let name = String::from(name);
         drop(self.0.send(Record { kind, name, sample }));
     }
 }
 
-/// A channel for results.
+/// Creates a channel for records.
 pub fn channel() -> (Sender, mpsc::UnboundedReceiver<Record>) {
     let (sender, records) = mpsc::unbounded_channel();
     (Sender(sender), records)
 }
 
-/// Times of one kind of request.
+/// Response times of one kind of request.
 #[derive(Clone, Debug)]
 struct Times {
     first_token: Histogram<u64>,
     total: Histogram<u64>,
 }
 
-/// Everything that a run found.
+/// Results of a load test.
 #[derive(Clone, Debug)]
 pub struct Report {
     started: Instant,
-    /// The counts.
+    /// Numbers of requests by outcome.
     pub counts: Counts,
     refusals: BTreeMap<(Kind, String), u64>,
     times: BTreeMap<Kind, Times>,
@@ -96,8 +96,8 @@
 }
 
 impl Report {
-    /// An empty report of a run that began at `started`, with phases that begin so
-    /// long after it.
+    /// An empty report of a run that started at `started`. `phases` are the start times of the
+    /// second and further phases, relative to `started`.
     pub fn new(started: Instant, phases: &[Duration]) -> Self {
         let starts = std::iter::once(&Duration::ZERO).chain(phases);
         Self {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Adds a request that has ended.
+    /// Adds a completed request.
     pub fn add(&mut self, record: Record) {
         let Record { kind, name, sample } = record;
         let end = sample.started + sample.total - self.started;
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Adds a request to the phase in which it began.
+    /// Adds a request to the phase in which it started.
     fn add_to_phase(&mut self, kind: Kind, sample: &Sample) {
         let started = sample.started - self.started;
         let phases = self.phases.iter_mut().rev();
@@ -175,11 +175,10 @@
         self.failures.push(failure);
     }
 
-    /// Compares what callers were told with how often each booking ran.
+    /// Compares the outcomes that callers received with the number of times each booking ran.
     ///
-    /// A booking that ran twice is duplicated. A booking that ran although its
-    /// callers were told that it had not, or that did not run although one was
-    /// told that it had, got a wrong answer.
+    /// A booking that ran more than once is duplicated. A booking is wrong if it ran although all
+    /// its callers were refused as not run, or if it was confirmed but did not run.
     pub fn reconcile(&mut self, runs: &BTreeMap<String, u64>) {
         for (id, outcomes) in std::mem::take(&mut self.bookings) {
             let ran = runs.get(&id).copied().unwrap_or(0);
@@ -205,10 +204,10 @@
         }
     }
 
-    /// Whether nothing was lost, duplicated or wrong, and every kind of caller that
-    /// asked was served at least once.
+    /// Whether no request was lost, duplicated or wrong, and at least one request was served of
+    /// every kind that was refused.
     ///
-    /// A fleet that refuses everything loses nothing, and would pass otherwise.
+    /// Without the second condition, a fleet that refuses everything would pass.
     pub fn has_passed(&self) -> bool {
         let is_unserved = |kind: &Kind| !self.times.contains_key(kind);
         let refused = self.refusals.keys().map(|(kind, _)| kind);
@@ -255,11 +254,12 @@
     }
 }
 
-/// An empty histogram of microseconds, up to an hour.
+/// An empty histogram of durations in microseconds, up to one hour.
 pub(crate) fn histogram() -> Histogram<u64> {
     const MAX_US: u64 = 3_600_000_000;
     const SIGNIFICANT_DIGITS: u8 = 3;
-    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS).expect("the bounds are allowed")
+    Histogram::new_with_bounds(1, MAX_US, SIGNIFICANT_DIGITS)
+        .expect("the histogram bounds are valid")
 }
 
 /// Writes the percentiles of `times` as one line.
@@ -279,7 +279,7 @@
     )
 }
 
-/// A time in whole microseconds.
+/// A duration in whole microseconds.
 pub(crate) fn micros(time: Duration) -> u64 {
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
--- a/crates/load/src/report/counts.rs
+++ b/crates/load/src/report/counts.rs
@@ -1,24 +1,25 @@
-//! The counts of the last line.
+//! Counts by outcome, printed as the last line of a report.
 
 use std::fmt;
 
-/// How many requests ended how.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// The whole answer to its own request.
+    /// Requests that received the complete and correct response.
     pub served: u64,
-    /// A final refusal with a verdict.
+    /// Requests that received a final refusal with a verdict.
     pub refused: u64,
-    /// Neither of both.
+    /// Requests that received neither.
     pub lost: u64,
     /// Bookings that ran more than once.
     pub duplicated: u64,
-    /// Another answer than its own, or an untrue verdict.
+    /// Requests with a response other than the expected one, and bookings whose confirmation or
+    /// verdict contradicts the ledger.
     pub wrong: u64,
 }
 
 impl Counts {
-    /// Whether nothing was lost, duplicated or wrong.
+    /// Whether no request was lost, duplicated or wrong.
     pub fn is_clean(&self) -> bool {
         self.lost == 0 && self.duplicated == 0 && self.wrong == 0
     }
--- a/crates/load/src/report/phase.rs
+++ b/crates/load/src/report/phase.rs
@@ -1,4 +1,4 @@
-//! A phase of a run, such as the time while an availability zone is out.
+//! A phase of a run, such as the time during which an availability zone is unreachable.
 
 use std::{fmt, time::Duration};
 
@@ -9,7 +9,7 @@
     report::{Counts, Kind, histogram, micros, write_times},
 };
 
-/// What became of the requests that began in one phase.
+/// Results of the requests that started in one phase.
 #[derive(Clone, Debug)]
 pub struct Phase {
     start: Duration,
@@ -21,7 +21,7 @@
 }
 
 impl Phase {
-    /// An empty phase that begins `start` after the run.
+    /// An empty phase that begins at `start`, relative to the start of the run.
     pub fn new(start: Duration) -> Self {
         Self {
             start,
@@ -33,12 +33,12 @@
         }
     }
 
-    /// When it begins, counted from the start of the run.
+    /// Start of the phase, relative to the start of the run.
     pub fn start(&self) -> Duration {
         self.start
     }
 
-    /// Adds a request that began in it.
+    /// Adds a request that started in this phase.
     pub fn add(&mut self, kind: Kind, sample: &Sample) {
         self.retries += u64::from(sample.sends.saturating_sub(1));
         match sample.outcome {
--- a/crates/load/src/report/second.rs
+++ b/crates/load/src/report/second.rs
@@ -4,7 +4,7 @@
 
 use crate::outcome::{Outcome, Sample};
 
-/// What ended in one second.
+/// Results of the requests that ended in one second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Second {
     served: u64,
@@ -16,7 +16,7 @@
 }
 
 impl Second {
-    /// Adds a request that ended in it.
+    /// Adds a request that ended in this second.
     pub fn add(&mut self, sample: &Sample) {
         match sample.outcome {
             Outcome::Served(_) => self.served += 1,
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -1,4 +1,4 @@
-//! A caller that waits for its final answer.
+//! Retries of a call until it has a final outcome.
 
 use std::time::{Duration, Instant};
 
@@ -12,14 +12,16 @@
     traffic,
 };
 
-/// How long a caller waits before it asks for a router again.
+/// Backoff before a retry if no router was ready or the connection failed.
 const BACKOFF: Duration = Duration::from_millis(100);
 
-/// Sends `call` until it is served, finally refused or lost, or until patience ends.
+/// Sends `call` and retries it until it is served, finally refused or lost, or until its deadline.
 ///
-/// It is sent again only where nothing was sent, where a refusal says when to come
-/// back and either that it has not run or that its idempotency key is claimed, or
-/// where its connection broke and the settings say that callers repeat that.
+/// A call is retried only in these cases:
+/// - nothing of it was sent;
+/// - it was refused with a retry delay, and the refusal states either that it has not run or that
+///   its idempotency key is claimed;
+/// - it was lost, for example because its connection broke, and the settings enable such retries.
 pub async fn send(call: &Call, balancer: &Balancer, settings: &Settings) -> Sample {
     let started = Instant::now();
     let deadline = started + settings.timeout;
@@ -54,7 +56,7 @@
         Ok(attempt) => attempt,
         Err(_) => Attempt {
             was_sent: true,
-            ..not_sent(&format!("no answer from {router} within patience"))
+            ..not_sent(&format!("no response from {router} before the deadline"))
         },
     }
 }
@@ -67,7 +69,7 @@
     }
 }
 
-/// How long to wait before the next try; none: the outcome is final.
+/// Delay before the next attempt, or `None` if the outcome is final.
 fn retry_delay(attempt: &Attempt, retries_broken: bool) -> Option<Duration> {
     match &attempt.outcome {
         Outcome::Lost(_) if retries_broken || !attempt.was_sent => Some(BACKOFF),
--- a/crates/load/src/run.rs
+++ b/crates/load/src/run.rs
@@ -1,4 +1,4 @@
-//! A run: all callers at once, then the ledgers.
+//! A load test: runs all callers concurrently, then checks the ledgers.
 
 use std::{
     collections::BTreeMap,
@@ -21,17 +21,17 @@
     settings::Settings,
 };
 
-/// How long a run waits for the first router to be ready.
+/// Timeout for the first router to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// How long a service may take to show its ledger.
+/// Timeout for fetching the ledger of a service.
 const LEDGER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Why a run has no report.
+/// Why a load test has no report.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// No router became ready.
+    /// No router became ready within the timeout.
     NotReady,
-    /// A ledger could not be read, so nobody knows what ran.
+    /// A ledger could not be fetched, so it is unknown which bookings ran.
     NoLedger(SocketAddr, String),
 }
 
@@ -40,7 +40,7 @@
         match self {
             Self::NotReady => f.write_str("no router became ready"),
             Self::NoLedger(address, reason) => {
-                write!(f, "the ledger at {address} could not be read: {reason}")
+                write!(f, "the ledger at {address} could not be fetched: {reason}")
             }
         }
     }
@@ -48,11 +48,11 @@
 
 impl std::error::Error for Error {}
 
-/// Plays all callers and returns what they found.
+/// Runs all callers and returns their results.
 ///
 /// # Errors
 ///
-/// [`Error`] when there is nothing to measure or to compare with.
+/// Returns an [`Error`] if no router became ready or a ledger could not be fetched.
 pub async fn run(settings: Settings) -> Result<Report, Error> {
     let settings = Arc::new(settings);
     let balancer = Arc::new(Balancer::new(&settings.routers));
@@ -85,7 +85,7 @@
     Err(Error::NotReady)
 }
 
-/// Starts all callers, which begin nothing new after `end`.
+/// Starts all callers. They start no new requests after `end`.
 fn spawn_callers(
     settings: &Arc<Settings>,
     balancer: &Arc<Balancer>,
@@ -111,14 +111,14 @@
     callers
 }
 
-/// How often each booking ran, over all services.
+/// Fetches the ledgers and returns how often each booking ran on all services together.
 async fn fetch_ledgers(services: &[SocketAddr]) -> Result<BTreeMap<String, u64>, Error> {
     let mut runs = BTreeMap::new();
     let pool = Pool::default();
     for service in services {
         let fetched = time::timeout(LEDGER_TIMEOUT, fetch_ledger(&pool, *service)).await;
         let ledger = fetched
-            .unwrap_or_else(|_| Err(String::from("no answer")))
+            .unwrap_or_else(|_| Err(String::from("no response within the timeout")))
             .map_err(|reason| Error::NoLedger(*service, reason))?;
         for entry in ledger.entries {
             *runs.entry(entry.id).or_default() += entry.runs;
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -1,55 +1,56 @@
-//! Settings of a run.
+//! Settings of a load test.
 
 use std::{net::SocketAddr, time::Duration};
 
-/// What a run does.
+/// Settings of a load test.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The routers, of which any may be asked.
+    /// Routers that requests are balanced over.
     pub routers: Vec<SocketAddr>,
-    /// The plain services whose ledgers tell what ran.
+    /// Plain services whose ledgers record which bookings ran.
     pub ledgers: Vec<SocketAddr>,
-    /// The workspaces; the first is the largest.
+    /// Workspaces in descending order of traffic.
     pub workspaces: Vec<String>,
-    /// The key that callers send, if any.
+    /// API key of the callers, if they send one.
     pub key: Option<String>,
-    /// How long callers begin new requests.
+    /// How long callers start new requests.
     pub duration: Duration,
-    /// How many chats are open.
+    /// Number of concurrent chats.
     pub chats: u32,
-    /// The mean pause between an answer and the next message of its chat.
+    /// Mean pause between a response and the next message of its chat.
     pub pause: Duration,
-    /// How many messages a chat has before it starts over.
+    /// Number of user messages per chat; after them the caller begins a new chat.
     pub turns: u32,
-    /// How many words a caller's message has.
+    /// Number of words in a user message.
     pub words: u32,
-    /// How many tokens an answer has.
+    /// Number of tokens in a response.
     pub tokens: u32,
-    /// The model that chats name.
+    /// Model that chats request.
     pub model: String,
-    /// How many callers book, one booking after the other.
+    /// Number of callers that send bookings, each one booking at a time.
     pub booking_callers: u32,
-    /// The mean pause between two bookings of one caller.
+    /// Mean pause between two bookings of a caller.
     pub booking_pause: Duration,
-    /// The path that bookings are sent to.
+    /// Path of bookings.
     pub booking_path: String,
-    /// How many bookings in a hundred are sent twice with one key.
+    /// Percentage of bookings that are sent twice concurrently with the same idempotency key.
     pub duplicate_percent: u32,
-    /// How many callers look up, one lookup after the other.
+    /// Number of callers that send lookups, each one lookup at a time.
     pub lookup_callers: u32,
-    /// The mean pause between two lookups of one caller.
+    /// Mean pause between two lookups of a caller.
     pub lookup_pause: Duration,
-    /// The path under which lookups are.
+    /// Path prefix of lookups.
     pub lookup_path: String,
-    /// How long a caller waits for its final answer, its repeats included.
+    /// Timeout of a request, including its retries.
     pub timeout: Duration,
-    /// Whether a caller sends a request again whose connection broke.
+    /// Whether callers retry lost requests, such as those whose connection broke.
     ///
-    /// It may: chats and lookups are idempotent, and bookings carry a key.
+    /// This is safe: chats and lookups are idempotent, and bookings have idempotency keys.
     pub retries_broken: bool,
-    /// When each phase of the report begins, counted from the start; the first begins with it.
+    /// Start times of the second and further phases of the report, relative to the start of the
+    /// run. The first phase begins with the run.
     pub phases: Vec<Duration>,
-    /// The seed of all random choices.
+    /// Seed of the random number generators.
     pub seed: u64,
 }
 
--- a/crates/load/tests/load/compare.rs
+++ b/crates/load/tests/load/compare.rs
@@ -1,4 +1,4 @@
-//! The comparison of two ways.
+//! Comparison of direct and routed requests.
 
 use load::{
     compare::{self, Comparison},
@@ -6,8 +6,8 @@
 };
 use standin::engine;
 
-// A way that fails requests looks fast, because only those that were served
-// have a time.
+// Only served requests are measured, so an address that fails requests could appear fast. Failed
+// requests must therefore fail the comparison.
 #[tokio::test]
 async fn comparison_with_failed_requests_does_not_pass() {
     let direct = engine::start(engine::Settings::default()).await.unwrap();
--- a/crates/load/tests/load/main.rs
+++ b/crates/load/tests/load/main.rs
@@ -1,4 +1,4 @@
-//! The load tool notices every answer that is lost, wrong or twice.
+//! The load generator detects every lost, wrong and duplicated response.
 
 mod compare;
 mod report;
--- a/crates/load/tests/load/report.rs
+++ b/crates/load/tests/load/report.rs
@@ -1,4 +1,4 @@
-//! The comparison of callers' outcomes with the services' ledgers.
+//! Criteria of a passed run, and reconciliation of the callers' outcomes with the ledgers.
 
 use std::{
     collections::BTreeMap,
@@ -38,8 +38,8 @@
     })
 }
 
-// Every chat is refused at once, because some bound came out as zero. Nothing is
-// lost, so a count of lost answers alone calls it a good run.
+// Every chat is refused immediately, for example because a limit was computed as zero. No request
+// is lost, so a check for lost requests alone would let the run pass.
 #[parameterized(
     all_refused = { &[Kind::Booking], &[Kind::Chat, Kind::Booking], false },
     some_refused = { &[Kind::Chat], &[Kind::Chat], true },
@@ -60,8 +60,8 @@
     assert_eq!(report.has_passed(), has_passed);
 }
 
-// What callers were told of one booking, how often it ran, and what that makes:
-// the counts of duplicated and wrong.
+// Parameters: the outcomes that the callers of one booking received, the number of times it ran,
+// and the expected counts (duplicated, wrong).
 #[parameterized(
     confirmed = { vec![served()], 1, (0, 0) },
     confirmed_to_both = { vec![served(), served()], 1, (0, 0) },
--- a/crates/load/tests/load/router.rs
+++ b/crates/load/tests/load/router.rs
@@ -1,4 +1,4 @@
-//! A router in front of nothing, which answers as a test tells it.
+//! A fake router without backend servers, which follows the script of a test.
 
 use std::sync::{
     Arc,
@@ -12,21 +12,22 @@
     server::{self, Application},
 };
 
-/// What it does with a request.
+/// How the router answers requests.
 #[derive(Clone, Copy, Debug)]
 pub enum Script {
-    /// Refuses everything with this verdict, and says when to come back if so told.
+    /// Refuses every request with this verdict and this retry delay.
     Refuse {
         verdict: &'static str,
         retry_after: Option<u64>,
     },
-    /// Refuses the first requests as not run, come back at once, then confirms.
+    /// Refuses the first `refused` requests as not run, with a retry delay of zero, then confirms.
     RefuseThenConfirm { refused: u32 },
-    /// Says that the key of the first requests is claimed, then confirms.
+    /// Refuses the first `refused` requests as claimed by another request with their key, then
+    /// confirms.
     ClaimTakenThenConfirm { refused: u32 },
-    /// Answers 502 as a proxy would that knows of no verdicts.
+    /// Answers 502 without a verdict, as an intermediate proxy would.
     BadGateway,
-    /// Ends the connection.
+    /// Closes the connection without a response.
     CloseConnection,
 }
 
--- a/crates/load/tests/load/run.rs
+++ b/crates/load/tests/load/run.rs
@@ -1,4 +1,4 @@
-//! Whole runs against scripted routers and faulty stand-ins.
+//! Calls and load tests against fake routers and faulty stand-ins.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -34,14 +34,14 @@
     }
 }
 
-// A router gives up on a request in one way or another. The caller is told what
-// became of it, or is left without a word, which is what must not be.
+// A router fails a request in different ways. The caller retries only if that cannot run the
+// request twice, and counts a request without a verdict as lost.
 #[parameterized(
     retried_until_served = { Script::RefuseThenConfirm { refused: 3 }, "served", 4 },
-    // The recorded outcome of the first copy is there once that has ended.
+    // The recorded outcome is available once the request that claimed the key has ended.
     retried_while_claimed = { Script::ClaimTakenThenConfirm { refused: 2 }, "served", 3 },
     final_not_run = { Script::Refuse { verdict: "not_run", retry_after: None }, "refused", 1 },
-    // A request that may have run is not sent again, whenever it may come back.
+    // A request that may have run is not retried, even if the refusal has a retry delay.
     may_have_run = { Script::Refuse { verdict: "may_have_run", retry_after: Some(0) }, "refused", 1 },
     bad_gateway = { Script::BadGateway, "lost", 1 },
     connection_closed = { Script::CloseConnection, "lost", 1 },
@@ -56,9 +56,9 @@
     assert_eq!((label(&sample.outcome), sample.sends), (expected, sends));
 }
 
-// An engine's answer reaches the caller cut, short or crossed. A caller that took
-// it for its own whole answer would show a driver half a manifest review, or
-// another site's.
+// A response of an engine reaches the caller truncated, shortened or swapped with that of another
+// request. A caller that accepted it would show a driver an incomplete manifest review, or the
+// review of another site.
 #[parameterized(
     whole = { None, "served" },
     cut = { Some(engine::Fault::CutStream { count: 1 }), "lost" },
@@ -85,8 +85,8 @@
     assert_eq!(label(&sample.outcome), expected, "{:?}", sample.outcome);
 }
 
-// Nothing between the callers and a service claims bookings. Those that are sent
-// twice with one key run twice, and two trucks come; the ledger tells.
+// No router claims the idempotency keys between the callers and the service, so bookings that are
+// sent twice with the same key run twice and two trucks arrive. The ledger shows the duplicates.
 #[tokio::test(flavor = "multi_thread")]
 async fn duplicate_bookings_are_counted() {
     let service = service::start(service::Settings::default()).await.unwrap();
@@ -110,8 +110,7 @@
     assert_eq!(report.counts, expected);
 }
 
-// A router says that a booking has not run although it has. The caller books
-// again elsewhere.
+// A router refuses a booking as not run although it ran. The caller would book again elsewhere.
 #[tokio::test]
 async fn refusal_of_a_booking_that_ran_is_wrong() {
     let service = service::start(service::Settings::default()).await.unwrap();
@@ -122,7 +121,7 @@
     .await;
     let settings = settings(refusing_router.address());
     let mut report = load::report::Report::new(std::time::Instant::now(), &[]);
-    for (id, has_run) in [("ran", true), ("rests", false)] {
+    for (id, has_run) in [("ran", true), ("did_not_run", false)] {
         let call = booking::call(&settings, "w", id);
         if has_run {
             let balancer = balancer(service.address()).await;
