--- a/crates/losses/src/render.rs
+++ b/crates/losses/src/render.rs
@@ -46,7 +46,7 @@
     let lines = report.lines;
     line!(
         text,
-        "lines {} read, {} of other origin, {} malformed, {} too long, {} cut, {} left out by routers",
+        "lines {} read, {} not from a router, {} malformed, {} too long, {} truncated, {} dropped by routers",
         lines.read,
         lines.foreign,
         lines.malformed,
@@ -68,11 +68,7 @@
     let attempts: Vec<String> = attempts
         .map(|(name, count)| format!("{name} {count}"))
         .collect();
-    line!(
-        text,
-        "attempts without an answer: {}",
-        join_or_none(&attempts)
-    );
+    line!(text, "failed attempts: {}", join_or_none(&attempts));
 }
 
 fn join_or_none(texts: &[String]) -> String {
@@ -100,7 +96,12 @@
     if worst.is_empty() {
         return;
     }
-    line!(text, "\n{title:<24} {:>7} {:>7}  mostly", "served", "lost");
+    line!(
+        text,
+        "\n{title:<24} {:>7} {:>7}  main cause",
+        "served",
+        "lost"
+    );
     for (name, count) in worst {
         line!(
             text,
@@ -119,9 +120,9 @@
     line!(
         text,
         "\n{:<24} {:>21}  {:>21}",
-        "ms at 50, 95, 99 in 100",
+        "p50 p95 p99 in ms",
         "first byte",
-        "whole"
+        "last byte"
     );
     for (route, times) in &report.times {
         line!(
@@ -151,7 +152,7 @@
     for (start, span) in worst {
         line!(
             text,
-            "{} served {} lost {} ({}), first byte {:.0} ms, at most {} ms",
+            "{} served {} lost {} ({}), first byte mean {:.0} ms, max {} ms",
             format_time(start),
             span.requests.served,
             span.requests.lost,
