--- a/crates/load/tests/load/run.rs
+++ b/crates/load/tests/load/run.rs
@@ -60,10 +60,10 @@
 // request. A caller that accepted it would show a driver an incomplete manifest review, or the
 // review of another site.
 #[parameterized(
-    whole = { None, "served" },
-    cut = { Some(engine::Fault::CutStream { count: 1 }), "lost" },
-    short = { Some(engine::Fault::ShortStream { count: 1 }), "lost" },
-    crossed = { Some(engine::Fault::CrossedAnswer { count: 1 }), "wrong" },
+    complete = { None, "served" },
+    connection_closed = { Some(engine::Fault::CutStream { count: 1 }), "lost" },
+    ended_without_done = { Some(engine::Fault::ShortStream { count: 1 }), "lost" },
+    swapped = { Some(engine::Fault::CrossedAnswer { count: 1 }), "wrong" },
 )]
 #[test_macro(tokio::test)]
 async fn stream_is_served_only_if_complete_and_correct(
