--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -12,7 +12,7 @@
     traffic,
 };
 
-/// Backoff before a retry if no router was ready or the connection failed.
+/// Backoff before a lost call is retried, for example because no router was ready.
 const BACKOFF: Duration = Duration::from_millis(100);
 
 /// Sends `call` and retries it until it is served, finally refused or lost, or until its deadline.
--- a/crates/losses/src/line.rs
+++ b/crates/losses/src/line.rs
@@ -9,7 +9,7 @@
 pub struct Line<'a> {
     /// Last word before the line in a merged log, usually the name of the host.
     pub origin: Option<&'a str>,
-    /// Time stamp, by the router's clock.
+    /// Timestamp, by the router's clock.
     pub time: SystemTime,
     /// Name of the event.
     pub event: Cow<'a, str>,
@@ -19,9 +19,9 @@
 /// Why a text is not a valid log line of a router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It has no time stamp key, so it is not a log line of a router.
+    /// It has no `time` key, so it is not a log line of a router.
     Foreign,
-    /// It has a time stamp key but cannot be parsed.
+    /// It has a `time` key but cannot be parsed.
     Malformed,
 }
 
--- a/crates/losses/src/render.rs
+++ b/crates/losses/src/render.rs
@@ -174,7 +174,7 @@
     causes.join(", ")
 }
 
-/// Formats seconds since the Unix epoch as an RFC 3339 time stamp in UTC.
+/// Formats seconds since the Unix epoch as an RFC 3339 timestamp in UTC.
 fn format_time(seconds: u64) -> String {
     let time = UNIX_EPOCH + Duration::from_secs(seconds);
     humantime::format_rfc3339_seconds(time).to_string()
