--- a/crates/load/src/chat.rs
+++ b/crates/load/src/chat.rs
@@ -55,7 +55,7 @@
         stream,
         max_tokens: settings.tokens,
     };
-    let text = expected_answer(settings, messages);
+    let text = expected_response(settings, messages);
     let mut headers = traffic::headers(settings, workspace);
     traffic::add_header(&mut headers, "x-weir-chat", chat);
     Call {
@@ -72,7 +72,7 @@
 }
 
 /// The response that the stand-in engine gives to `messages`.
-fn expected_answer(settings: &Settings, messages: &[Message]) -> String {
+fn expected_response(settings: &Settings, messages: &[Message]) -> String {
     let prompt = messages.last().map_or("", |m| m.content.as_str());
     standin::answer::text(prompt, settings.tokens)
 }
@@ -139,7 +139,7 @@
         match sample.outcome {
             Outcome::Served(_) => self.messages.push(Message {
                 role: "assistant",
-                content: expected_answer(settings, &self.messages),
+                content: expected_response(settings, &self.messages),
             }),
             _ => drop(self.messages.pop()),
         }
