--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -51,7 +51,7 @@
     lookup_pause: Raw,
     lookup_path: Raw,
     timeout: Raw,
-    retries_broken: bool,
+    retries_lost: bool,
     phases: Raw,
     seed: Raw,
     has_timeline: bool,
@@ -213,7 +213,7 @@
         "N",
         "Seed of the random number generators [1]",
     );
-    let retries_broken = bpaf::long("repeat-broken")
+    let retries_lost = bpaf::long("repeat-broken")
         .help("Retry requests whose connection broke")
         .switch();
     let phases = text(
@@ -241,7 +241,7 @@
         lookup_pause,
         lookup_path,
         timeout,
-        retries_broken,
+        retries_lost,
         phases,
         seed,
         has_timeline,
@@ -337,7 +337,7 @@
         lookup_pause: lookup_pause?,
         lookup_path: lookup_path?,
         timeout: timeout?,
-        retries_broken: raw.retries_broken,
+        retries_lost: raw.retries_lost,
         phases: phases?,
         seed: seed?,
         ..sizes?
--- a/crates/load/src/retry.rs
+++ b/crates/load/src/retry.rs
@@ -31,7 +31,7 @@
         let attempt = send_once(call, &id, balancer, deadline).await;
         sends += u32::from(attempt.was_sent);
         let retry_at =
-            retry_delay(&attempt, settings.retries_broken).map(|wait| Instant::now() + wait);
+            retry_delay(&attempt, settings.retries_lost).map(|wait| Instant::now() + wait);
         if let Some(at) = retry_at.filter(|at| *at < deadline) {
             time::sleep_until(at.into()).await;
             continue;
@@ -70,9 +70,9 @@
 }
 
 /// Delay before the next attempt, or `None` if the outcome is final.
-fn retry_delay(attempt: &Attempt, retries_broken: bool) -> Option<Duration> {
+fn retry_delay(attempt: &Attempt, retries_lost: bool) -> Option<Duration> {
     match &attempt.outcome {
-        Outcome::Lost(_) if retries_broken || !attempt.was_sent => Some(BACKOFF),
+        Outcome::Lost(_) if retries_lost || !attempt.was_sent => Some(BACKOFF),
         Outcome::Refused(refusal) if refusal.is_not_run() || refusal.is_claimed() => {
             refusal.retry_after.map(Duration::from_secs)
         }
--- a/crates/load/src/settings.rs
+++ b/crates/load/src/settings.rs
@@ -46,7 +46,7 @@
     /// Whether callers retry lost requests, such as those whose connection broke.
     ///
     /// This is safe: chats and lookups are idempotent, and bookings have idempotency keys.
-    pub retries_broken: bool,
+    pub retries_lost: bool,
     /// Start times of the second and further phases of the report, relative to the start of the
     /// run. The first phase begins with the run.
     pub phases: Vec<Duration>,
@@ -76,7 +76,7 @@
             lookup_pause: Duration::from_millis(200),
             lookup_path: String::from("/lookups"),
             timeout: Duration::from_secs(20),
-            retries_broken: false,
+            retries_lost: false,
             phases: Vec::new(),
             seed: 1,
         }
