--- a/crates/load/src/arguments.rs
+++ b/crates/load/src/arguments.rs
@@ -214,7 +214,7 @@
         "Seed of the random number generators [1]",
     );
     let retries_lost = bpaf::long("repeat-broken")
-        .help("Retry requests whose connection broke")
+        .help("Retry lost requests, such as those whose connection broke")
         .switch();
     let phases = text(
         "phases-ms",
