--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -15,7 +15,7 @@
 use hyper::{Method, StatusCode, header};
 use serde_json::{Value, json};
 use standin::platform::{self as stand, Fault};
-use storage::http::{self, Answer};
+use storage::http::{self, Response};
 use tokio::time::{self, Instant};
 
 /// A platform, an administration over it and a client of the latter.
@@ -59,7 +59,7 @@
 }
 
 impl Bench {
-    async fn call(&self, method: Method, path: &str, body: &Value, token: &str) -> Answer {
+    async fn call(&self, method: Method, path: &str, body: &Value, token: &str) -> Response {
         let body = Bytes::from(body.to_string());
         let mut request = http::request(method, path, body).expect("request");
         let token = format!("Bearer {token}").parse().expect("header");
@@ -67,11 +67,11 @@
         self.client.call(request, deadline()).await.expect("answer")
     }
 
-    async fn get(&self, path: &str) -> Answer {
+    async fn get(&self, path: &str) -> Response {
         self.call(Method::GET, path, &Value::Null, "x").await
     }
 
-    async fn post(&self, body: &Value) -> Answer {
+    async fn post(&self, body: &Value) -> Response {
         self.call(Method::POST, "/v1/changes", body, "x").await
     }
 
@@ -103,11 +103,11 @@
     })
 }
 
-fn accepted(answer: &Answer) -> Accepted {
+fn accepted(answer: &Response) -> Accepted {
     http::parse(answer).expect("accepted")
 }
 
-fn failure(answer: &Answer) -> config::answer::Error {
+fn failure(answer: &Response) -> config::answer::Error {
     http::parse::<Failure>(answer).expect("failure").error
 }
 
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -41,7 +41,7 @@
     }
 }
 
-async fn post(process: &Process, path: &str, body: &Value) -> http::Answer {
+async fn post(process: &Process, path: &str, body: &Value) -> http::Response {
     let body = Bytes::from(body.to_string());
     let request = http::request(Method::POST, path, body).expect("request");
     let deadline = Instant::now() + Duration::from_secs(60);
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -67,7 +67,7 @@
     }
 }
 
-async fn call(address: SocketAddr, method: Method, path: &str, body: &Value) -> http::Answer {
+async fn call(address: SocketAddr, method: Method, path: &str, body: &Value) -> http::Response {
     let body = Bytes::from(body.to_string());
     let request = http::request(method, path, body).expect("request");
     let deadline = Instant::now() + Duration::from_secs(60);
--- a/crates/gateway/src/peers/fetch/client.rs
+++ b/crates/gateway/src/peers/fetch/client.rs
@@ -41,8 +41,8 @@
 
 fn log_result(address: SocketAddr, error: Option<&Failure>, progress: Progress) {
     let bytes = progress.bytes();
-    let first_ms = progress.first_ms().unwrap_or_default();
-    let last_ms = progress.last_ms();
+    let first_ms = progress.first_byte_ms().unwrap_or_default();
+    let last_ms = progress.last_byte_ms();
     match error {
         None => logging::event!(
             info,
@@ -157,7 +157,7 @@
     }
 
     async fn next_frame(&mut self, link: &mut Link) -> Result<Frame<Reply>, Error> {
-        let deadline = self.progress.patience(self.deadline);
+        let deadline = self.progress.extended_deadline(self.deadline);
         let received = time::timeout_at(deadline, link.reader.receive()).await;
         let frame = received.map_err(|_| Error::Timeout)??;
         let length = match &frame {
--- a/crates/gateway/src/peers/fetch/server.rs
+++ b/crates/gateway/src/peers/fetch/server.rs
@@ -80,7 +80,7 @@
     send_all(&mut link, batches).await?;
     // The permit is held until the client has received everything and closes the
     // connection: bytes in the buffers of a slow link were sent but have not arrived.
-    let timeout = TIMEOUT + progress::allowance(bytes);
+    let timeout = TIMEOUT + progress::transfer_time(bytes);
     drop(link.reader.receive_within::<Request>(timeout).await);
     Ok(())
 }
--- a/crates/storage/src/hosts.rs
+++ b/crates/storage/src/hosts.rs
@@ -71,12 +71,12 @@
 pub struct Client {
     http: http::Client,
     /// The list as last read, with its entity tag.
-    last: sync::Mutex<Option<Tagged>>,
+    cached: sync::Mutex<Option<Cached>>,
 }
 
 /// A list and its entity tag.
 #[derive(Clone, Debug)]
-struct Tagged {
+struct Cached {
     tag: header::HeaderValue,
     hosts: Vec<Host>,
 }
@@ -86,7 +86,7 @@
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             http: http::Client::new(address),
-            last: sync::Mutex::default(),
+            cached: sync::Mutex::default(),
         }
     }
 
@@ -94,7 +94,7 @@
     pub fn metered(address: net::SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             http: http::Client::metered(address, traffic),
-            last: sync::Mutex::default(),
+            cached: sync::Mutex::default(),
         }
     }
 }
@@ -106,40 +106,40 @@
 
 impl Hosts for Client {
     async fn list(&self, deadline: time::Instant) -> Result<Vec<Host>, Error> {
-        let last = self.last();
+        let cached = self.cached();
         let mut request = http::request(Method::GET, "/hosts", Bytes::new())?;
-        if let Some(last) = &last {
+        if let Some(cached) = &cached {
             // The list is long and rarely changes. An unchanged one costs a
             // few bytes, so that it can be asked for often.
-            let tag = last.tag.clone();
+            let tag = cached.tag.clone();
             request.headers_mut().insert(header::IF_NONE_MATCH, tag);
         }
-        let answer = self.http.read(request, deadline).await?;
-        match (answer.status, last) {
-            (StatusCode::OK, _) => self.take(&answer),
-            (StatusCode::NOT_MODIFIED, Some(last)) => Ok(last.hosts),
-            _ => Err(http::failure(&answer)),
+        let response = self.http.read(request, deadline).await?;
+        match (response.status, cached) {
+            (StatusCode::OK, _) => self.parse_and_cache(&response),
+            (StatusCode::NOT_MODIFIED, Some(cached)) => Ok(cached.hosts),
+            _ => Err(http::status_error(&response)),
         }
     }
 }
 
 impl Client {
-    fn last(&self) -> Option<Tagged> {
+    fn cached(&self) -> Option<Cached> {
         self.lock().clone()
     }
 
-    fn take(&self, answer: &http::Answer) -> Result<Vec<Host>, Error> {
-        let hosts = http::parse::<List>(answer)?.hosts;
-        let tag = answer.headers.get(header::ETAG).cloned();
-        *self.lock() = tag.map(|tag| Tagged {
+    fn parse_and_cache(&self, response: &http::Response) -> Result<Vec<Host>, Error> {
+        let hosts = http::parse::<List>(response)?.hosts;
+        let tag = response.headers.get(header::ETAG).cloned();
+        *self.lock() = tag.map(|tag| Cached {
             tag,
             hosts: hosts.clone(),
         });
         Ok(hosts)
     }
 
-    fn lock(&self) -> sync::MutexGuard<'_, Option<Tagged>> {
-        self.last
+    fn lock(&self) -> sync::MutexGuard<'_, Option<Cached>> {
+        self.cached
             .lock()
             .unwrap_or_else(sync::PoisonError::into_inner)
     }
--- a/crates/storage/src/http.rs
+++ b/crates/storage/src/http.rs
@@ -23,19 +23,19 @@
 };
 
 /// How many idle connections are kept.
-const MAX_IDLE: usize = 8;
+const MAX_IDLE_CONNECTIONS: usize = 8;
 
 /// The largest answer that is read, in bytes.
-const MAX_ANSWER: usize = 256 * 1024 * 1024;
+const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
 /// The most memory that is taken before any of an answer has come, in bytes.
-const MAX_RESERVED: usize = 8 * 1024 * 1024;
+const MAX_PREALLOCATED_BYTES: usize = 8 * 1024 * 1024;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
 /// What a server answered.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status.
     pub status: StatusCode,
     /// Its headers.
@@ -87,36 +87,44 @@
         &self,
         request: Request<Bytes>,
         deadline: time::Instant,
-    ) -> Result<Answer, Error> {
-        self.exchange(request, Limit::Whole(deadline)).await
+    ) -> Result<Response, Error> {
+        self.exchange(request, Deadline::Fixed(deadline)).await
     }
 
     /// The same for an answer of any size, which is due at `due` and waited
-    /// for as long as its bytes keep coming ([`Progress::patience`]).
+    /// for as long as its bytes keep coming ([`Progress::extended_deadline`]).
     ///
     /// # Errors
     ///
     /// As [`Client::call`].
-    pub async fn read(&self, request: Request<Bytes>, due: time::Instant) -> Result<Answer, Error> {
-        self.exchange(request, Limit::Moving(due)).await
+    pub async fn read(
+        &self,
+        request: Request<Bytes>,
+        deadline: time::Instant,
+    ) -> Result<Response, Error> {
+        self.exchange(request, Deadline::Extensible(deadline)).await
     }
 
-    async fn exchange(&self, request: Request<Bytes>, limit: Limit) -> Result<Answer, Error> {
-        let request = self.addressed(request)?;
-        let deadline = limit.start();
+    async fn exchange(
+        &self,
+        request: Request<Bytes>,
+        response_deadline: Deadline,
+    ) -> Result<Response, Error> {
+        let request = self.with_host_header(request)?;
+        let deadline = response_deadline.first_byte_deadline();
         let mut sender = self.connection(deadline).await?;
         // A process that was paused here would send the request long after its
         // caller had a right to: a timer is looked at only after the first step.
         if time::Instant::now() >= deadline {
             return Err(unreachable(self.address, "the deadline has passed"));
         }
-        let answer = exchange_on(&mut sender, request, limit).await;
-        match &answer {
-            Ok(_) => self.keep(sender),
-            Err(_) => self.forget_idle(),
+        let response = send_on(&mut sender, request, response_deadline).await;
+        match &response {
+            Ok(_) => self.return_idle(sender),
+            Err(_) => self.close_idle(),
         }
-        answer.map_err(|error| match error {
-            Failure::Late(progress) => {
+        response.map_err(|error| match error {
+            Failure::TimedOut(progress) => {
                 let address = self.address;
                 let reason = format!("no answer from {address} by the deadline, {progress}");
                 Error::MayHaveRun(reason)
@@ -125,7 +133,7 @@
         })
     }
 
-    fn addressed(&self, request: Request<Bytes>) -> Result<Request<Full<Bytes>>, Error> {
+    fn with_host_header(&self, request: Request<Bytes>) -> Result<Request<Full<Bytes>>, Error> {
         let host = header::HeaderValue::from_str(&self.address.to_string())
             .map_err(|error| Error::Rejected(error.to_string()))?;
         let mut request = request.map(Full::new);
@@ -134,13 +142,13 @@
     }
 
     async fn connection(&self, deadline: time::Instant) -> Result<Sender, Error> {
-        match time::timeout_at(deadline, self.idle_or_fresh()).await {
+        match time::timeout_at(deadline, self.idle_or_new()).await {
             Ok(connected) => connected,
             Err(_) => Err(unreachable(self.address, "no connection by the deadline")),
         }
     }
 
-    async fn idle_or_fresh(&self) -> Result<Sender, Error> {
+    async fn idle_or_new(&self) -> Result<Sender, Error> {
         while let Some(mut sender) = self.take_idle() {
             // A kept connection that the server has closed is not ready.
             if sender.ready().await.is_ok() {
@@ -154,14 +162,14 @@
         self.lock().pop()
     }
 
-    fn keep(&self, sender: Sender) {
+    fn return_idle(&self, sender: Sender) {
         let mut idle = self.lock();
-        if idle.len() < MAX_IDLE && !sender.is_closed() {
+        if idle.len() < MAX_IDLE_CONNECTIONS && !sender.is_closed() {
             idle.push(sender);
         }
     }
 
-    fn forget_idle(&self) {
+    fn close_idle(&self) {
         self.lock().clear();
     }
 
@@ -199,26 +207,26 @@
 
 /// Until when an answer is waited for.
 #[derive(Clone, Copy, Debug)]
-enum Limit {
+enum Deadline {
     /// All of it has to be there by then.
-    Whole(time::Instant),
+    Fixed(time::Instant),
     /// It is due then, and waited for longer while its bytes come.
-    Moving(time::Instant),
+    Extensible(time::Instant),
 }
 
-impl Limit {
+impl Deadline {
     /// By when the answer has to begin.
-    const fn start(self) -> time::Instant {
+    const fn first_byte_deadline(self) -> time::Instant {
         match self {
-            Self::Whole(deadline) | Self::Moving(deadline) => deadline,
+            Self::Fixed(deadline) | Self::Extensible(deadline) => deadline,
         }
     }
 
     /// By when its next bytes have to come.
-    fn next(self, progress: Progress) -> time::Instant {
+    fn next_byte_deadline(self, progress: Progress) -> time::Instant {
         match self {
-            Self::Whole(deadline) => deadline,
-            Self::Moving(due) => progress.patience(due),
+            Self::Fixed(deadline) => deadline,
+            Self::Extensible(deadline) => progress.extended_deadline(deadline),
         }
     }
 }
@@ -226,20 +234,24 @@
 /// Why an exchange failed.
 enum Failure {
     /// The answer, or more of it, was waited for too long.
-    Late(Progress),
+    TimedOut(Progress),
     /// Anything else.
     Other(Error),
 }
 
 /// Sends `request` on one connection and reads the whole answer.
-async fn exchange_on(
+async fn send_on(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
-    limit: Limit,
-) -> Result<Answer, Failure> {
+    response_deadline: Deadline,
+) -> Result<Response, Failure> {
     let progress = Progress::new(time::Instant::now());
-    let sent = time::timeout_at(limit.start(), sender.try_send_request(request)).await;
-    let response = match sent.map_err(|_| Failure::Late(progress))? {
+    let sending = time::timeout_at(
+        response_deadline.first_byte_deadline(),
+        sender.try_send_request(request),
+    )
+    .await;
+    let response = match sending.map_err(|_| Failure::TimedOut(progress))? {
         Ok(response) => response,
         Err(mut failed) => {
             // The request comes back only when no byte of it has been sent.
@@ -253,8 +265,8 @@
         }
     };
     let (head, body) = response.into_parts();
-    let (body, progress) = read_body(body, progress, limit).await?;
-    Ok(Answer {
+    let (body, progress) = read_body(body, progress, response_deadline).await?;
+    Ok(Response {
         status: head.status,
         headers: head.headers,
         body,
@@ -265,25 +277,26 @@
 async fn read_body(
     mut body: body::Incoming,
     mut progress: Progress,
-    limit: Limit,
+    response_deadline: Deadline,
 ) -> Result<(Bytes, Progress), Failure> {
-    let lost = |reason: String| Failure::Other(Error::MayHaveRun(reason));
-    let announced = usize::try_from(body.size_hint().lower()).unwrap_or(MAX_RESERVED);
-    let mut bytes = BytesMut::with_capacity(announced.min(MAX_RESERVED));
+    let interrupted = |reason: String| Failure::Other(Error::MayHaveRun(reason));
+    let length_hint = usize::try_from(body.size_hint().lower()).unwrap_or(MAX_PREALLOCATED_BYTES);
+    let mut bytes = BytesMut::with_capacity(length_hint.min(MAX_PREALLOCATED_BYTES));
     loop {
-        let frame = time::timeout_at(limit.next(progress), body.frame()).await;
-        let frame = match frame.map_err(|_| Failure::Late(progress))? {
-            Some(frame) => frame.map_err(|error| lost(error.to_string()))?,
+        let frame =
+            time::timeout_at(response_deadline.next_byte_deadline(progress), body.frame()).await;
+        let frame = match frame.map_err(|_| Failure::TimedOut(progress))? {
+            Some(frame) => frame.map_err(|error| interrupted(error.to_string()))?,
             None => return Ok((bytes.freeze(), progress)),
         };
-        let Ok(piece) = frame.into_data() else {
+        let Ok(data) = frame.into_data() else {
             continue;
         };
-        if bytes.len() + piece.len() > MAX_ANSWER {
-            return Err(lost(String::from("the answer is too long")));
+        if bytes.len() + data.len() > MAX_RESPONSE_BYTES {
+            return Err(interrupted(String::from("the answer is too long")));
         }
-        progress.received(piece.len(), time::Instant::now());
-        bytes.extend_from_slice(&piece);
+        progress.received(data.len(), time::Instant::now());
+        bytes.extend_from_slice(&data);
     }
 }
 
@@ -302,11 +315,11 @@
 }
 
 /// The error that a status other than the expected ones means.
-pub(crate) fn failure(answer: &Answer) -> Error {
-    let text = String::from_utf8_lossy(&answer.body);
-    let reason: String = text.chars().take(MAX_REASON).collect();
-    let reason = format!("status {}: {reason}", answer.status.as_u16());
-    match answer.status {
+pub(crate) fn status_error(response: &Response) -> Error {
+    let text = String::from_utf8_lossy(&response.body);
+    let reason: String = text.chars().take(MAX_REASON_CHARS).collect();
+    let reason = format!("status {}: {reason}", response.status.as_u16());
+    match response.status {
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS => Error::NotRun(reason),
         status if status.is_client_error() => Error::Rejected(reason),
         _ => Error::MayHaveRun(reason),
@@ -314,20 +327,20 @@
 }
 
 /// The longest part of an unexpected answer that is shown.
-const MAX_REASON: usize = 200;
+const MAX_REASON_CHARS: usize = 200;
 
 /// Reads the JSON body of an answer.
 ///
 /// # Errors
 ///
 /// [`Error::MayHaveRun`] when it is not of the expected form.
-pub fn parse<T: serde::de::DeserializeOwned>(answer: &Answer) -> Result<T, Error> {
-    serde_json::from_slice(&answer.body)
+pub fn parse<T: serde::de::DeserializeOwned>(response: &Response) -> Result<T, Error> {
+    serde_json::from_slice(&response.body)
         .map_err(|error| Error::MayHaveRun(format!("unreadable answer: {error}")))
 }
 
 /// A text as one part of a path or query: all but letters, digits and `-._~/` escaped.
-pub fn escape(text: &str) -> String {
+pub fn percent_encode(text: &str) -> String {
     use std::fmt::Write;
 
     let mut escaped = String::with_capacity(text.len());
--- a/crates/storage/src/objects.rs
+++ b/crates/storage/src/objects.rs
@@ -94,18 +94,18 @@
 
 impl Objects for Client {
     async fn get(&self, key: &str, deadline: time::Instant) -> Result<Option<Object>, Error> {
-        let path = format!("/objects/{}", http::escape(key));
-        let answer = self
+        let path = format!("/objects/{}", http::percent_encode(key));
+        let response = self
             .http
             .read(http::request(Method::GET, &path, Bytes::new())?, deadline)
             .await?;
-        match answer.status {
+        match response.status {
             StatusCode::OK => Ok(Some(Object {
-                tag: tag(&answer),
-                body: answer.body,
+                tag: entity_tag(&response),
+                body: response.body,
             })),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(http::failure(&answer)),
+            _ => Err(http::status_error(&response)),
         }
     }
 
@@ -116,34 +116,34 @@
         condition: &Condition,
         deadline: time::Instant,
     ) -> Result<(), Error> {
-        let path = format!("/objects/{}", http::escape(key));
+        let path = format!("/objects/{}", http::percent_encode(key));
         let mut request = http::request(Method::PUT, &path, body)?;
-        if let Some((name, value)) = header(condition)? {
+        if let Some((name, value)) = condition_header(condition)? {
             request.headers_mut().insert(name, value);
         }
-        let answer = self.http.call(request, deadline).await?;
-        match answer.status {
+        let response = self.http.call(request, deadline).await?;
+        match response.status {
             status if status.is_success() => Ok(()),
             StatusCode::PRECONDITION_FAILED => Err(Error::Conflict(Vec::new())),
-            _ => Err(http::failure(&answer)),
+            _ => Err(http::status_error(&response)),
         }
     }
 
     async fn list(&self, prefix: &str, deadline: time::Instant) -> Result<Vec<String>, Error> {
-        let path = format!("/objects?prefix={}", http::escape(prefix));
-        let answer = self
+        let path = format!("/objects?prefix={}", http::percent_encode(prefix));
+        let response = self
             .http
             .read(http::request(Method::GET, &path, Bytes::new())?, deadline)
             .await?;
-        match answer.status {
-            StatusCode::OK => http::parse::<Keys>(&answer).map(|keys| keys.keys),
-            _ => Err(http::failure(&answer)),
+        match response.status {
+            StatusCode::OK => http::parse::<Keys>(&response).map(|keys| keys.keys),
+            _ => Err(http::status_error(&response)),
         }
     }
 }
 
 /// The header that stands for `condition`.
-fn header(condition: &Condition) -> Result<Option<(HeaderName, HeaderValue)>, Error> {
+fn condition_header(condition: &Condition) -> Result<Option<(HeaderName, HeaderValue)>, Error> {
     let (name, value) = match condition {
         Condition::Always => return Ok(None),
         Condition::Absent => (header::IF_NONE_MATCH, "*"),
@@ -153,8 +153,8 @@
     Ok(Some((name, value)))
 }
 
-fn tag(answer: &http::Answer) -> String {
-    answer
+fn entity_tag(response: &http::Response) -> String {
+    response
         .headers
         .get(header::ETAG)
         .and_then(|tag| tag.to_str().ok())
--- a/crates/storage/src/table.rs
+++ b/crates/storage/src/table.rs
@@ -104,7 +104,7 @@
 }
 
 /// The limit that stands for all rows.
-const MAX_ROWS: usize = u32::MAX as usize;
+const NO_ROW_LIMIT: usize = u32::MAX as usize;
 
 /// The table service over HTTP.
 #[derive(Debug)]
@@ -145,15 +145,15 @@
 
 impl Table for Client {
     async fn read(&self, key: &str, deadline: time::Instant) -> Result<Option<Row>, Error> {
-        let path = format!("/table/rows/{}", http::escape(key));
-        let answer = self
+        let path = format!("/table/rows/{}", http::percent_encode(key));
+        let response = self
             .http
             .call(http::request(Method::GET, &path, Bytes::new())?, deadline)
             .await?;
-        match answer.status {
-            StatusCode::OK => http::parse(&answer).map(Some),
+        match response.status {
+            StatusCode::OK => http::parse(&response).map(Some),
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(http::failure(&answer)),
+            _ => Err(http::status_error(&response)),
         }
     }
 
@@ -162,17 +162,17 @@
         // for all would take the first rows for all.
         let path = format!(
             "/table/scan?prefix={}&from={}&limit={}",
-            http::escape(&range.prefix),
-            http::escape(&range.from),
-            range.limit.unwrap_or(MAX_ROWS)
+            http::percent_encode(&range.prefix),
+            http::percent_encode(&range.from),
+            range.limit.unwrap_or(NO_ROW_LIMIT)
         );
-        let answer = self
+        let response = self
             .http
             .read(http::request(Method::GET, &path, Bytes::new())?, deadline)
             .await?;
-        match answer.status {
-            StatusCode::OK => http::parse::<Rows>(&answer).map(|rows| rows.rows),
-            _ => Err(http::failure(&answer)),
+        match response.status {
+            StatusCode::OK => http::parse::<Rows>(&response).map(|rows| rows.rows),
+            _ => Err(http::status_error(&response)),
         }
     }
 
@@ -183,20 +183,22 @@
     ) -> Result<Vec<revision::Generation>, Error> {
         let body =
             serde_json::to_vec(transaction).map_err(|error| Error::Rejected(error.to_string()))?;
-        let answer = self
+        let response = self
             .http
             .call(
                 http::request(Method::POST, "/table/transact", Bytes::from(body))?,
                 deadline,
             )
             .await?;
-        match answer.status {
-            StatusCode::OK => http::parse::<Generations>(&answer).map(|made| made.generations),
+        match response.status {
+            StatusCode::OK => {
+                http::parse::<Generations>(&response).map(|created| created.generations)
+            }
             StatusCode::CONFLICT => {
-                let conflicts = http::parse::<Conflicts>(&answer)?.conflicts;
+                let conflicts = http::parse::<Conflicts>(&response)?.conflicts;
                 Err(Error::Conflict(conflicts))
             }
-            _ => Err(http::failure(&answer)),
+            _ => Err(http::status_error(&response)),
         }
     }
 }
--- a/crates/storage/tests/client.rs
+++ b/crates/storage/tests/client.rs
@@ -19,7 +19,7 @@
     (platform, table)
 }
 
-fn within(millis: u64) -> Instant {
+fn deadline_in(millis: u64) -> Instant {
     Instant::now() + Duration::from_millis(millis)
 }
 
@@ -40,27 +40,34 @@
 #[tokio::test]
 async fn rows_are_written_under_conditions_and_read_in_order() {
     let (_platform, table) = start().await;
-    let mut made = Vec::new();
+    let mut created = Vec::new();
     for key in ["a/1", "a/2 %&", "b/1"] {
-        let generations = table.transact(&put(key, 0), within(10_000)).await.unwrap();
-        made.push(generations[0]);
+        let generations = table
+            .transact(&put(key, 0), deadline_in(10_000))
+            .await
+            .unwrap();
+        created.push(generations[0]);
     }
-    let conflict = table.transact(&put("a/1", 0), within(10_000)).await;
-    let present = Conflict {
+    let conflict = table.transact(&put("a/1", 0), deadline_in(10_000)).await;
+    let current = Conflict {
         key: String::from("a/1"),
-        generation: made[0],
+        generation: created[0],
     };
-    assert_eq!(Err(Error::Conflict(vec![present])), conflict);
-    let row = table.read("a/1", within(10_000)).await.unwrap().unwrap();
-    assert_eq!(made[0], row.generation);
+    assert_eq!(Err(Error::Conflict(vec![current])), conflict);
+    let row = table
+        .read("a/1", deadline_in(10_000))
+        .await
+        .unwrap()
+        .unwrap();
+    assert_eq!(created[0], row.generation);
     let range = Range {
         prefix: String::from("a/"),
         ..Range::default()
     };
-    let rows = table.scan(&range, within(10_000)).await.unwrap();
+    let rows = table.scan(&range, deadline_in(10_000)).await.unwrap();
     let keys: Vec<&str> = rows.iter().map(|row| row.key.as_str()).collect();
     assert_eq!(vec!["a/1", "a/2 %&"], keys);
-    assert_eq!(Ok(None), table.read("c", within(10_000)).await);
+    assert_eq!(Ok(None), table.read("c", deadline_in(10_000)).await);
 }
 
 // The service gives a thousand rows to whoever sets no limit. A router that took
@@ -76,8 +83,14 @@
         puts: (0..2_500).map(put).collect(),
         ..Transaction::default()
     };
-    table.transact(&transaction, within(10_000)).await.unwrap();
-    let rows = table.scan(&Range::default(), within(10_000)).await.unwrap();
+    table
+        .transact(&transaction, deadline_in(10_000))
+        .await
+        .unwrap();
+    let rows = table
+        .scan(&Range::default(), deadline_in(10_000))
+        .await
+        .unwrap();
     assert_eq!(2_500, rows.len());
 }
 
@@ -87,13 +100,13 @@
     let objects = objects::Client::new(platform.address());
     let write = |text: &'static str| {
         let absent = &objects::Condition::Absent;
-        objects.put("x/1", text.into(), absent, within(10_000))
+        objects.put("x/1", text.into(), absent, deadline_in(10_000))
     };
     assert_eq!(Ok(()), write("first").await);
     assert_eq!(Err(Error::Conflict(Vec::new())), write("second").await);
-    let object = objects.get("x/1", within(10_000)).await.unwrap();
+    let object = objects.get("x/1", deadline_in(10_000)).await.unwrap();
     assert_eq!("first", object.unwrap().body);
-    let keys = objects.list("x/", within(10_000)).await;
+    let keys = objects.list("x/", deadline_in(10_000)).await;
     assert_eq!(Ok(vec![String::from("x/1")]), keys);
 }
 
@@ -102,23 +115,27 @@
 #[yare::parameterized(
     down = { Fault::Down, false, false },
     crashed = { Fault::Crash, false, false },
-    silent = { Fault::Silent, true, false },
-    answer_lost = { Fault::LoseAnswer { count: None }, true, true },
+    unresponsive = { Fault::Silent, true, false },
+    response_lost = { Fault::LoseAnswer { count: None }, true, true },
 )]
 #[test_macro(tokio::test)]
-async fn an_error_tells_whether_the_write_may_have_run(fault: Fault, unsure: bool, landed: bool) {
+async fn an_error_states_whether_the_write_may_have_run(
+    fault: Fault,
+    may_have_run: bool,
+    written: bool,
+) {
     let (platform, table) = start().await;
     platform.fault(fault);
     // Only a silent platform makes anybody wait for the deadline.
     let millis = if fault == Fault::Silent { 300 } else { 10_000 };
-    let failed = table.transact(&put("a", 0), within(millis)).await;
+    let failed = table.transact(&put("a", 0), deadline_in(millis)).await;
     assert_eq!(
-        unsure,
+        may_have_run,
         matches!(failed, Err(Error::MayHaveRun(_))),
         "{failed:?}"
     );
     assert_eq!(
-        !unsure,
+        !may_have_run,
         matches!(failed, Err(Error::NotRun(_))),
         "{failed:?}"
     );
@@ -126,21 +143,24 @@
         platform.restart().await.expect("restart");
     }
     platform.fault(Fault::Normal);
-    let row = table.read("a", within(10_000)).await.unwrap();
-    assert_eq!(landed, row.is_some());
+    let row = table.read("a", deadline_in(10_000)).await.unwrap();
+    assert_eq!(written, row.is_some());
 }
 
 // Something on the way loses track of all open connections at once, while new
 // ones work. If each had to be found out by a call of its own, a caller would
 // see an outage for as many calls as there were connections.
 #[tokio::test]
-async fn one_failed_call_is_enough_to_replace_all_silent_connections() {
+async fn one_failed_call_replaces_all_unresponsive_connections() {
     let (platform, table) = start().await;
     platform.fault(Fault::Slow { delay_ms: 50 });
-    let read = || table.read("a", within(10_000));
+    let read = || table.read("a", deadline_in(10_000));
     drop(tokio::join!(read(), read(), read(), read(), read(), read()));
     platform.fault(Fault::SilentConnections);
-    let silent = table.read("a", within(200)).await;
-    assert!(matches!(silent, Err(Error::MayHaveRun(_))), "{silent:?}");
-    assert_eq!(Ok(None), table.read("a", within(5_000)).await);
+    let unresponsive = table.read("a", deadline_in(200)).await;
+    assert!(
+        matches!(unresponsive, Err(Error::MayHaveRun(_))),
+        "{unresponsive:?}"
+    );
+    assert_eq!(Ok(None), table.read("a", deadline_in(5_000)).await);
 }
--- a/crates/storage/tests/hosts.rs
+++ b/crates/storage/tests/hosts.rs
@@ -24,7 +24,7 @@
 // whole list, the polls alone would use up what a router may spend on control
 // traffic, and an operator would see it grow with the deployment.
 #[tokio::test]
-async fn an_unchanged_list_costs_few_bytes_however_long_it_is() {
+async fn polling_an_unchanged_list_transfers_few_bytes() {
     let service = stand::start(stand::Settings::default())
         .await
         .expect("the platform starts");
@@ -36,12 +36,15 @@
         client.list(deadline).await.expect("an answer")
     };
     assert_eq!(list().await.len(), 1000);
-    let first = traffic.received();
+    let initial_bytes = traffic.received();
     for _ in 0..10 {
         assert_eq!(list().await.len(), 1000);
     }
-    let polls = traffic.received() - first;
-    assert!(polls < 10 * 200, "ten polls received {polls} bytes");
+    let poll_bytes = traffic.received() - initial_bytes;
+    assert!(
+        poll_bytes < 10 * 200,
+        "ten polls received {poll_bytes} bytes"
+    );
     assert!(traffic.sent() < 11 * 200, "sent {} bytes", traffic.sent());
     service.set_hosts((0..999).map(host).collect());
     assert_eq!(list().await.len(), 999);
--- a/crates/storage/tests/progress.rs
+++ b/crates/storage/tests/progress.rs
@@ -7,7 +7,7 @@
 use storage::{
     Error, http,
     objects::{self, Objects},
-    progress::{PAUSE, Progress},
+    progress::{Progress, STALL_TIMEOUT},
 };
 use tokio::time::Instant;
 
@@ -18,19 +18,19 @@
 /// What is left of the patience with an answer that was due at `due_ms`, of which
 /// `bytes` have come so far, the last of them at `last_ms`.
 #[yare::parameterized(
-    nothing_has_come = { 1000, 0, 0, 1000 },
-    it_is_not_due = { 1000, 300_000, 100, 1000 },
-    it_keeps_coming = { 1000, 300_000, 900, 1400 },
-    it_comes_too_slowly = { 1000, 6_553, 900, 1099 },
+    nothing_received = { 1000, 0, 0, 1000 },
+    before_the_deadline = { 1000, 300_000, 100, 1000 },
+    still_receiving = { 1000, 300_000, 900, 1400 },
+    below_the_minimum_rate = { 1000, 6_553, 900, 1099 },
 )]
-fn patience(due_ms: u64, bytes: usize, last_ms: u64, expected_ms: u64) {
+fn extended_deadline(deadline_ms: u64, bytes: usize, last_byte_ms: u64, expected_ms: u64) {
     let start = Instant::now();
     let at = |ms| start + Duration::from_millis(ms);
     let mut progress = Progress::new(start);
     if bytes > 0 {
-        progress.received(bytes, at(last_ms));
+        progress.received(bytes, at(last_byte_ms));
     }
-    assert_eq!(progress.patience(at(due_ms)), at(expected_ms));
+    assert_eq!(progress.extended_deadline(at(deadline_ms)), at(expected_ms));
 }
 
 /// An object of a platform behind a slow link, and the clients of both.
@@ -41,7 +41,7 @@
     let link = Link::start(platform.address()).await.expect("a port");
     let absent = &objects::Condition::Absent;
     objects::Client::new(platform.address())
-        .put("x", vec![7; LARGE].into(), absent, later(10_000))
+        .put("x", vec![7; LARGE].into(), absent, deadline_in(10_000))
         .await
         .expect("it is written");
     link.limit(LINK_BYTES_PER_S);
@@ -49,7 +49,7 @@
     (platform, link, client)
 }
 
-fn later(ms: u64) -> Instant {
+fn deadline_in(ms: u64) -> Instant {
     Instant::now() + Duration::from_millis(ms)
 }
 
@@ -59,30 +59,39 @@
 
 /// Guards against answers that are given up while their bytes still come.
 #[tokio::test]
-async fn an_answer_that_keeps_coming_is_waited_for() {
+async fn a_response_still_arriving_extends_the_deadline() {
     let (_platform, _link, client) = large_object().await;
-    let answer = client.read(request(), later(300)).await.expect("all of it");
-    assert_eq!(answer.body.len(), LARGE);
+    let response = client
+        .read(request(), deadline_in(300))
+        .await
+        .expect("all of it");
+    assert_eq!(response.body.len(), LARGE);
 }
 
 /// Guards against answers on silent connections that are waited for without end.
 #[tokio::test]
-async fn an_answer_that_falls_silent_is_given_up() {
+async fn a_stalled_response_times_out() {
     let (_platform, link, client) = large_object().await;
-    let silence = async {
+    let stall = async {
         tokio::time::sleep(Duration::from_millis(400)).await;
         link.limit(0);
     };
     let start = Instant::now();
-    let (answer, ()) = tokio::join!(client.read(request(), later(300)), silence);
-    assert!(matches!(answer, Err(Error::MayHaveRun(_))), "{answer:?}");
-    assert!(start.elapsed() >= PAUSE);
+    let (response, ()) = tokio::join!(client.read(request(), deadline_in(300)), stall);
+    assert!(
+        matches!(response, Err(Error::MayHaveRun(_))),
+        "{response:?}"
+    );
+    assert!(start.elapsed() >= STALL_TIMEOUT);
 }
 
 /// Guards against callers that wait for longer than they asked for.
 #[tokio::test]
-async fn a_deadline_does_not_move() {
+async fn call_does_not_extend_its_deadline() {
     let (_platform, _link, client) = large_object().await;
-    let answer = client.call(request(), later(300)).await;
-    assert!(matches!(answer, Err(Error::MayHaveRun(_))), "{answer:?}");
+    let response = client.call(request(), deadline_in(300)).await;
+    assert!(
+        matches!(response, Err(Error::MayHaveRun(_))),
+        "{response:?}"
+    );
 }
