--- a/crates/admin/src/orders/driver.rs
+++ b/crates/admin/src/orders/driver.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use orders::{Lease, Row, Stored, Work, Written};
+use orders::{Lease, Operation, Row, Stored, WriteResult};
 use storage::{
     Error,
     table::{self, Check, Put, Table, Transaction},
@@ -66,10 +66,10 @@
     ///
     /// When the row could not be read. The lease asks for it again later.
     pub(super) async fn work(&self, lease: &mut Lease) -> Result<(), Error> {
-        while let Some(work) = lease.work(self.clock.now()) {
-            match work {
-                Work::Read => self.read(lease).await?,
-                Work::Write { generation, row } => self.write(lease, generation, &row).await,
+        while let Some(operation) = lease.next_operation(self.clock.now()) {
+            match operation {
+                Operation::Read => self.read(lease).await?,
+                Operation::Write { generation, row } => self.write(lease, generation, &row).await,
             }
         }
         Ok(())
@@ -81,27 +81,27 @@
         let stored = match read.and_then(|row| row.map(parse).transpose()) {
             Ok(stored) => stored,
             Err(error) => {
-                lease.read_failed(now);
+                lease.handle_read_failure(now);
                 return Err(error);
             }
         };
-        lease.read(stored, now);
+        lease.handle_read(stored, now);
         Ok(())
     }
 
     async fn write(&self, lease: &mut Lease, generation: revision::Generation, row: &Row) {
-        let written = match serde_json::to_value(row) {
+        let result = match serde_json::to_value(row) {
             Ok(value) => self.transact(generation, value).await,
-            Err(_) => Written::NotRun,
+            Err(_) => WriteResult::NotRun,
         };
-        lease.wrote(written, self.clock.now());
+        lease.handle_write(result, self.clock.now());
     }
 
     async fn transact(
         &self,
         generation: revision::Generation,
         value: serde_json::Value,
-    ) -> Written {
+    ) -> WriteResult {
         let transaction = Transaction {
             checks: vec![Check {
                 key: String::from(LEASE),
@@ -117,12 +117,12 @@
         match self.table.transact(&transaction, deadline).await {
             Ok(generations) => generations
                 .first()
-                .map_or(Written::MayHaveRun, |generation| {
-                    Written::Committed(*generation)
+                .map_or(WriteResult::MayHaveRun, |generation| {
+                    WriteResult::Committed(*generation)
                 }),
-            Err(Error::Conflict(_)) => Written::Conflict,
-            Err(Error::MayHaveRun(_)) => Written::MayHaveRun,
-            Err(Error::NotRun(_) | Error::Rejected(_)) => Written::NotRun,
+            Err(Error::Conflict(_)) => WriteResult::Conflict,
+            Err(Error::MayHaveRun(_)) => WriteResult::MayHaveRun,
+            Err(Error::NotRun(_) | Error::Rejected(_)) => WriteResult::NotRun,
         }
     }
 }
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -30,10 +30,10 @@
         orders: settings::Orders {
             lease: orders::Settings {
                 duration: Duration::from_millis(600),
-                renewal: Duration::from_millis(200),
-                flight: Duration::from_millis(300),
-                margin: Duration::from_millis(50),
-                retry: Duration::from_millis(50),
+                renewal_interval: Duration::from_millis(200),
+                order_timeout: Duration::from_millis(300),
+                clock_margin: Duration::from_millis(50),
+                retry_delay: Duration::from_millis(50),
             },
             keep: Duration::from_millis(100),
         },
--- a/crates/orders/src/lib.rs
+++ b/crates/orders/src/lib.rs
@@ -10,9 +10,9 @@
 //! How a process drives a lease:
 //!
 //! 1. [`Lease::acquire`] says that it is wanted, [`Lease::release`] that it no longer is.
-//! 2. Whenever something happened, or [`Lease::wake_at`] is reached, [`Lease::work`]
+//! 2. Whenever something happened, or [`Lease::wake_at`] is reached, [`Lease::next_operation`]
 //!    gives the next read or write of the row, one at a time; its result goes
-//!    to [`Lease::read`] or [`Lease::wrote`].
+//!    to [`Lease::handle_read`] or [`Lease::handle_write`].
 //! 3. Right before each order, [`Lease::permit`] says whether it may be sent,
 //!    under which fencing number, and when the call has to be given up.
 
@@ -22,4 +22,4 @@
 
 pub use lease::{Denial, Fencing, Lease, Permit};
 pub use settings::Settings;
-pub use table::{Fence, Row, Stored, Work, Written};
+pub use table::{Fence, Operation, Row, Stored, WriteResult};
--- a/crates/orders/src/table.rs
+++ b/crates/orders/src/table.rs
@@ -31,7 +31,8 @@
     /// Who holds the lease, for operators to read.
     pub holder: host::Id,
     /// A number drawn at random by the process that took the lease.
-    pub token: u64,
+    #[serde(rename = "token")]
+    pub nonce: u64,
     /// The holder's fencing number.
     pub fence: Fence,
     /// How often the holder renewed it.
@@ -51,10 +52,10 @@
 
 /// What the process has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
-    /// Read the row, then call [`crate::Lease::read`].
+pub enum Operation {
+    /// Read the row, then call [`crate::Lease::handle_read`].
     Read,
-    /// Write the row if it has this generation, zero for absent, then call [`crate::Lease::wrote`].
+    /// Write the row if it has this generation, zero for absent, then call [`crate::Lease::handle_write`].
     Write {
         /// The generation that the row must have.
         generation: revision::Generation,
@@ -65,7 +66,7 @@
 
 /// How a write ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteResult {
     /// It took effect; the row's new generation.
     Committed(revision::Generation),
     /// The row had another generation; nothing took effect.
--- a/crates/orders/tests/leases/interleavings.rs
+++ b/crates/orders/tests/leases/interleavings.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use orders::{Fence, Fencing, Lease, Row, Settings, Stored, Work, Written};
+use orders::{Fence, Fencing, Lease, Operation, Row, Settings, Stored, WriteResult};
 use proptest::{prelude::*, test_runner::RngSeed};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -11,12 +11,12 @@
 /// How likely each fault is, in percent.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
-    lost_answer: u32,
-    late_write: u32,
-    refused: u32,
+    lost_response: u32,
+    delayed_write: u32,
+    failed_call: u32,
     pause: u32,
     /// How many of a thousand steps let an operator lose interest or gain it.
-    change_of_mind: u32,
+    toggle_permille: u32,
 }
 
 /// One process, with a clock that has its own origin and rate.
@@ -24,23 +24,23 @@
     lease: Lease,
     origin: u64,
     /// Parts in a thousand by which the clock is fast.
-    fast: i64,
+    drift_permille: i64,
     paused_until: u64,
-    call: Option<Work>,
+    call: Option<Operation>,
 }
 
 impl Operator {
     fn clock(&self, now: u64) -> Instant {
-        let skew = i64::try_from(now).unwrap() * self.fast / 1000;
+        let skew = i64::try_from(now).unwrap() * self.drift_permille / 1000;
         Instant::from_micros(self.origin + now.checked_add_signed(skew).unwrap())
     }
 }
 
 /// An order on its way to the engine.
-struct Flying {
+struct InFlight {
     fence: Fence,
     operator: usize,
-    lands_at: u64,
+    arrives_at: u64,
 }
 
 struct World {
@@ -48,11 +48,11 @@
     operators: Vec<Operator>,
     row: Option<Stored>,
     generation: u64,
-    late: Vec<(u64, revision::Generation, Row)>,
-    flying: Vec<Flying>,
+    delayed: Vec<(u64, revision::Generation, Row)>,
+    in_flight: Vec<InFlight>,
     orders: usize,
     takeovers: usize,
-    clash: Option<String>,
+    overlap: Option<String>,
     faults: Faults,
     rng: ChaCha8Rng,
 }
@@ -68,7 +68,7 @@
                 Operator {
                     lease,
                     origin: rng.random_range(0..1_000_000_000),
-                    fast: rng.random_range(-5..=5),
+                    drift_permille: rng.random_range(-5..=5),
                     paused_until: 0,
                     call: None,
                 }
@@ -79,11 +79,11 @@
             operators,
             row: None,
             generation: 0,
-            late: Vec::new(),
-            flying: Vec::new(),
+            delayed: Vec::new(),
+            in_flight: Vec::new(),
             orders: 0,
             takeovers: 0,
-            clash: None,
+            overlap: None,
             faults,
             rng,
         }
@@ -92,7 +92,7 @@
     fn run(&mut self, steps: usize) {
         for _ in 0..steps {
             self.now += self.rng.random_range(1_000..300_000);
-            self.land();
+            self.deliver_due();
             let index = self.rng.random_range(0..self.operators.len());
             if self.operators[index].paused_until > self.now {
                 continue;
@@ -102,23 +102,23 @@
                 self.operators[index].paused_until = self.now + pause;
                 continue;
             }
-            self.change_mind(index);
+            self.toggle_wanted(index);
             self.step(index);
         }
     }
 
     fn step(&mut self, index: usize) {
-        if let Some(work) = self.operators[index].call.take() {
-            return self.answer(index, work);
+        if let Some(operation) = self.operators[index].call.take() {
+            return self.complete_call(index, operation);
         }
         let now = self.operators[index].clock(self.now);
         let operator = &mut self.operators[index];
-        operator.call = operator.lease.work(now);
+        operator.call = operator.lease.next_operation(now);
         self.order(index);
     }
 
-    fn change_mind(&mut self, index: usize) {
-        if !self.rng.random_ratio(self.faults.change_of_mind, 1000) {
+    fn toggle_wanted(&mut self, index: usize) {
+        if !self.rng.random_ratio(self.faults.toggle_permille, 1000) {
             return;
         }
         if self.rng.random() {
@@ -134,77 +134,84 @@
         let Ok(permit) = self.operators[index].lease.permit(Fencing::Ignored, now) else {
             return;
         };
-        let flight = Settings::default().flight.as_micros();
-        let flight = self.rng.random_range(1_000..u64::try_from(flight).unwrap());
-        assert_eq!(permit.deadline, now + Settings::default().flight);
+        let longest = Settings::default().order_timeout.as_micros();
+        let transit = self
+            .rng
+            .random_range(1_000..u64::try_from(longest).unwrap());
+        assert_eq!(permit.deadline, now + Settings::default().order_timeout);
         self.orders += 1;
-        if let Some(other) = self.flying.iter().find(|order| order.operator != index) {
+        if let Some(other) = self.in_flight.iter().find(|order| order.operator != index) {
             let text = format!(
                 "operator {index} acts under {} while an order of operator {} under {} is on its way",
                 permit.fence, other.operator, other.fence
             );
-            self.clash.get_or_insert(text);
+            self.overlap.get_or_insert(text);
         }
-        self.flying.push(Flying {
+        self.in_flight.push(InFlight {
             fence: permit.fence,
             operator: index,
-            lands_at: self.now + flight,
+            arrives_at: self.now + transit,
         });
     }
 
-    fn land(&mut self) {
+    fn deliver_due(&mut self) {
         let now = self.now;
-        self.flying.retain(|order| order.lands_at > now);
-        let due = |late: &(u64, revision::Generation, Row)| late.0 <= now;
-        let landed: Vec<_> = self.late.extract_if(.., |late| due(late)).collect();
-        for (_, generation, row) in landed {
+        self.in_flight.retain(|order| order.arrives_at > now);
+        let is_due = |delayed: &(u64, revision::Generation, Row)| delayed.0 <= now;
+        let due: Vec<_> = self
+            .delayed
+            .extract_if(.., |delayed| is_due(delayed))
+            .collect();
+        for (_, generation, row) in due {
             self.transact(generation, row);
         }
     }
 
-    fn answer(&mut self, index: usize, work: Work) {
+    fn complete_call(&mut self, index: usize, operation: Operation) {
         let now = self.operators[index].clock(self.now);
-        let failed = self.chance(self.faults.refused);
-        match work {
-            Work::Read if failed => self.operators[index].lease.read_failed(now),
-            Work::Read => {
+        let failed = self.chance(self.faults.failed_call);
+        match operation {
+            Operation::Read if failed => self.operators[index].lease.handle_read_failure(now),
+            Operation::Read => {
                 let row = self.row.clone();
-                self.operators[index].lease.read(row, now);
+                self.operators[index].lease.handle_read(row, now);
             }
-            Work::Write { .. } if failed => {
-                self.operators[index].lease.wrote(Written::NotRun, now);
+            Operation::Write { .. } if failed => {
+                self.operators[index]
+                    .lease
+                    .handle_write(WriteResult::NotRun, now);
             }
-            Work::Write { generation, row } => {
-                let written = self.write(generation, row);
-                self.operators[index].lease.wrote(written, now);
+            Operation::Write { generation, row } => {
+                let result = self.write(generation, row);
+                self.operators[index].lease.handle_write(result, now);
             }
         }
     }
 
-    fn write(&mut self, generation: revision::Generation, row: Row) -> Written {
-        if self.chance(self.faults.late_write) {
-            let lands_at = self.now + self.rng.random_range(0..40_000_000);
-            self.late.push((lands_at, generation, row));
-            return Written::MayHaveRun;
+    fn write(&mut self, generation: revision::Generation, row: Row) -> WriteResult {
+        if self.chance(self.faults.delayed_write) {
+            let arrives_at = self.now + self.rng.random_range(0..40_000_000);
+            self.delayed.push((arrives_at, generation, row));
+            return WriteResult::MayHaveRun;
         }
-        let written = self.transact(generation, row);
-        if self.chance(self.faults.lost_answer) {
-            return Written::MayHaveRun;
+        let result = self.transact(generation, row);
+        if self.chance(self.faults.lost_response) {
+            return WriteResult::MayHaveRun;
         }
-        written
+        result
     }
 
-    fn transact(&mut self, generation: revision::Generation, row: Row) -> Written {
-        let present = self.row.as_ref();
-        if present.map_or(revision::Generation(0), |stored| stored.generation) != generation {
-            return Written::Conflict;
+    fn transact(&mut self, generation: revision::Generation, row: Row) -> WriteResult {
+        let current = self.row.as_ref();
+        if current.map_or(revision::Generation(0), |stored| stored.generation) != generation {
+            return WriteResult::Conflict;
         }
-        let taken = present.is_some_and(|stored| stored.row.token != row.token);
-        self.takeovers += usize::from(taken);
+        let is_takeover = current.is_some_and(|stored| stored.row.nonce != row.nonce);
+        self.takeovers += usize::from(is_takeover);
         self.generation += 1;
         let generation = revision::Generation(self.generation);
         self.row = Some(Stored { row, generation });
-        Written::Committed(generation)
+        WriteResult::Committed(generation)
     }
 
     fn chance(&mut self, percent: u32) -> bool {
@@ -215,12 +222,12 @@
 fn faults() -> impl Strategy<Value = Faults> {
     let percent = || prop_oneof![Just(0u32), 1..40u32];
     (percent(), percent(), percent(), 0..100u32, 0..20u32).prop_map(
-        |(lost_answer, late_write, refused, pause, change_of_mind)| Faults {
-            lost_answer,
-            late_write,
-            refused,
+        |(lost_response, delayed_write, failed_call, pause, toggle_permille)| Faults {
+            lost_response,
+            delayed_write,
+            failed_call,
             pause,
-            change_of_mind,
+            toggle_permille,
         },
     )
 }
@@ -238,21 +245,21 @@
     // the other takes over. If both acted, the engine would load the one's
     // model and then the other's, and chats would meet the wrong model.
     #[test]
-    fn no_two_holders_act_at_once(
+    fn orders_of_two_holders_never_overlap(
         seed: u64,
         operators in 2..5usize,
         faults in faults(),
     ) {
         let mut world = World::new(seed, operators, faults);
         world.run(3000);
-        prop_assert_eq!(world.clash, None);
+        prop_assert_eq!(world.overlap, None);
     }
 
     // A holder goes away for good. Somebody else has to get the lease, or
     // nobody could change the engines' models any more.
     #[test]
-    fn a_lost_holder_is_replaced(seed: u64) {
-        let faults = Faults { lost_answer: 10, late_write: 0, refused: 10, pause: 0, change_of_mind: 0 };
+    fn a_failed_holder_is_replaced(seed: u64) {
+        let faults = Faults { lost_response: 10, delayed_write: 0, failed_call: 10, pause: 0, toggle_permille: 0 };
         let mut world = World::new(seed, 3, faults);
         world.run(400);
         let holder = world.row.as_ref().unwrap().row.holder.clone();
@@ -261,19 +268,19 @@
         let (takeovers, orders) = (world.takeovers, world.orders);
         world.run(1000);
         prop_assert!(world.takeovers > takeovers && world.orders > orders);
-        prop_assert_eq!(world.clash, None);
+        prop_assert_eq!(world.overlap, None);
     }
 }
 
 // The property above says nothing if operators hardly ever act or take over.
 #[test]
-fn the_interleavings_have_orders_and_takeovers() {
+fn the_simulation_issues_orders_and_takeovers() {
     let faults = Faults {
-        lost_answer: 10,
-        late_write: 10,
-        refused: 10,
+        lost_response: 10,
+        delayed_write: 10,
+        failed_call: 10,
         pause: 30,
-        change_of_mind: 5,
+        toggle_permille: 5,
     };
     let mut world = World::new(1, 3, faults);
     world.run(20_000);
@@ -283,6 +290,9 @@
     );
     assert!(world.orders > 500, "{}", world.orders);
     assert!(world.takeovers > 20, "{}", world.takeovers);
-    let waited = Settings::default();
-    assert!(waited.flight > Duration::ZERO && waited.duration > waited.renewal * 2);
+    let settings = Settings::default();
+    assert!(
+        settings.order_timeout > Duration::ZERO
+            && settings.duration > settings.renewal_interval * 2
+    );
 }
