--- a/crates/once/src/batch.rs
+++ b/crates/once/src/batch.rs
@@ -12,21 +12,21 @@
     /// The rows to be written.
     pub puts: Vec<(Key, Row)>,
     /// The keys of rows of the index to be written, with an empty value.
-    pub index: Vec<String>,
+    pub index_keys: Vec<String>,
 }
 
 /// What the router has to do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Work {
-    /// Run the batch as one transaction, then call [`crate::Ledger::wrote`].
+pub enum Operation {
+    /// Run the batch as one transaction, then call [`crate::Ledger::handle_write`].
     Write(Batch),
-    /// Read these rows, then call [`crate::Ledger::read`].
+    /// Read these rows, then call [`crate::Ledger::handle_read`].
     Read(Vec<Key>),
 }
 
 /// How a write ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Written {
+pub enum WriteResult {
     /// It took effect; the generations of the puts, in their order.
     Committed(Vec<revision::Generation>),
     /// These rows had another generation; nothing took effect.
--- a/crates/once/src/ledger.rs
+++ b/crates/once/src/ledger.rs
@@ -1,8 +1,8 @@
 //! The claims of one router.
 
 mod entry;
-mod settle;
-mod work;
+mod operations;
+mod results;
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -33,7 +33,7 @@
 
 /// What became of a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum Decision {
     /// The request may be sent until this instant, after [`Ledger::start`].
     Granted {
         /// The last instant.
@@ -47,15 +47,15 @@
 
 /// A claim that was settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Settled {
+pub struct Resolution {
     /// The attempt that made it.
     pub attempt: request::Attempt,
     /// What became of it.
-    pub answer: Answer,
+    pub decision: Decision,
 }
 
 /// Claims that were settled by one step.
-pub type Settlements = SmallVec<[Settled; 4]>;
+pub type Resolutions = SmallVec<[Resolution; 4]>;
 
 /// The claims of one router.
 #[derive(Debug)]
@@ -65,35 +65,35 @@
     entries: BTreeMap<request::Attempt, Entry>,
     keys: BTreeMap<Key, request::Attempt>,
     /// What is being read or written at present.
-    outstanding: Vec<request::Attempt>,
+    in_flight: Vec<request::Attempt>,
     /// How many claims were made, to serve them in turn.
-    count: u64,
-    gap: Duration,
-    write_at: time::Instant,
-    down_until: time::Instant,
+    claim_count: u64,
+    write_interval: Duration,
+    next_write_at: time::Instant,
+    platform_down_until: time::Instant,
 }
 
 impl Ledger {
     /// The ledger of the router that runs on `router`.
     pub fn new(settings: Settings, router: host::Id) -> Self {
         Self {
-            gap: settings.gap_min,
+            write_interval: settings.min_write_interval,
             settings,
             router,
             entries: BTreeMap::new(),
             keys: BTreeMap::new(),
-            outstanding: Vec::new(),
-            count: 0,
-            write_at: time::Instant::ZERO,
-            down_until: time::Instant::ZERO,
+            in_flight: Vec::new(),
+            claim_count: 0,
+            next_write_at: time::Instant::ZERO,
+            platform_down_until: time::Instant::ZERO,
         }
     }
 
     /// Takes note of how many routers make claims, and so share the table's writes.
-    pub fn routers(&mut self, routers: usize) {
+    pub fn set_routers(&mut self, routers: usize) {
         let routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
-        let share = Duration::from_secs(1) * routers / self.settings.writes_per_second.max(1);
-        self.gap = share.max(self.settings.gap_min);
+        let interval = Duration::from_secs(1) * routers / self.settings.writes_per_second.max(1);
+        self.write_interval = interval.max(self.settings.min_write_interval);
     }
 
     /// How many requests are held.
@@ -114,21 +114,21 @@
     /// held (both not run), or this router holds a request with the same key
     /// (may have run).
     pub fn claim(&mut self, claim: Claim, now: time::Instant) -> Result<(), Refusal> {
-        if now < self.down_until || now >= claim.deadline {
-            return Err(self.unavailable(now));
+        if now < self.platform_down_until || now >= claim.deadline {
+            return Err(self.unavailable_refusal(now));
         }
-        let former = match self.keys.get(&claim.key) {
-            Some(attempt) => Some(self.former(*attempt, now)?),
+        let released = match self.keys.get(&claim.key) {
+            Some(attempt) => Some(self.take_over_released(*attempt, now)?),
             None => None,
         };
-        if self.entries.len() >= self.settings.entries {
+        if self.entries.len() >= self.settings.max_entries {
             let refusal = Refusal::not_run(Code::Busy, "Too many claims are waiting.");
-            return Err(refusal.retry_at(now + self.settings.retry));
+            return Err(refusal.retry_at(now + self.settings.retry_after));
         }
-        self.count += 1;
-        let entry = match former {
-            Some(former) => Entry::after(claim, self.count, former),
-            None => Entry::new(claim, self.count, now),
+        self.claim_count += 1;
+        let entry = match released {
+            Some(released) => Entry::taking_over(claim, self.claim_count, released),
+            None => Entry::new(claim, self.claim_count, now),
         };
         self.keys
             .insert(entry.claim.key.clone(), entry.claim.attempt);
@@ -140,17 +140,21 @@
     ///
     /// Its row may stand in the table until it is taken back. A caller who was
     /// told to come back would otherwise hear that its request may have run.
-    fn former(&mut self, attempt: request::Attempt, now: time::Instant) -> Result<Entry, Refusal> {
+    fn take_over_released(
+        &mut self,
+        attempt: request::Attempt,
+        now: time::Instant,
+    ) -> Result<Entry, Refusal> {
         let entry = self.entries.get(&attempt);
         if entry.is_some_and(|entry| entry.goal != Goal::Release) {
-            return Err(self.running(now));
+            return Err(self.running_refusal(now));
         }
-        if entry.is_some_and(|entry| entry.next == Next::Wait) {
-            return Err(self.unavailable(now));
+        if entry.is_some_and(|entry| entry.next == Next::InFlight) {
+            return Err(self.unavailable_refusal(now));
         }
         self.entries
             .remove(&attempt)
-            .ok_or_else(|| self.unavailable(now))
+            .ok_or_else(|| self.unavailable_refusal(now))
     }
 
     /// Says whether the request may be sent now; true a single time.
@@ -160,16 +164,16 @@
     /// A refusal (not run) when the claim is not this router's, was used
     /// before, or is too old: an operator may have settled it meanwhile.
     pub fn start(&mut self, attempt: request::Attempt, now: time::Instant) -> Result<(), Refusal> {
-        let refusal = self.unavailable(now);
+        let refusal = self.unavailable_refusal(now);
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return Err(refusal);
         };
         match entry.goal {
-            Goal::Send(send_by) if now < send_by => {
-                entry.goal = Goal::Answer;
+            Goal::AwaitSend(send_by) if now < send_by => {
+                entry.goal = Goal::AwaitOutcome;
                 Ok(())
             }
-            Goal::Send(_) => {
+            Goal::AwaitSend(_) => {
                 self.release(attempt);
                 Err(refusal)
             }
@@ -179,15 +183,15 @@
 
     /// Records the outcome of a request that was sent, `None` when it is unknown.
     pub fn finish(&mut self, attempt: request::Attempt, outcome: Option<Outcome>) {
-        let limit = self.settings.body;
+        let limit = self.settings.max_body_bytes;
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
         };
-        if entry.goal != Goal::Answer {
+        if entry.goal != Goal::AwaitOutcome {
             return;
         }
         let state = outcome.map_or(State::Unknown, |outcome| {
-            State::Done(shortened(outcome, limit))
+            State::Done(without_oversized_body(outcome, limit))
         });
         entry.goal = Goal::Record(state);
         entry.next = Next::Write;
@@ -200,16 +204,16 @@
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
         };
-        if entry.goal == Goal::Claim && !entry.may_stand {
+        if entry.goal == Goal::Claim && !entry.claim_may_exist {
             self.remove(attempt);
             return;
         }
-        if !matches!(entry.goal, Goal::Claim | Goal::Send(_)) {
+        if !matches!(entry.goal, Goal::Claim | Goal::AwaitSend(_)) {
             return;
         }
         entry.goal = Goal::Release;
-        if entry.next != Next::Wait {
-            entry.next = if entry.confirmed {
+        if entry.next != Next::InFlight {
+            entry.next = if entry.claim_confirmed {
                 Next::Write
             } else {
                 Next::Read
@@ -222,11 +226,11 @@
     ///
     /// Without this, a caller who was told truthfully that its request has not
     /// run, and comes back with the same key, would hear that it may have run.
-    pub fn unsent(&mut self, attempt: request::Attempt) {
+    pub fn release_unsent(&mut self, attempt: request::Attempt) {
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
         };
-        if entry.goal == Goal::Answer {
+        if entry.goal == Goal::AwaitOutcome {
             entry.goal = Goal::Release;
             entry.next = Next::Write;
         }
@@ -238,19 +242,19 @@
         }
     }
 
-    fn unavailable(&self, now: time::Instant) -> Refusal {
+    fn unavailable_refusal(&self, now: time::Instant) -> Refusal {
         let text = "The request needs a claim, which the platform did not confirm.";
-        let retry_at = (now + self.settings.retry).max(self.down_until);
+        let retry_at = (now + self.settings.retry_after).max(self.platform_down_until);
         Refusal::not_run(Code::ClaimUnavailable, text).retry_at(retry_at)
     }
 
-    fn running(&self, now: time::Instant) -> Refusal {
+    fn running_refusal(&self, now: time::Instant) -> Refusal {
         let text = "A request with this idempotency key is running.";
-        Refusal::may_have_run(Code::ClaimTaken, text).retry_at(now + self.settings.retry)
+        Refusal::may_have_run(Code::ClaimTaken, text).retry_at(now + self.settings.retry_after)
     }
 }
 
-fn shortened(outcome: Outcome, limit: usize) -> Outcome {
+fn without_oversized_body(outcome: Outcome, limit: usize) -> Outcome {
     Outcome {
         body: outcome.body.filter(|body| body.len() <= limit),
         ..outcome
--- a/crates/once/src/ledger/entry.rs
+++ b/crates/once/src/ledger/entry.rs
@@ -11,9 +11,9 @@
     /// The claim.
     Claim,
     /// Nothing more for now: the request may be sent until the instant.
-    Send(time::Instant),
+    AwaitSend(time::Instant),
     /// Nothing more for now: the request was sent.
-    Answer,
+    AwaitOutcome,
     /// The outcome.
     Record(State),
     /// That the claim is given back; the request was not sent and never will be.
@@ -27,55 +27,55 @@
     Write,
     Read,
     /// It is part of the outstanding work.
-    Wait,
+    InFlight,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) claim: Claim,
     /// The attempt that the row names: this one, or one that was given up unsent.
-    pub(super) named: request::Attempt,
-    pub(super) number: u64,
+    pub(super) row_attempt: request::Attempt,
+    pub(super) sequence: u64,
     pub(super) goal: Goal,
     pub(super) next: Next,
     /// The generation of the row, zero when it is absent.
     pub(super) generation: revision::Generation,
     /// Whether a write of the claim may have taken effect, or may still do so.
-    pub(super) may_stand: bool,
+    pub(super) claim_may_exist: bool,
     /// Whether the claim was seen to stand.
-    pub(super) confirmed: bool,
+    pub(super) claim_confirmed: bool,
     /// Whether the outstanding write gives the claim back, rather than makes it.
-    pub(super) releasing: bool,
+    pub(super) write_releases: bool,
     /// Not before this instant is anything done for the entry.
     pub(super) not_before: time::Instant,
 }
 
 impl Entry {
-    pub(super) fn new(claim: Claim, number: u64, now: time::Instant) -> Self {
+    pub(super) fn new(claim: Claim, sequence: u64, now: time::Instant) -> Self {
         Self {
-            named: claim.attempt,
+            row_attempt: claim.attempt,
             claim,
-            number,
+            sequence,
             goal: Goal::Claim,
             next: Next::Write,
             generation: revision::Generation::default(),
-            may_stand: false,
-            confirmed: false,
-            releasing: false,
+            claim_may_exist: false,
+            claim_confirmed: false,
+            write_releases: false,
             not_before: now,
         }
     }
 
     /// An entry that takes over the row of one that was given up unsent.
-    pub(super) fn after(claim: Claim, number: u64, former: Self) -> Self {
+    pub(super) fn taking_over(claim: Claim, sequence: u64, released: Self) -> Self {
         Self {
             claim,
-            number,
+            sequence,
             goal: Goal::Claim,
             next: Next::Read,
-            confirmed: false,
-            releasing: false,
-            ..former
+            claim_confirmed: false,
+            write_releases: false,
+            ..released
         }
     }
 
@@ -84,10 +84,10 @@
         let state = match &self.goal {
             Goal::Record(state) => state.clone(),
             Goal::Release => State::Released,
-            Goal::Claim | Goal::Send(_) | Goal::Answer => State::Claimed,
+            Goal::Claim | Goal::AwaitSend(_) | Goal::AwaitOutcome => State::Claimed,
         };
         Row {
-            attempt: self.named,
+            attempt: self.row_attempt,
             router: router.clone(),
             fingerprint: self.claim.fingerprint,
             bucket: self.claim.bucket,
@@ -99,7 +99,7 @@
     pub(super) fn deadline(&self) -> time::Instant {
         match self.goal {
             Goal::Claim => self.claim.deadline,
-            Goal::Send(send_by) => send_by,
+            Goal::AwaitSend(send_by) => send_by,
             _ => time::Instant::NEVER,
         }
     }
--- a/crates/once/src/ledger/work.rs
+++ b/crates/once/src/ledger/operations.rs
@@ -4,85 +4,88 @@
 
 use super::{Ledger, entry::Next};
 use crate::{
-    batch::{Batch, Work},
+    batch::{Batch, Operation},
     row::State,
 };
 
 impl Ledger {
-    /// When [`Ledger::work`] and [`Ledger::expire`] are to be called next.
+    /// When [`Ledger::next_operation`] and [`Ledger::expire`] are to be called next.
     pub fn wake_at(&self) -> time::Instant {
         let deadlines = self.entries.values().map(|entry| entry.deadline());
-        let work = self.entries.values().map(|entry| match entry.next {
-            Next::Write => entry.not_before.max(self.write_at),
+        let operations = self.entries.values().map(|entry| match entry.next {
+            Next::Write => entry.not_before.max(self.next_write_at),
             Next::Read => entry.not_before,
-            Next::Idle | Next::Wait => time::Instant::NEVER,
+            Next::Idle | Next::InFlight => time::Instant::NEVER,
         });
-        let work = work.filter(|_| self.outstanding.is_empty());
-        deadlines.chain(work).min().unwrap_or(time::Instant::NEVER)
+        let operations = operations.filter(|_| self.in_flight.is_empty());
+        deadlines
+            .chain(operations)
+            .min()
+            .unwrap_or(time::Instant::NEVER)
     }
 
     /// The next piece of work, if there is any and none is outstanding.
-    pub fn work(&mut self, now: time::Instant) -> Option<Work> {
-        if !self.outstanding.is_empty() {
+    pub fn next_operation(&mut self, now: time::Instant) -> Option<Operation> {
+        if !self.in_flight.is_empty() {
             return None;
         }
-        let reads = self.take(Next::Read, now);
+        let reads = self.take_ready(Next::Read, now);
         if !reads.is_empty() {
-            return Some(self.read_of(reads));
+            return Some(self.read_operation(reads));
         }
-        if now < self.write_at {
+        if now < self.next_write_at {
             return None;
         }
-        let writes = self.take(Next::Write, now);
+        let writes = self.take_ready(Next::Write, now);
         if writes.is_empty() {
             return None;
         }
-        self.write_at = now + self.gap;
-        Some(self.batch_of(writes))
+        self.next_write_at = now + self.write_interval;
+        Some(self.write_operation(writes))
     }
 
     /// Takes up to a batch of entries that wait for `next`, the oldest first.
-    fn take(&mut self, next: Next, now: time::Instant) -> Vec<request::Attempt> {
+    fn take_ready(&mut self, next: Next, now: time::Instant) -> Vec<request::Attempt> {
         let entries = self.entries.values_mut();
         let mut ready: Vec<_> = entries
             .filter(|entry| entry.next == next && entry.not_before <= now)
             .collect();
-        ready.sort_by_key(|entry| entry.number);
-        ready.truncate(self.settings.batch);
+        ready.sort_by_key(|entry| entry.sequence);
+        ready.truncate(self.settings.max_batch);
         ready
             .into_iter()
             .map(|entry| {
-                entry.next = Next::Wait;
+                entry.next = Next::InFlight;
                 entry.claim.attempt
             })
             .collect()
     }
 
-    fn read_of(&mut self, attempts: Vec<request::Attempt>) -> Work {
+    fn read_operation(&mut self, attempts: Vec<request::Attempt>) -> Operation {
         let entries = attempts.iter().filter_map(|a| self.entries.get(a));
         let keys = entries.map(|entry| entry.claim.key.clone()).collect();
-        self.outstanding = attempts;
-        Work::Read(keys)
+        self.in_flight = attempts;
+        Operation::Read(keys)
     }
 
-    fn batch_of(&mut self, attempts: Vec<request::Attempt>) -> Work {
+    fn write_operation(&mut self, attempts: Vec<request::Attempt>) -> Operation {
         let mut batch = Batch::default();
         for attempt in &attempts {
             let Some(entry) = self.entries.get_mut(attempt) else {
                 continue;
             };
             let (key, row) = (entry.claim.key.clone(), entry.row(&self.router));
-            entry.releasing = row.state == State::Released;
-            entry.may_stand |= row.state == State::Claimed;
+            entry.write_releases = row.state == State::Released;
+            entry.claim_may_exist |= row.state == State::Claimed;
             // A released row is not in the index: a later claim may take it, and
             // a sweep by the old entry would delete that claim while it runs.
             if matches!(row.state, State::Done(_)) {
-                batch.index.push(key.index(row.bucket));
+                batch.index_keys.push(key.index(row.bucket));
             }
             batch.checks.push((key.clone(), entry.generation));
             batch.puts.push((key, row));
         }
-        self.outstanding = attempts;
-        Work::Write(batch)
+        self.in_flight = attempts;
+        Operation::Write(batch)
     }
 }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -10,11 +10,11 @@
 //!
 //! 1. [`Ledger::claim`] enqueues a request, or refuses it at once.
 //! 2. Whenever something happened, or [`Ledger::wake_at`] is reached, it calls
-//!    [`Ledger::work`]; there is at most one piece of [`Work`] at a time.
-//! 3. For [`Work::Write`] it runs the [`Batch`] as one transaction of the table and
-//!    hands the result to [`Ledger::wrote`]; for [`Work::Read`] it reads the
-//!    rows and hands them to [`Ledger::read`].
-//! 4. Both, and [`Ledger::expire`] on every timer, give [`Settled`] claims:
+//!    [`Ledger::next_operation`]; there is at most one piece of [`Operation`] at a time.
+//! 3. For [`Operation::Write`] it runs the [`Batch`] as one transaction of the table and
+//!    hands the result to [`Ledger::handle_write`]; for [`Operation::Read`] it reads the
+//!    rows and hands them to [`Ledger::handle_read`].
+//! 4. Both, and [`Ledger::expire`] on every timer, give [`Resolution`] claims:
 //!    granted, answered by a recorded outcome, or refused.
 //! 5. A granted request is sent only after [`Ledger::start`] said so, at once
 //!    before its first byte; that works a single time.
@@ -28,7 +28,7 @@
 mod settings;
 pub mod sweep;
 
-pub use batch::{Batch, Stored, Work, Written};
-pub use ledger::{Answer, Claim, Ledger, Settled};
+pub use batch::{Batch, Operation, Stored, WriteResult};
+pub use ledger::{Claim, Decision, Ledger, Resolution};
 pub use row::{Bucket, Key, Outcome, Row, State};
 pub use settings::Settings;
--- a/crates/once/src/row.rs
+++ b/crates/once/src/row.rs
@@ -24,9 +24,9 @@
     /// The key of what `workspace` calls `key` on `route`.
     pub fn new(workspace: &workspace::Id, route: &str, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
-        for part in [workspace.as_str(), route, key] {
-            hasher.update(&u64::try_from(part.len()).unwrap_or(u64::MAX).to_le_bytes());
-            hasher.update(part.as_bytes());
+        for field in [workspace.as_str(), route, key] {
+            hasher.update(&u64::try_from(field.len()).unwrap_or(u64::MAX).to_le_bytes());
+            hasher.update(field.as_bytes());
         }
         let hash = hasher.finalize().to_hex();
         Self {
--- a/crates/once/src/sweep.rs
+++ b/crates/once/src/sweep.rs
@@ -26,13 +26,13 @@
 /// Two routers may sweep at once, and the later transaction may arrive when
 /// the key was claimed anew. Its check on the index then fails, where a plain
 /// delete would take the new claim away while it runs.
-pub fn plan<'a, I>(index: I, present: Bucket, retention: u64) -> Sweep
+pub fn plan<'a, I>(index: I, current: Bucket, retention_buckets: u64) -> Sweep
 where
     I: IntoIterator<Item = (&'a str, revision::Generation)>,
 {
     let mut sweep = Sweep::default();
     for (key, generation) in index {
-        let deletes = due([key], present, retention);
+        let deletes = expired_rows([key], current, retention_buckets);
         if !deletes.is_empty() {
             sweep.checks.push((String::from(key), generation));
             sweep.deletes.extend(deletes);
@@ -45,7 +45,7 @@
 ///
 /// For each old outcome these are its claim and its row in the index. They are
 /// safe to delete only while the row in the index is unchanged: see [`plan`].
-pub fn due<'a, I>(index: I, present: Bucket, retention: u64) -> Vec<String>
+pub fn expired_rows<'a, I>(index: I, current: Bucket, retention_buckets: u64) -> Vec<String>
 where
     I: IntoIterator<Item = &'a str>,
 {
@@ -54,7 +54,7 @@
         let Some((bucket, claim)) = parse(key) else {
             continue;
         };
-        if bucket.0.saturating_add(retention) < present.0 {
+        if bucket.0.saturating_add(retention_buckets) < current.0 {
             deletes.push(format!("{CLAIMS}{claim}"));
             deletes.push(String::from(key));
         }
--- a/crates/once/tests/claims/batching.rs
+++ b/crates/once/tests/claims/batching.rs
@@ -9,24 +9,24 @@
 fn measure(routers: usize, claims: usize) -> (u32, Duration) {
     let mut world = World::new(1, routers, Faults::default());
     for router in &mut world.routers {
-        router.ledger.routers(routers);
+        router.ledger.set_routers(routers);
     }
     const SECONDS: usize = 4;
     const STEPS: usize = 200;
     for step in 0..SECONDS * STEPS {
         world.now = world.now + Duration::from_micros(5000);
         for router in 0..routers {
-            let due = (step + 1) * claims / STEPS - step * claims / STEPS;
-            for number in 0..due {
+            let new_claims = (step + 1) * claims / STEPS - step * claims / STEPS;
+            for number in 0..new_claims {
                 world.submit(router, key(router << 32 | step << 8 | number));
             }
-            world.pump(router);
-            world.deliver();
+            world.poll(router);
+            world.complete_call();
         }
     }
     world.waits.sort();
-    let wait = world.waits[world.waits.len() * 99 / 100];
-    (world.writes / u32::try_from(SECONDS).unwrap(), wait)
+    let wait_p99 = world.waits[world.waits.len() * 99 / 100];
+    (world.writes / u32::try_from(SECONDS).unwrap(), wait_p99)
 }
 
 // A surge of bookings writes to the table, which bears several hundred writes a
@@ -39,10 +39,10 @@
     more_routers = { 40, 40 },
     very_many_routers = { 200, 4 },
 )]
-fn writes_are_bounded_by_routers_not_by_requests(routers: usize, claims: usize) {
-    let (writes, wait) = measure(routers, claims);
+fn the_write_rate_does_not_grow_with_claims_or_routers(routers: usize, claims: usize) {
+    let (writes, wait_p99) = measure(routers, claims);
     println!(
-        "measure=claim_writes routers={routers} claims={} writes={writes} unit=1/s wait_p99={wait:?}",
+        "measure=claim_writes routers={routers} claims={} writes={writes} unit=1/s wait_p99={wait_p99:?}",
         routers * claims
     );
     assert!(writes <= 210, "{writes}");
--- a/crates/once/tests/claims/cases.rs
+++ b/crates/once/tests/claims/cases.rs
@@ -3,7 +3,8 @@
 use std::time::Duration;
 
 use once::{
-    Answer, Batch, Bucket, Claim, Key, Ledger, Row, Settings, State, Stored, Work, Written, sweep,
+    Batch, Bucket, Claim, Decision, Key, Ledger, Operation, Row, Settings, State, Stored,
+    WriteResult, sweep,
 };
 use units::{request, revision, time::Instant};
 use verdict::{Code, Verdict};
@@ -26,16 +27,16 @@
     }
 }
 
-fn write(ledger: &mut Ledger, now: Instant) -> Batch {
-    match ledger.work(now) {
-        Some(Work::Write(batch)) => batch,
+fn next_write(ledger: &mut Ledger, now: Instant) -> Batch {
+    match ledger.next_operation(now) {
+        Some(Operation::Write(batch)) => batch,
         other => panic!("a write was expected, not {other:?}"),
     }
 }
 
-fn read(ledger: &mut Ledger, now: Instant) -> Vec<Key> {
-    match ledger.work(now) {
-        Some(Work::Read(keys)) => keys,
+fn next_read(ledger: &mut Ledger, now: Instant) -> Vec<Key> {
+    match ledger.next_operation(now) {
+        Some(Operation::Read(keys)) => keys,
         other => panic!("a read was expected, not {other:?}"),
     }
 }
@@ -57,12 +58,12 @@
 // The table is down. The caller of a booking has to hear so at once, that
 // nothing was run, and when to come back, while it can still call the driver.
 #[test]
-fn a_platform_that_is_down_refuses_at_once() {
+fn claims_are_refused_immediately_while_the_platform_is_down() {
     let mut ledger = ledger();
     ledger.claim(claim(1), NOW).unwrap();
-    write(&mut ledger, NOW);
-    let settled = ledger.wrote(Written::NotRun, NOW);
-    let Answer::Refused(refusal) = &settled[0].answer else {
+    next_write(&mut ledger, NOW);
+    let resolutions = ledger.handle_write(WriteResult::NotRun, NOW);
+    let Decision::Refused(refusal) = &resolutions[0].decision else {
         panic!("refused");
     };
     assert_eq!(refusal.verdict, Verdict::NotRun);
@@ -81,46 +82,46 @@
 // request was lost from sight, or its router died.
 #[yare::parameterized(
     running = { State::Claimed, 100, Some(Verdict::MayHaveRun), true },
-    owner_died_long_ago = { State::Claimed, 90, Some(Verdict::MayHaveRun), false },
+    claimed_long_ago = { State::Claimed, 90, Some(Verdict::MayHaveRun), false },
     unknown = { State::Unknown, 100, Some(Verdict::MayHaveRun), false },
     done = { State::Done(outcome(request::Attempt(9))), 100, None, false },
 )]
-fn a_repeat_is_told_what_is_known(
+fn a_repeated_key_gets_the_state_of_the_existing_claim(
     state: State,
     bucket: u64,
     verdict: Option<Verdict>,
-    comes_back: bool,
+    may_retry: bool,
 ) {
     let mut ledger = ledger();
     ledger.claim(claim(1), NOW).unwrap();
-    write(&mut ledger, NOW);
-    ledger.wrote(Written::Conflict(vec![key(0)]), NOW);
-    read(&mut ledger, NOW);
-    let settled = ledger.read(Some(vec![Some(stored(9, bucket, state))]), NOW);
-    match &settled[0].answer {
-        Answer::Refused(refusal) => {
+    next_write(&mut ledger, NOW);
+    ledger.handle_write(WriteResult::Conflict(vec![key(0)]), NOW);
+    next_read(&mut ledger, NOW);
+    let resolutions = ledger.handle_read(Some(vec![Some(stored(9, bucket, state))]), NOW);
+    match &resolutions[0].decision {
+        Decision::Refused(refusal) => {
             assert_eq!(Some(refusal.verdict), verdict);
-            assert_eq!(refusal.retry_at.is_some(), comes_back);
+            assert_eq!(refusal.retry_at.is_some(), may_retry);
         }
-        Answer::Recorded(told) => {
-            assert_eq!(*told, outcome(request::Attempt(9)));
+        Decision::Recorded(recorded) => {
+            assert_eq!(*recorded, outcome(request::Attempt(9)));
             assert_eq!(verdict, None);
         }
-        Answer::Granted { .. } => panic!("it must not be sent"),
+        Decision::Granted { .. } => panic!("it must not be sent"),
     }
 }
 
 // The answer to the claim's write is lost, and the row shows the own attempt.
 // Refused, the caller could not book although nobody holds the key.
 #[test]
-fn a_lost_answer_is_settled_by_the_attempt() {
+fn a_lost_write_response_is_resolved_by_the_attempt() {
     let mut ledger = ledger();
     ledger.claim(claim(1), NOW).unwrap();
-    write(&mut ledger, NOW);
-    assert!(ledger.wrote(Written::MayHaveRun, NOW).is_empty());
-    read(&mut ledger, NOW);
-    let settled = ledger.read(Some(vec![Some(stored(1, 100, State::Claimed))]), NOW);
-    assert!(matches!(settled[0].answer, Answer::Granted { .. }));
+    next_write(&mut ledger, NOW);
+    assert!(ledger.handle_write(WriteResult::MayHaveRun, NOW).is_empty());
+    next_read(&mut ledger, NOW);
+    let resolutions = ledger.handle_read(Some(vec![Some(stored(1, 100, State::Claimed))]), NOW);
+    assert!(matches!(resolutions[0].decision, Decision::Granted { .. }));
     assert!(ledger.start(request::Attempt(1), NOW).is_ok());
     assert!(ledger.start(request::Attempt(1), NOW).is_err());
 }
@@ -128,33 +129,33 @@
 // A router is frozen between its claim and the send. An operator may have
 // settled the claim by then, and another router sent the booking.
 #[test]
-fn a_paused_claimant_does_not_send_after_its_time() {
+fn a_paused_router_does_not_send_after_the_send_timeout() {
     let mut ledger = ledger();
     ledger.claim(claim(1), NOW).unwrap();
-    write(&mut ledger, NOW);
-    ledger.wrote(Written::Committed(vec![revision::Generation(1)]), NOW);
-    let late = NOW + Settings::default().send_within;
+    next_write(&mut ledger, NOW);
+    ledger.handle_write(WriteResult::Committed(vec![revision::Generation(1)]), NOW);
+    let late = NOW + Settings::default().send_timeout;
     let refusal = ledger.start(request::Attempt(1), late).unwrap_err();
     assert_eq!(refusal.verdict, Verdict::NotRun);
-    let batch = write(&mut ledger, late);
+    let batch = next_write(&mut ledger, late);
     assert_eq!(batch.puts[0].1.state, State::Released);
 }
 
 // The same key comes with another body. The recorded outcome is not its own.
 #[test]
-fn a_key_for_another_request_is_refused() {
+fn a_key_reused_for_another_request_is_refused() {
     let mut ledger = ledger();
     let other = Claim {
         fingerprint: request::Fingerprint(8),
         ..claim(1)
     };
     ledger.claim(other, NOW).unwrap();
-    write(&mut ledger, NOW);
-    ledger.wrote(Written::Conflict(vec![key(0)]), NOW);
-    read(&mut ledger, NOW);
+    next_write(&mut ledger, NOW);
+    ledger.handle_write(WriteResult::Conflict(vec![key(0)]), NOW);
+    next_read(&mut ledger, NOW);
     let row = stored(9, 100, State::Done(outcome(request::Attempt(9))));
-    let settled = ledger.read(Some(vec![Some(row)]), NOW);
-    let Answer::Refused(refusal) = &settled[0].answer else {
+    let resolutions = ledger.handle_read(Some(vec![Some(row)]), NOW);
+    let Decision::Refused(refusal) = &resolutions[0].decision else {
         panic!("refused");
     };
     assert_eq!(refusal.code, Code::Malformed);
@@ -163,16 +164,16 @@
 // Outcomes that are never deleted fill the table; one that is deleted too soon
 // lets a late repeat run again.
 #[test]
-fn outcomes_are_swept_after_their_retention() {
+fn outcomes_are_deleted_after_the_retention_period() {
     let claim = key(0);
     let index = [claim.index(Bucket(10)), claim.index(Bucket(90))];
-    let due = sweep::due(index.iter().map(String::as_str), Bucket(100), 72);
-    assert_eq!(due, [claim.to_string(), index[0].clone()]);
-    assert!(sweep::due(["once-outcome/x/y/z", "other"], Bucket(100), 72).is_empty());
+    let expired_rows = sweep::expired_rows(index.iter().map(String::as_str), Bucket(100), 72);
+    assert_eq!(expired_rows, [claim.to_string(), index[0].clone()]);
+    assert!(sweep::expired_rows(["once-outcome/x/y/z", "other"], Bucket(100), 72).is_empty());
     let rows = index
         .iter()
         .map(|key| (key.as_str(), revision::Generation(6)));
     let plan = sweep::plan(rows, Bucket(100), 72);
     assert_eq!(plan.checks, [(index[0].clone(), revision::Generation(6))]);
-    assert_eq!(plan.deletes, due);
+    assert_eq!(plan.deletes, expired_rows);
 }
--- a/crates/once/tests/claims/interleavings.rs
+++ b/crates/once/tests/claims/interleavings.rs
@@ -1,6 +1,6 @@
 //! What holds over all interleavings of faults.
 
-use once::{Answer, State};
+use once::{Decision, State};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 use crate::world::{Faults, World, key, outcome};
@@ -28,10 +28,10 @@
         0..50u32,
     )
         .prop_map(
-            |(lost_answer, late_write, refused_write, lost_read, crash, long_pause)| Faults {
-                lost_answer,
-                late_write,
-                refused_write,
+            |(lost_response, delayed_write, failed_write, lost_read, crash, long_pause)| Faults {
+                lost_response,
+                delayed_write,
+                failed_write,
                 lost_read,
                 crash,
                 long_pause,
@@ -57,21 +57,21 @@
         for _ in 0..steps {
             world.step(KEYS);
         }
-        world.calm_down();
+        world.run_until_idle();
         for runs in world.runs.values() {
             prop_assert!(runs.len() <= 1, "ran {} times", runs.len());
         }
         // A refusal as not run is true of the attempt that it answers.
-        for (attempt, key) in world.told_not_run() {
+        for (attempt, key) in world.refused_as_not_run() {
             let ran = world.runs.get(key).is_some_and(|runs| runs.contains(attempt));
             prop_assert!(!ran, "told not run, and ran");
         }
         // A repeat is given the outcome of the attempt that ran, and no other.
-        for (_, key, answer) in &world.answers {
-            if let Answer::Recorded(told) = answer {
+        for (_, key, decision) in &world.decisions {
+            if let Decision::Recorded(recorded) = decision {
                 let ran = world.runs.get(key).and_then(|runs| runs.first());
                 let expected = ran.map(|attempt| outcome(*attempt));
-                prop_assert_eq!(Some(told), expected.as_ref());
+                prop_assert_eq!(Some(recorded), expected.as_ref());
             }
         }
     }
@@ -80,7 +80,7 @@
     // answers again, nothing may be left behind that claims to run for ever: a
     // booking that was never sent can be made, and one that ran shows its outcome.
     #[test]
-    fn claims_of_living_routers_are_settled(
+    fn claims_of_running_routers_are_resolved(
         seed: u64,
         routers in 1..4usize,
         faults in faults(),
@@ -90,15 +90,15 @@
         for _ in 0..steps {
             world.step(KEYS);
         }
-        world.calm_down();
+        world.run_until_idle();
         for (key, stored) in &world.rows {
             let ran = world.runs.contains_key(key);
-            let settled = match stored.row.state {
+            let resolved = match stored.row.state {
                 State::Done(_) | State::Unknown => ran,
                 State::Released => !ran,
                 State::Claimed => false,
             };
-            prop_assert!(settled, "{:?} although it {}", stored.row, if ran { "ran" } else { "did not run" });
+            prop_assert!(resolved, "{:?} although it {}", stored.row, if ran { "ran" } else { "did not run" });
         }
         prop_assert!(world.routers.iter().all(|router| router.ledger.is_empty()));
         // A row in the index that outlives its outcome would have a later claim
@@ -111,9 +111,9 @@
             .collect();
         expected.sort();
         prop_assert_eq!(index, expected);
-        let fresh = key(KEYS + 1);
-        world.submit(0, fresh.clone());
-        world.calm_down();
-        prop_assert_eq!(world.runs[&fresh].len(), 1);
+        let new_key = key(KEYS + 1);
+        world.submit(0, new_key.clone());
+        world.run_until_idle();
+        prop_assert_eq!(world.runs[&new_key].len(), 1);
     }
 }
--- a/crates/once/tests/claims/world.rs
+++ b/crates/once/tests/claims/world.rs
@@ -2,7 +2,9 @@
 
 use std::{collections::BTreeMap, time::Duration};
 
-use once::{Answer, Batch, Bucket, Claim, Key, Ledger, Outcome, Settings, Stored, Work, Written};
+use once::{
+    Batch, Bucket, Claim, Decision, Key, Ledger, Operation, Outcome, Settings, Stored, WriteResult,
+};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use units::{request, revision, time::Instant};
@@ -11,9 +13,9 @@
 /// How likely each fault is, in percent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
-    pub lost_answer: u32,
-    pub late_write: u32,
-    pub refused_write: u32,
+    pub lost_response: u32,
+    pub delayed_write: u32,
+    pub failed_write: u32,
     pub lost_read: u32,
     pub crash: u32,
     pub long_pause: u32,
@@ -21,7 +23,7 @@
 
 pub struct Router {
     pub ledger: Ledger,
-    pub start: u32,
+    pub incarnation: u32,
     granted: Vec<request::Attempt>,
     sent: Vec<request::Attempt>,
     busy: bool,
@@ -29,8 +31,8 @@
 
 struct Call {
     router: usize,
-    start: u32,
-    work: Work,
+    incarnation: u32,
+    operation: Operation,
 }
 
 pub struct World {
@@ -42,13 +44,13 @@
     /// Attempts that ran at the backend server, for each key.
     pub runs: BTreeMap<Key, Vec<request::Attempt>>,
     /// The answers that callers got.
-    pub answers: Vec<(request::Attempt, Key, Answer)>,
+    pub decisions: Vec<(request::Attempt, Key, Decision)>,
     /// How long each granted claim waited.
     pub waits: Vec<Duration>,
     submitted: BTreeMap<request::Attempt, Instant>,
     keys: BTreeMap<request::Attempt, Key>,
     calls: Vec<Call>,
-    late: Vec<Batch>,
+    delayed: Vec<Batch>,
     generation: u64,
     attempts: u64,
     faults: Faults,
@@ -64,12 +66,12 @@
             index: Vec::new(),
             writes: 0,
             runs: BTreeMap::new(),
-            answers: Vec::new(),
+            decisions: Vec::new(),
             waits: Vec::new(),
             submitted: BTreeMap::new(),
             keys: BTreeMap::new(),
             calls: Vec::new(),
-            late: Vec::new(),
+            delayed: Vec::new(),
             generation: 0,
             attempts: 0,
             faults,
@@ -79,7 +81,7 @@
             let ledger = Ledger::new(Settings::default(), host(index));
             world.routers.push(Router {
                 ledger,
-                start: 0,
+                incarnation: 0,
                 granted: Vec::new(),
                 sent: Vec::new(),
                 busy: false,
@@ -96,29 +98,29 @@
                 let key = key(self.rng.random_range(0..keys));
                 self.submit(router, key);
             }
-            15..40 => self.pump(router),
-            40..65 => self.deliver(),
-            65..70 => self.land_late(),
+            15..40 => self.poll(router),
+            40..65 => self.complete_call(),
+            65..70 => self.deliver_delayed_write(),
             70..82 => self.send(router),
             82..92 => self.answer(router),
-            92..94 => self.crash_maybe(router),
-            _ => self.pass_time(),
+            92..94 => self.maybe_crash(router),
+            _ => self.advance_time(),
         }
     }
 
     /// Runs on without faults until nothing is left to do.
-    pub fn calm_down(&mut self) {
+    pub fn run_until_idle(&mut self) {
         self.faults = Faults::default();
         for _ in 0..400 {
             self.now = self.now + Duration::from_millis(100);
-            while !self.late.is_empty() {
-                self.land_late();
+            while !self.delayed.is_empty() {
+                self.deliver_delayed_write();
             }
             for router in 0..self.routers.len() {
-                self.pump(router);
+                self.poll(router);
             }
             while !self.calls.is_empty() {
-                self.deliver();
+                self.complete_call();
             }
             for router in 0..self.routers.len() {
                 self.send(router);
@@ -140,7 +142,8 @@
             key: key.clone(),
         };
         if let Err(refusal) = self.routers[router].ledger.claim(claim, self.now) {
-            self.answers.push((attempt, key, Answer::Refused(refusal)));
+            self.decisions
+                .push((attempt, key, Decision::Refused(refusal)));
         }
         attempt
     }
@@ -150,82 +153,84 @@
         Bucket(self.now.as_micros() / 60_000_000)
     }
 
-    pub fn pump(&mut self, router: usize) {
+    pub fn poll(&mut self, router: usize) {
         let now = self.now;
-        let settled = self.routers[router].ledger.expire(now);
-        self.settle(router, settled);
+        let resolutions = self.routers[router].ledger.expire(now);
+        self.record_resolutions(router, resolutions);
         let target = &mut self.routers[router];
-        if let Some(work) = target.ledger.work(now) {
+        if let Some(operation) = target.ledger.next_operation(now) {
             assert!(!target.busy, "one piece of work at a time");
             target.busy = true;
-            let start = target.start;
+            let incarnation = target.incarnation;
             self.calls.push(Call {
                 router,
-                start,
-                work,
+                incarnation,
+                operation,
             });
         }
     }
 
     /// Carries out one call to the table, in any order, with a fault maybe.
-    pub fn deliver(&mut self) {
+    pub fn complete_call(&mut self) {
         if self.calls.is_empty() {
             return;
         }
-        let chosen = self.rng.random_range(0..self.calls.len());
-        let call = self.calls.swap_remove(chosen);
-        let alive = self.routers[call.router].start == call.start;
+        let index = self.rng.random_range(0..self.calls.len());
+        let call = self.calls.swap_remove(index);
+        let alive = self.routers[call.router].incarnation == call.incarnation;
         if alive {
             self.routers[call.router].busy = false;
         }
-        match call.work {
-            Work::Write(batch) => {
-                let written = self.write(batch);
+        match call.operation {
+            Operation::Write(batch) => {
+                let result = self.write(batch);
                 if alive {
-                    let settled = self.routers[call.router].ledger.wrote(written, self.now);
-                    self.settle(call.router, settled);
+                    let resolutions = self.routers[call.router]
+                        .ledger
+                        .handle_write(result, self.now);
+                    self.record_resolutions(call.router, resolutions);
                 }
             }
-            Work::Read(keys) => {
+            Operation::Read(keys) => {
                 let lost = self.chance(self.faults.lost_read);
                 let rows = keys.iter().map(|key| self.rows.get(key).cloned()).collect();
                 if alive {
                     let rows = (!lost).then_some(rows);
-                    let settled = self.routers[call.router].ledger.read(rows, self.now);
-                    self.settle(call.router, settled);
+                    let resolutions = self.routers[call.router].ledger.handle_read(rows, self.now);
+                    self.record_resolutions(call.router, resolutions);
                 }
             }
         }
     }
 
-    fn write(&mut self, batch: Batch) -> Written {
-        if self.chance(self.faults.refused_write) {
-            return Written::NotRun;
+    fn write(&mut self, batch: Batch) -> WriteResult {
+        if self.chance(self.faults.failed_write) {
+            return WriteResult::NotRun;
         }
-        if self.chance(self.faults.late_write) {
-            self.late.push(batch);
-            return Written::MayHaveRun;
+        if self.chance(self.faults.delayed_write) {
+            self.delayed.push(batch);
+            return WriteResult::MayHaveRun;
         }
-        let written = self.transact(&batch);
-        if self.chance(self.faults.lost_answer) {
-            return Written::MayHaveRun;
+        let result = self.transact(&batch);
+        if self.chance(self.faults.lost_response) {
+            return WriteResult::MayHaveRun;
         }
-        written
+        result
     }
 
-    fn transact(&mut self, batch: &Batch) -> Written {
+    fn transact(&mut self, batch: &Batch) -> WriteResult {
         self.writes += 1;
-        let present = |key: &Key| {
+        let current = |key: &Key| {
             let row = self.rows.get(key);
             row.map_or(revision::Generation(0), |stored| stored.generation)
         };
         let conflicts = batch.checks.iter();
-        let conflicts = conflicts.filter(|(key, generation)| present(key) != *generation);
+        let conflicts = conflicts.filter(|(key, generation)| current(key) != *generation);
         let conflicts: Vec<Key> = conflicts.map(|(key, _)| key.clone()).collect();
         if !conflicts.is_empty() {
-            return Written::Conflict(conflicts);
+            return WriteResult::Conflict(conflicts);
         }
-        self.index.extend(batch.index.iter().cloned());
+        self.index.extend(batch.index_keys.iter().cloned());
         let generations = batch.puts.iter();
         let generations = generations.map(|(key, row)| {
             self.generation += 1;
@@ -236,28 +241,33 @@
             self.rows.insert(key.clone(), stored);
             revision::Generation(self.generation)
         });
-        Written::Committed(generations.collect())
+        WriteResult::Committed(generations.collect())
     }
 
     /// A write whose answer was lost long ago reaches the table.
-    fn land_late(&mut self) {
-        if self.late.is_empty() {
+    fn deliver_delayed_write(&mut self) {
+        if self.delayed.is_empty() {
             return;
         }
-        let chosen = self.rng.random_range(0..self.late.len());
-        let batch = self.late.swap_remove(chosen);
+        let index = self.rng.random_range(0..self.delayed.len());
+        let batch = self.delayed.swap_remove(index);
         self.transact(&batch);
     }
 
-    fn settle(&mut self, router: usize, settled: impl IntoIterator<Item = once::Settled>) {
-        for settled in settled {
-            if matches!(settled.answer, Answer::Granted { .. }) {
-                self.routers[router].granted.push(settled.attempt);
+    fn record_resolutions(
+        &mut self,
+        router: usize,
+        resolutions: impl IntoIterator<Item = once::Resolution>,
+    ) {
+        for resolution in resolutions {
+            if matches!(resolution.decision, Decision::Granted { .. }) {
+                self.routers[router].granted.push(resolution.attempt);
                 self.waits
-                    .push(self.now.since(self.submitted[&settled.attempt]));
+                    .push(self.now.since(self.submitted[&resolution.attempt]));
             } else {
-                let key = self.keys[&settled.attempt].clone();
-                self.answers.push((settled.attempt, key, settled.answer));
+                let key = self.keys[&resolution.attempt].clone();
+                self.decisions
+                    .push((resolution.attempt, key, resolution.decision));
             }
         }
     }
@@ -274,7 +284,9 @@
                 target.sent.push(attempt);
                 self.runs.entry(key).or_default().push(attempt);
             }
-            Err(refusal) => self.answers.push((attempt, key, Answer::Refused(refusal))),
+            Err(refusal) => self
+                .decisions
+                .push((attempt, key, Decision::Refused(refusal))),
         }
     }
 
@@ -289,19 +301,19 @@
         target.ledger.finish(attempt, outcome);
     }
 
-    fn crash_maybe(&mut self, router: usize) {
+    fn maybe_crash(&mut self, router: usize) {
         if !self.chance(self.faults.crash) {
             return;
         }
         let target = &mut self.routers[router];
         target.ledger = Ledger::new(Settings::default(), host(router));
-        target.start += 1;
+        target.incarnation += 1;
         target.granted.clear();
         target.sent.clear();
         target.busy = false;
     }
 
-    fn pass_time(&mut self) {
+    fn advance_time(&mut self) {
         let pause = if self.chance(self.faults.long_pause) {
             60_000
         } else {
@@ -316,11 +328,11 @@
     }
 
     /// Attempts whose caller was told that they did not run.
-    pub fn told_not_run(&self) -> impl Iterator<Item = (&request::Attempt, &Key)> {
-        self.answers
+    pub fn refused_as_not_run(&self) -> impl Iterator<Item = (&request::Attempt, &Key)> {
+        self.decisions
             .iter()
             .filter_map(|(attempt, key, answer)| match answer {
-                Answer::Refused(refusal) if refusal.verdict == Verdict::NotRun => {
+                Decision::Refused(refusal) if refusal.verdict == Verdict::NotRun => {
                     Some((attempt, key))
                 }
                 _ => None,
--- a/crates/router/src/claims.rs
+++ b/crates/router/src/claims.rs
@@ -9,7 +9,7 @@
     time::{Duration, SystemTime, UNIX_EPOCH},
 };
 
-use once::{Answer, Bucket, Claim, Key, Ledger, Outcome, Settled, Work};
+use once::{Bucket, Claim, Decision, Key, Ledger, Operation, Outcome, Resolution};
 use storage::table;
 use tokio::{
     sync::{mpsc, oneshot, watch},
@@ -41,7 +41,7 @@
 /// A message to the task.
 #[derive(Debug)]
 enum Message {
-    Claim(Claim, oneshot::Sender<Result<Answer, Refusal>>),
+    Claim(Claim, oneshot::Sender<Result<Decision, Refusal>>),
     Start(request::Attempt, oneshot::Sender<Result<(), Refusal>>),
     Finish(request::Attempt, Option<Outcome>),
     Release(request::Attempt),
@@ -76,9 +76,9 @@
         let (reply, answer) = oneshot::channel();
         self.send(Message::Claim(claim, reply));
         match answer.await.map_err(|_| stopped())?? {
-            Answer::Granted { .. } => Ok(Claimed::Granted(guard)),
-            Answer::Recorded(outcome) => Ok(Claimed::Recorded(outcome)),
-            Answer::Refused(refusal) => Err(refusal),
+            Decision::Granted { .. } => Ok(Claimed::Granted(guard)),
+            Decision::Recorded(outcome) => Ok(Claimed::Recorded(outcome)),
+            Decision::Refused(refusal) => Err(refusal),
         }
     }
 
@@ -112,7 +112,7 @@
     clock: Clock,
     ledger: Ledger,
     table: Arc<table::Client>,
-    waiting: BTreeMap<request::Attempt, oneshot::Sender<Result<Answer, Refusal>>>,
+    waiting: BTreeMap<request::Attempt, oneshot::Sender<Result<Decision, Refusal>>>,
     messages: mpsc::UnboundedReceiver<Message>,
     done: mpsc::UnboundedReceiver<Completion>,
     done_sender: mpsc::UnboundedSender<Completion>,
@@ -161,7 +161,7 @@
                 changed = self.members.changed() => match changed {
                     Ok(()) => {
                         let routers = self.members.borrow_and_update().peers.len();
-                        self.ledger.routers(routers);
+                        self.ledger.set_routers(routers);
                     }
                     Err(_) => return,
                 },
@@ -202,21 +202,21 @@
                 self.waiting.remove(&attempt);
                 self.ledger.release(attempt);
             }
-            Message::Unsent(attempt) => self.ledger.unsent(attempt),
+            Message::Unsent(attempt) => self.ledger.release_unsent(attempt),
         }
     }
 
     /// Starts the next read or write of the table, if one is due.
     fn work(&mut self) {
-        let Some(work) = self.ledger.work(self.clock.now()) else {
+        let Some(operation) = self.ledger.next_operation(self.clock.now()) else {
             return;
         };
         let table = Arc::clone(&self.table);
         let done = self.done_sender.clone();
         tokio::spawn(async move {
-            let result = match work {
-                Work::Write(batch) => Completion::Wrote(store::write(&table, batch).await),
-                Work::Read(keys) => Completion::Read(store::read(&table, &keys).await),
+            let result = match operation {
+                Operation::Write(batch) => Completion::Wrote(store::write(&table, batch).await),
+                Operation::Read(keys) => Completion::Read(store::read(&table, &keys).await),
             };
             // The receiving task runs until the process ends.
             let _ = done.send(result);
@@ -226,20 +226,20 @@
     fn done(&mut self, done: Completion) {
         let now = self.clock.now();
         let settled = match done {
-            Completion::Wrote(written) => self.ledger.wrote(written, now),
-            Completion::Read(rows) => self.ledger.read(rows, now),
+            Completion::Wrote(result) => self.ledger.handle_write(result, now),
+            Completion::Read(rows) => self.ledger.handle_read(rows, now),
         };
         self.settle(settled);
     }
 
-    fn settle(&mut self, settled: impl IntoIterator<Item = Settled>) {
-        for Settled { attempt, answer } in settled {
+    fn settle(&mut self, settled: impl IntoIterator<Item = Resolution>) {
+        for Resolution { attempt, decision } in settled {
             let Some(reply) = self.waiting.remove(&attempt) else {
                 continue;
             };
             // The requester may have dropped the receiver; its guard releases
             // the claim.
-            let _ = reply.send(Ok(answer));
+            let _ = reply.send(Ok(decision));
         }
     }
 }
--- a/crates/router/src/claims/store.rs
+++ b/crates/router/src/claims/store.rs
@@ -2,7 +2,7 @@
 
 use std::{sync::Arc, time::Duration};
 
-use once::{Batch, Bucket, Key, Row, Stored, Written, sweep};
+use once::{Batch, Bucket, Key, Row, Stored, WriteResult, sweep};
 use storage::{
     Error,
     table::{self, Table as _},
@@ -19,25 +19,25 @@
 #[derive(Debug)]
 pub enum Completion {
     /// The result of a write.
-    Wrote(Written),
+    Wrote(WriteResult),
     /// The rows read; `None` if the read failed.
     Read(Option<Vec<Option<Stored>>>),
 }
 
 /// Writes a batch as one transaction.
-pub async fn write(table: &table::Client, batch: Batch) -> Written {
+pub async fn write(table: &table::Client, batch: Batch) -> WriteResult {
     let transaction = match transaction(&batch) {
         Ok(transaction) => transaction,
         Err(error) => {
             logging::event!(error, "claim_malformed", error = error);
-            return Written::NotRun;
+            return WriteResult::NotRun;
         }
     };
     let deadline = time::Instant::now() + TIMEOUT;
     match table.transact(&transaction, deadline).await {
         Ok(mut generations) => {
             generations.truncate(batch.puts.len());
-            Written::Committed(generations)
+            WriteResult::Committed(generations)
         }
         Err(Error::Conflict(rows)) => {
             let in_conflict = |key: &Key| {
@@ -45,15 +45,15 @@
                 rows.iter().any(|row| row.key == text)
             };
             let keys = batch.checks.into_iter().map(|(key, _)| key);
-            Written::Conflict(keys.filter(in_conflict).collect())
+            WriteResult::Conflict(keys.filter(in_conflict).collect())
         }
         Err(Error::MayHaveRun(reason)) => {
             logging::event!(warn, "claim_unsure", reason = reason);
-            Written::MayHaveRun
+            WriteResult::MayHaveRun
         }
         Err(error @ (Error::NotRun(_) | Error::Rejected(_))) => {
             logging::event!(warn, "claim_failed", error = error);
-            Written::NotRun
+            WriteResult::NotRun
         }
     }
 }
@@ -63,14 +63,14 @@
         key: key.to_string(),
         generation: *generation,
     });
-    let mut puts = Vec::with_capacity(batch.puts.len() + batch.index.len());
+    let mut puts = Vec::with_capacity(batch.puts.len() + batch.index_keys.len());
     for (key, row) in &batch.puts {
         puts.push(table::Put {
             key: key.to_string(),
             value: serde_json::to_value(row)?,
         });
     }
-    for key in &batch.index {
+    for key in &batch.index_keys {
         puts.push(table::Put {
             key: key.clone(),
             value: serde_json::Value::Null,
@@ -117,7 +117,7 @@
         return;
     };
     let index = rows.iter().map(|row| (row.key.as_str(), row.generation));
-    let plan = sweep::plan(index, current, once::Settings::default().retention);
+    let plan = sweep::plan(index, current, once::Settings::default().retention_buckets);
     if plan.deletes.is_empty() {
         return;
     }
