--- a/crates/units/src/request.rs
+++ b/crates/units/src/request.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-macro_rules! number {
+macro_rules! hex_id {
     ($(#[$meta:meta])* $name:ident) => {
         $(#[$meta])*
         #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -26,17 +26,17 @@
     };
 }
 
-number! {
+hex_id! {
     /// A caller's request, drawn at random by the entry router.
     Id
 }
 
-number! {
+hex_id! {
     /// One attempt to run a request, drawn at random by the router that makes it.
     Attempt
 }
 
-number! {
+hex_id! {
     /// The keyed hash of a request's workspace, route and body.
     Fingerprint
 }
