--- a/crates/once/src/ledger/results.rs
+++ b/crates/once/src/ledger/results.rs
@@ -82,9 +82,9 @@
             let Some(entry) = self.entries.get_mut(attempt) else {
                 continue;
             };
-            let given_up = entry.goal == Goal::Release && !entry.write_releases;
+            let is_abandoned = entry.goal == Goal::Release && !entry.write_releases;
             let in_conflict = keys.is_empty() || keys.contains(&entry.claim.key);
-            entry.next = if in_conflict || given_up {
+            entry.next = if in_conflict || is_abandoned {
                 Next::Read
             } else {
                 Next::Write
