--- a/crates/once/src/batch.rs
+++ b/crates/once/src/batch.rs
@@ -1,21 +1,21 @@
-//! What is read from and written to the table.
+//! Operations on the table and their results.
 
 use units::revision;
 
 use crate::row::{Key, Row};
 
-/// One transaction: it takes effect whole or not at all.
+/// The content of one atomic transaction.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Batch {
-    /// The generation that each row must have, zero for an absent one.
+    /// The generation that each row must have; zero requires the row to be absent.
     pub checks: Vec<(Key, revision::Generation)>,
-    /// The rows to be written.
+    /// The rows to write.
     pub puts: Vec<(Key, Row)>,
-    /// The keys of rows of the index to be written, with an empty value.
+    /// The keys of the index rows to write, each with an empty value.
     pub index_keys: Vec<String>,
 }
 
-/// What the router has to do next.
+/// A table operation that the router has to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Run the batch as one transaction, then call [`crate::Ledger::handle_write`].
@@ -24,24 +24,24 @@
     Read(Vec<Key>),
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect; the generations of the puts, in their order.
+    /// The write took effect; holds the generations of the puts, in the same order.
     Committed(Vec<revision::Generation>),
-    /// These rows had another generation; nothing took effect.
+    /// These rows had a different generation; nothing was written.
     Conflict(Vec<Key>),
-    /// It was not sent, or the platform refused it: nothing took effect.
+    /// The write was not sent, or the platform refused it: nothing was written.
     NotRun,
-    /// Its answer was lost: it may have taken effect, or may do so later.
+    /// The response was lost: the write may have taken effect, or may do so later.
     MayHaveRun,
 }
 
-/// A row that was read.
+/// A row with its generation, as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stored {
     /// The row.
     pub row: Row,
-    /// Its generation.
+    /// The generation of the row.
     pub generation: revision::Generation,
 }
--- a/crates/once/src/ledger.rs
+++ b/crates/once/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The claims of one router.
+//! The state machine of the claims of one router.
 
 mod entry;
 mod operations;
@@ -16,57 +16,57 @@
 };
 use entry::{Entry, Goal, Next};
 
-/// A request that asks to be run at most once.
+/// The claim of a request that has to run at most once.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Claim {
-    /// The row of its idempotency key.
+    /// The key of the row of its idempotency key.
     pub key: Key,
     /// The attempt, drawn at random for this request by this router.
     pub attempt: request::Attempt,
-    /// The request, to notice a key that is used for another one.
+    /// The fingerprint of the request, to detect a key that is reused for another one.
     pub fingerprint: request::Fingerprint,
-    /// When the caller has to have an answer.
+    /// The deadline of the request.
     pub deadline: time::Instant,
-    /// The present bucket.
+    /// The current bucket.
     pub bucket: Bucket,
 }
 
-/// What became of a claim.
+/// The decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// The request may be sent until this instant, after [`Ledger::start`].
+    /// The request may be sent until `send_by`, after [`Ledger::start`] returned `Ok`.
     Granted {
-        /// The last instant.
+        /// The instant from which the request may no longer be sent.
         send_by: time::Instant,
     },
-    /// The request ran before; this is its outcome.
+    /// The request has already run with this outcome.
     Recorded(Outcome),
-    /// The request is not sent.
+    /// The request must not be sent.
     Refused(Refusal),
 }
 
-/// A claim that was settled.
+/// A claim that has been decided.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Resolution {
-    /// The attempt that made it.
+    /// The attempt that made the claim.
     pub attempt: request::Attempt,
-    /// What became of it.
+    /// The decision on the claim.
     pub decision: Decision,
 }
 
-/// Claims that were settled by one step.
+/// The claims that were decided by one call.
 pub type Resolutions = SmallVec<[Resolution; 4]>;
 
-/// The claims of one router.
+/// The claims of one router, from the request until its outcome is recorded.
 #[derive(Debug)]
 pub struct Ledger {
     settings: Settings,
     router: host::Id,
     entries: BTreeMap<request::Attempt, Entry>,
     keys: BTreeMap<Key, request::Attempt>,
-    /// What is being read or written at present.
+    /// The attempts whose rows are being read or written.
     in_flight: Vec<request::Attempt>,
-    /// How many claims were made, to serve them in turn.
+    /// The number of claims made so far; gives each claim its place in the queue.
     claim_count: u64,
     write_interval: Duration,
     next_write_at: time::Instant,
@@ -74,7 +74,7 @@
 }
 
 impl Ledger {
-    /// The ledger of the router that runs on `router`.
+    /// Creates the ledger of the router on the host `router`.
     pub fn new(settings: Settings, router: host::Id) -> Self {
         Self {
             write_interval: settings.min_write_interval,
@@ -89,30 +89,30 @@
         }
     }
 
-    /// Takes note of how many routers make claims, and so share the table's writes.
+    /// Sets the number of routers that share the write rate of the table.
     pub fn set_routers(&mut self, routers: usize) {
         let routers = u32::try_from(routers.max(1)).unwrap_or(u32::MAX);
         let interval = Duration::from_secs(1) * routers / self.settings.writes_per_second.max(1);
         self.write_interval = interval.max(self.settings.min_write_interval);
     }
 
-    /// How many requests are held.
+    /// The number of requests that the ledger holds.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether no request is held.
+    /// Whether the ledger holds no request.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Enqueues a claim; it is settled later.
+    /// Enqueues a claim, which is decided by a later call.
     ///
     /// # Errors
     ///
-    /// A refusal, given at once: the platform is down, too many requests are
-    /// held (both not run), or this router holds a request with the same key
-    /// (may have run).
+    /// An immediate refusal: the platform is down, the ledger is full, or the
+    /// deadline has passed (not run), or this router holds a request with the
+    /// same key (not run while its release is being written, else may have run).
     pub fn claim(&mut self, claim: Claim, now: time::Instant) -> Result<(), Refusal> {
         if now < self.platform_down_until || now >= claim.deadline {
             return Err(self.unavailable_refusal(now));
@@ -136,10 +136,11 @@
         Ok(())
     }
 
-    /// Takes over the claim of an attempt that was given up and never sent.
+    /// Takes over the entry of an attempt that is being released and was never sent.
     ///
-    /// Its row may stand in the table until it is taken back. A caller who was
-    /// told to come back would otherwise hear that its request may have run.
+    /// Its row may remain in the table until the release is written. A caller
+    /// that retries as it was asked to would otherwise get the refusal that its
+    /// request may have run.
     fn take_over_released(
         &mut self,
         attempt: request::Attempt,
@@ -157,12 +158,13 @@
             .ok_or_else(|| self.unavailable_refusal(now))
     }
 
-    /// Says whether the request may be sent now; true a single time.
+    /// Starts sending the request. Succeeds only once per attempt.
     ///
     /// # Errors
     ///
-    /// A refusal (not run) when the claim is not this router's, was used
-    /// before, or is too old: an operator may have settled it meanwhile.
+    /// A refusal (not run) when this router does not hold the claim, when the
+    /// request was started before, or when [`Settings::send_timeout`] has
+    /// passed: an operator may have resolved the claim in the meantime.
     pub fn start(&mut self, attempt: request::Attempt, now: time::Instant) -> Result<(), Refusal> {
         let refusal = self.unavailable_refusal(now);
         let Some(entry) = self.entries.get_mut(&attempt) else {
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Records the outcome of a request that was sent, `None` when it is unknown.
+    /// Records the outcome of a request that was sent; `None` when it is unknown.
     pub fn finish(&mut self, attempt: request::Attempt, outcome: Option<Outcome>) {
         let limit = self.settings.max_body_bytes;
         let Some(entry) = self.entries.get_mut(&attempt) else {
@@ -197,9 +199,9 @@
         entry.next = Next::Write;
     }
 
-    /// Takes back the claim of a request that was not sent and will not be.
+    /// Releases the claim of a request that was not sent and will not be.
     ///
-    /// Nothing happens to one that was sent.
+    /// Does nothing for a request that was started.
     pub fn release(&mut self, attempt: request::Attempt) {
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
@@ -221,11 +223,11 @@
         }
     }
 
-    /// Takes back the claim of a request that was started, where it is known
-    /// for certain that no byte of it reached a backend server.
+    /// Releases the claim of a request that was started but of which, for
+    /// certain, no byte reached a backend server.
     ///
-    /// Without this, a caller who was told truthfully that its request has not
-    /// run, and comes back with the same key, would hear that it may have run.
+    /// Without this, a caller that was refused as not run and retries with the
+    /// same key would get the refusal that the request may have run.
     pub fn release_unsent(&mut self, attempt: request::Attempt) {
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
--- a/crates/once/src/ledger/entry.rs
+++ b/crates/once/src/ledger/entry.rs
@@ -1,52 +1,52 @@
-//! One request of a ledger.
+//! The state of one request in a ledger.
 
 use units::{host, request, revision, time};
 
 use super::Claim;
 use crate::row::{Row, State};
 
-/// What an entry wants to have in the table.
+/// The state of the row that an entry is to reach in the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Goal {
-    /// The claim.
+    /// The claim has to be written.
     Claim,
-    /// Nothing more for now: the request may be sent until the instant.
+    /// The claim is written; the request may be sent until this instant.
     AwaitSend(time::Instant),
-    /// Nothing more for now: the request was sent.
+    /// The request was started; its outcome is awaited.
     AwaitOutcome,
-    /// The outcome.
+    /// The outcome has to be written.
     Record(State),
-    /// That the claim is given back; the request was not sent and never will be.
+    /// The release of the claim has to be written; the request was not sent and never will be.
     Release,
 }
 
-/// What has to be done for an entry next.
+/// The next operation for an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Next {
     Idle,
     Write,
     Read,
-    /// It is part of the outstanding work.
+    /// The entry is part of the operation in flight.
     InFlight,
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct Entry {
     pub(super) claim: Claim,
-    /// The attempt that the row names: this one, or one that was given up unsent.
+    /// The attempt that the row names: this one, or an earlier one that was released unsent.
     pub(super) row_attempt: request::Attempt,
     pub(super) sequence: u64,
     pub(super) goal: Goal,
     pub(super) next: Next,
-    /// The generation of the row, zero when it is absent.
+    /// The generation of the row, zero when the row is absent.
     pub(super) generation: revision::Generation,
-    /// Whether a write of the claim may have taken effect, or may still do so.
+    /// Whether a write of the claim may have taken effect or may still do so.
     pub(super) claim_may_exist: bool,
-    /// Whether the claim was seen to stand.
+    /// Whether the claim is known to be in the table.
     pub(super) claim_confirmed: bool,
-    /// Whether the outstanding write gives the claim back, rather than makes it.
+    /// Whether the write in flight releases the claim rather than makes it.
     pub(super) write_releases: bool,
-    /// Not before this instant is anything done for the entry.
+    /// The earliest instant of the next operation for the entry.
     pub(super) not_before: time::Instant,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// An entry that takes over the row of one that was given up unsent.
+    /// Creates an entry that takes over the row of an entry that was released unsent.
     pub(super) fn taking_over(claim: Claim, sequence: u64, released: Self) -> Self {
         Self {
             claim,
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The row that the entry wants to have in the table.
+    /// The row to write for the entry.
     pub(super) fn row(&self, router: &host::Id) -> Row {
         let state = match &self.goal {
             Goal::Record(state) => state.clone(),
@@ -95,7 +95,7 @@
         }
     }
 
-    /// When the entry has to be settled at the latest.
+    /// The deadline after which [`crate::Ledger::expire`] abandons the entry.
     pub(super) fn deadline(&self) -> time::Instant {
         match self.goal {
             Goal::Claim => self.claim.deadline,
--- a/crates/once/src/ledger/operations.rs
+++ b/crates/once/src/ledger/operations.rs
@@ -1,4 +1,4 @@
-//! What a ledger reads and writes next.
+//! Selection of the next table operation of a ledger.
 
 use units::{request, time};
 
@@ -9,7 +9,7 @@
 };
 
 impl Ledger {
-    /// When [`Ledger::next_operation`] and [`Ledger::expire`] are to be called next.
+    /// The instant at which to call [`Ledger::next_operation`] and [`Ledger::expire`] next.
     pub fn wake_at(&self) -> time::Instant {
         let deadlines = self.entries.values().map(|entry| entry.deadline());
         let operations = self.entries.values().map(|entry| match entry.next {
@@ -24,7 +24,7 @@
             .unwrap_or(time::Instant::NEVER)
     }
 
-    /// The next piece of work, if there is any and none is outstanding.
+    /// The next operation to run; `None` when there is none or one is in flight.
     pub fn next_operation(&mut self, now: time::Instant) -> Option<Operation> {
         if !self.in_flight.is_empty() {
             return None;
@@ -44,7 +44,7 @@
         Some(self.write_operation(writes))
     }
 
-    /// Takes up to a batch of entries that wait for `next`, the oldest first.
+    /// Takes up to [`crate::Settings::max_batch`] entries that wait for `next`, the oldest first.
     fn take_ready(&mut self, next: Next, now: time::Instant) -> Vec<request::Attempt> {
         let entries = self.entries.values_mut();
         let mut ready: Vec<_> = entries
@@ -77,8 +77,9 @@
             let (key, row) = (entry.claim.key.clone(), entry.row(&self.router));
             entry.write_releases = row.state == State::Released;
             entry.claim_may_exist |= row.state == State::Claimed;
-            // A released row is not in the index: a later claim may take it, and
-            // a sweep by the old entry would delete that claim while it runs.
+            // A released row is not indexed: a later claim may overwrite it, and a
+            // sweep based on the old index row would delete that claim while its
+            // request runs.
             if matches!(row.state, State::Done(_)) {
                 batch.index_keys.push(key.index(row.bucket));
             }
--- a/crates/once/src/ledger/results.rs
+++ b/crates/once/src/ledger/results.rs
@@ -1,4 +1,4 @@
-//! What a ledger makes of the table's answers.
+//! Handling of the results of table operations.
 
 use units::{request, revision, time};
 use verdict::{Code, Refusal};
@@ -13,7 +13,7 @@
 };
 
 impl Ledger {
-    /// Takes in how the outstanding write ended.
+    /// Handles the result of the write in flight.
     pub fn handle_write(&mut self, result: WriteResult, now: time::Instant) -> Resolutions {
         let attempts = std::mem::take(&mut self.in_flight);
         let mut resolutions = Resolutions::new();
@@ -41,14 +41,14 @@
             };
             match entry.goal {
                 Goal::Claim => self.grant(*attempt, *generation, now, resolutions),
-                // The claim was given up while it was being written.
+                // The claim was abandoned while it was being written.
                 Goal::Release if !entry.write_releases => self.confirm(*attempt, *generation),
                 _ => self.remove(*attempt),
             }
         }
     }
 
-    /// The claim is known to stand: the request may be sent, by nobody else.
+    /// The claim is confirmed: only this router may send the request.
     fn grant(
         &mut self,
         attempt: request::Attempt,
@@ -76,7 +76,7 @@
         }
     }
 
-    /// Nothing was written: the rows in conflict are read, the others written again.
+    /// Handles a conflict: reads the rows in conflict and retries the others.
     fn handle_conflict(&mut self, attempts: &[request::Attempt], keys: &[Key], now: time::Instant) {
         for attempt in attempts {
             let Some(entry) = self.entries.get_mut(attempt) else {
@@ -93,7 +93,7 @@
         self.next_write_at = now;
     }
 
-    /// The platform is down: claims are refused at once, the rest is tried again later.
+    /// Handles an unavailable platform: refuses all pending claims and retries the rest later.
     fn handle_not_run(
         &mut self,
         attempts: &[request::Attempt],
@@ -109,7 +109,7 @@
         }
     }
 
-    /// What was written is not known: only the rows tell.
+    /// Schedules reads of the rows, since it is unknown what was written.
     fn schedule_reads(&mut self, attempts: &[request::Attempt], now: time::Instant) {
         for attempt in attempts {
             if let Some(entry) = self.entries.get_mut(attempt) {
@@ -119,8 +119,8 @@
         }
     }
 
-    /// Takes in the rows that were read, in the order asked for; `None` when
-    /// they could not be read.
+    /// Handles the rows that were read, in the order of the requested keys;
+    /// `None` when the read failed.
     pub fn handle_read(
         &mut self,
         rows: Option<Vec<Option<Stored>>>,
@@ -156,12 +156,12 @@
         }
     }
 
-    /// The row is absent: a lost write did not take effect yet.
+    /// Handles an absent row: the write in doubt has not taken effect yet.
     ///
-    /// A claim is written again under the same attempt. Should the lost write
-    /// arrive late, one of the two meets the other and changes nothing, and
-    /// the row names this attempt either way. For a claim that was given up,
-    /// the row is written as released, so that a late write fails on it.
+    /// A claim is written again under the same attempt. If the first write
+    /// arrives late, whichever of the two is second fails its check, and the row
+    /// names this attempt either way. For an abandoned claim, the row is written
+    /// as released, so that a delayed write of the claim fails its check.
     fn handle_absent_row(&mut self, attempt: request::Attempt) {
         let Some(entry) = self.entries.get_mut(&attempt) else {
             return;
@@ -188,7 +188,7 @@
             Some(Goal::Release | Goal::Record(_)) if stored.row.state == State::Claimed => {
                 self.confirm(attempt, stored.generation);
             }
-            // The outcome was written, or an operator settled the claim.
+            // The outcome was written, or an operator resolved the claim.
             Some(Goal::Claim) => self.handle_other_row(attempt, stored, now, resolutions),
             _ => self.remove(attempt),
         }
@@ -206,8 +206,8 @@
         };
         let is_wanted = matches!(entry.goal, Goal::Claim | Goal::Release);
         if is_wanted && stored.row.state == State::Released {
-            // A release is written again too: a lost write of this attempt may
-            // arrive late, and fails on the row's new generation.
+            // A release is rewritten too: it gives the row a new generation, on
+            // which a delayed write of this attempt fails.
             entry.row_attempt = attempt;
             entry.generation = stored.generation;
             entry.next = Next::Write;
@@ -221,7 +221,7 @@
         self.remove(attempt);
     }
 
-    /// What a caller is told whose key another attempt has claimed.
+    /// The decision on a claim whose key another attempt has claimed.
     fn decision_for_existing_claim(
         &self,
         claim: &Claim,
@@ -244,8 +244,8 @@
         }
     }
 
-    /// Refuses what cannot be settled by its deadline, and takes back what was
-    /// granted and not sent in time.
+    /// Refuses the claims that were not decided by their deadline, and releases
+    /// those that were granted and not started in time.
     pub fn expire(&mut self, now: time::Instant) -> Resolutions {
         let entries = self.entries.values();
         let expired = entries.filter(|entry| entry.deadline() <= now);
@@ -257,8 +257,8 @@
         resolutions
     }
 
-    /// Refuses a claim that is not settled. It is never granted afterwards, so
-    /// "not run" is true even if the claim turns out to stand.
+    /// Refuses a claim that is not decided yet, and releases it. It is never granted
+    /// afterwards, so "not run" holds even if the claim turns out to be in the table.
     fn abandon(
         &mut self,
         attempt: request::Attempt,
--- a/crates/once/src/row.rs
+++ b/crates/once/src/row.rs
@@ -5,15 +5,15 @@
 use serde::{Deserialize, Serialize};
 use units::{host, request, workspace};
 
-/// What the keys of all claims begin with.
+/// The prefix of the keys of all claims.
 pub const CLAIMS: &str = "once/";
-/// What the keys of the index of outcomes begin with.
+/// The prefix of the keys of the outcome index.
 pub const OUTCOMES: &str = "once-outcome/";
 
 /// The key of the row of a claim: `once/WORKSPACE/HASH`.
 ///
-/// The hash covers the workspace, the route and the caller's idempotency key;
-/// nobody can find two keys with the same hash.
+/// The hash covers the workspace, the route and the caller's idempotency key. It
+/// is collision-resistant, so callers cannot construct two keys with the same hash.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Key {
     workspace: workspace::Id,
@@ -21,7 +21,7 @@
 }
 
 impl Key {
-    /// The key of what `workspace` calls `key` on `route`.
+    /// The row key for the idempotency key `key` that `workspace` uses on `route`.
     pub fn new(workspace: &workspace::Id, route: &str, key: &str) -> Self {
         let mut hasher = blake3::Hasher::new();
         for field in [workspace.as_str(), route, key] {
@@ -35,7 +35,7 @@
         }
     }
 
-    /// The key of the row in the index of outcomes of `bucket`.
+    /// The key of the row in the outcome index, for the outcome of a claim made in `bucket`.
     pub fn index(&self, bucket: Bucket) -> String {
         format!("{OUTCOMES}{bucket}/{}/{}", self.workspace, self.hash)
     }
@@ -47,7 +47,7 @@
     }
 }
 
-/// A span of wall-clock time, such as the hours since 1970.
+/// The number of a fixed span of wall-clock time, such as the hours since 1970.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -59,31 +59,31 @@
     }
 }
 
-/// The answer of the backend server, as far as it is kept.
+/// The stored part of the response of the backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcome {
     /// The HTTP status.
     pub status: u16,
     /// The content type.
     pub content_type: Option<String>,
-    /// The body; left out when it is too long or no text.
+    /// The body; `None` when it is too long or not text.
     pub body: Option<String>,
 }
 
-/// How far the request got.
+/// The state of the claim and of its request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum State {
-    /// The attempt may be sent, was sent or is running.
+    /// The request may be sent, was sent or is running.
     Claimed,
-    /// The attempt was not sent and never will be: the next claim may take the row.
+    /// The request was not sent and never will be: the next claim may overwrite the row.
     ///
-    /// The row isn't deleted, since a delete that arrives late could hit the
-    /// row of a later claim.
+    /// The row is not deleted, since a delayed delete could remove the row of a
+    /// later claim.
     Released,
-    /// The attempt ran.
+    /// The request ran.
     Done(Outcome),
-    /// The attempt may have run; nobody knows its outcome.
+    /// The request may have run; its outcome is unknown.
     Unknown,
 }
 
@@ -92,12 +92,12 @@
 pub struct Row {
     /// The attempt that may send the request.
     pub attempt: request::Attempt,
-    /// The router that made the attempt.
+    /// The router that made the claim.
     pub router: host::Id,
-    /// The request that the key was used for.
+    /// The fingerprint of the request that the key was used for.
     pub fingerprint: request::Fingerprint,
-    /// When the row was written.
+    /// The bucket of the claim.
     pub bucket: Bucket,
-    /// How far the request got.
+    /// The state of the claim and of its request.
     pub state: State,
 }
--- a/crates/once/src/settings.rs
+++ b/crates/once/src/settings.rs
@@ -2,29 +2,29 @@
 
 use std::time::Duration;
 
-/// How claims are batched and when one is given up.
+/// Batching, limits and timeouts of claims.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The writes a second that all routers together may put on the table.
+    /// The writes per second to the table, over all routers together.
     pub writes_per_second: u32,
-    /// The least time between two writes of one router.
+    /// The minimum time between two writes of one router.
     pub min_write_interval: Duration,
-    /// The most claims in one batch.
+    /// The maximum number of claims in one batch.
     pub max_batch: usize,
-    /// The most requests that are held at a time.
+    /// The maximum number of requests that the ledger holds at a time.
     pub max_entries: usize,
-    /// For how long a granted request may be sent.
+    /// How long after it was granted a request may be sent.
     ///
-    /// An operator who settles a claim of a lost router by hand has to wait
+    /// An operator who resolves a claim of a failed router by hand has to wait
     /// for longer than this after the claim was made.
     pub send_timeout: Duration,
-    /// How long new claims are refused at once after the platform did not answer.
+    /// How long new claims are refused immediately after a call to the platform failed.
     pub down_period: Duration,
-    /// How long a caller waits before it asks for the outcome of a running request.
+    /// The retry delay that refusals give to callers.
     pub retry_after: Duration,
-    /// How many buckets of outcomes are kept before the present one.
+    /// How many buckets of outcomes before the current one are kept.
     pub retention_buckets: u64,
-    /// The longest body that is kept with an outcome, in bytes.
+    /// The maximum size of a body that is stored with an outcome, in bytes.
     pub max_body_bytes: usize,
 }
 
--- a/crates/once/src/sweep.rs
+++ b/crates/once/src/sweep.rs
@@ -1,31 +1,32 @@
-//! Deletion of outcomes that are old enough.
+//! Deletion of outcomes after their retention period.
 //!
-//! Each outcome leaves a row in an index by time, so that the old ones are
-//! found without a scan of all claims. A claim without an outcome stays until
-//! an operator settles it: after any time it may still have run.
+//! Each outcome has a row in an index ordered by time, so that expired ones are
+//! found without a scan of all claims. A claim without an outcome is kept until
+//! an operator resolves it: its request may have run, however old the claim is.
 
 use units::revision;
 
 use crate::row::{Bucket, CLAIMS, OUTCOMES};
 
-/// What the keys of the index begin with; the oldest outcomes come first.
+/// The prefix of the keys of the index, in which the oldest outcomes come first.
 pub const PREFIX: &str = OUTCOMES;
 
-/// One transaction that deletes old outcomes.
+/// The content of one transaction that deletes expired outcomes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Sweep {
-    /// The generation that each row of the index must still have.
+    /// The generation that each row of the index must still have when the transaction runs.
     pub checks: Vec<(String, revision::Generation)>,
     /// The keys of the rows to delete.
     pub deletes: Vec<String>,
 }
 
-/// The transaction that deletes the old ones of the first `index` rows, each
-/// given by its key and its generation.
+/// Builds the transaction that deletes the expired outcomes among the rows of
+/// `index`, each given by its key and its generation.
 ///
-/// Two routers may sweep at once, and the later transaction may arrive when
-/// the key was claimed anew. Its check on the index then fails, where a plain
-/// delete would take the new claim away while it runs.
+/// Two routers may sweep concurrently, and the second transaction may arrive
+/// after the key was claimed again. Its check on the index row then fails,
+/// whereas an unconditional delete would remove the new claim while its request
+/// runs.
 pub fn plan<'a, I>(index: I, current: Bucket, retention_buckets: u64) -> Sweep
 where
     I: IntoIterator<Item = (&'a str, revision::Generation)>,
@@ -41,10 +42,10 @@
     sweep
 }
 
-/// The rows to delete, given the first `index` keys and the present bucket.
+/// The keys of the rows to delete, given the keys of `index` and the current bucket.
 ///
-/// For each old outcome these are its claim and its row in the index. They are
-/// safe to delete only while the row in the index is unchanged: see [`plan`].
+/// For each expired outcome these are its claim and its row in the index. They
+/// are safe to delete only while the row in the index is unchanged: see [`plan`].
 pub fn expired_rows<'a, I>(index: I, current: Bucket, retention_buckets: u64) -> Vec<String>
 where
     I: IntoIterator<Item = &'a str>,
--- a/crates/once/tests/claims/batching.rs
+++ b/crates/once/tests/claims/batching.rs
@@ -1,11 +1,11 @@
-//! How many writes claims cost.
+//! The rate of table writes that claims cause.
 
 use std::time::Duration;
 
 use crate::world::{Faults, World, key};
 
-/// Makes `claims` claims a second on each of `routers` routers, and gives the
-/// writes a second and the longest wait of 99 in 100 claims.
+/// Makes `claims` claims per second on each of `routers` routers, and returns the
+/// writes per second and the 99th percentile of the wait for a grant.
 fn measure(routers: usize, claims: usize) -> (u32, Duration) {
     let mut world = World::new(1, routers, Faults::default());
     for router in &mut world.routers {
@@ -29,9 +29,9 @@
     (world.writes / u32::try_from(SECONDS).unwrap(), wait_p99)
 }
 
-// A surge of bookings writes to the table, which bears several hundred writes a
-// second for everybody. With a write for each booking, the table would fall
-// over and nobody could book or change the configuration.
+// Guards against overload of the table, which handles several hundred writes per
+// second in total: with one write per claim, a surge of bookings would make it
+// unavailable for claims and for changes of the configuration.
 #[yare::parameterized(
     few = { 8, 2 },
     many = { 8, 40 },
--- a/crates/once/tests/claims/cases.rs
+++ b/crates/once/tests/claims/cases.rs
@@ -1,4 +1,4 @@
-//! Single failures, step by step.
+//! Single faults, step by step.
 
 use std::time::Duration;
 
@@ -30,14 +30,14 @@
 fn next_write(ledger: &mut Ledger, now: Instant) -> Batch {
     match ledger.next_operation(now) {
         Some(Operation::Write(batch)) => batch,
-        other => panic!("a write was expected, not {other:?}"),
+        other => panic!("expected a write, got {other:?}"),
     }
 }
 
 fn next_read(ledger: &mut Ledger, now: Instant) -> Vec<Key> {
     match ledger.next_operation(now) {
         Some(Operation::Read(keys)) => keys,
-        other => panic!("a read was expected, not {other:?}"),
+        other => panic!("expected a read, got {other:?}"),
     }
 }
 
@@ -55,8 +55,8 @@
     }
 }
 
-// The table is down. The caller of a booking has to hear so at once, that
-// nothing was run, and when to come back, while it can still call the driver.
+// The table is down. The caller has to be refused immediately, as not run and with
+// an instant to retry at, while it can still book by other means.
 #[test]
 fn claims_are_refused_immediately_while_the_platform_is_down() {
     let mut ledger = ledger();
@@ -64,7 +64,7 @@
     next_write(&mut ledger, NOW);
     let resolutions = ledger.handle_write(WriteResult::NotRun, NOW);
     let Decision::Refused(refusal) = &resolutions[0].decision else {
-        panic!("refused");
+        panic!("expected a refusal");
     };
     assert_eq!(refusal.verdict, Verdict::NotRun);
     assert_eq!(refusal.code, Code::ClaimUnavailable);
@@ -78,8 +78,8 @@
     assert!(ledger.claim(claim(3), later).is_ok());
 }
 
-// What a caller hears whose key is in the table already, after its first
-// request was lost from sight, or its router died.
+// A caller repeats a key that is already in the table, because the response to its
+// first request was lost or the router of that request crashed.
 #[yare::parameterized(
     running = { State::Claimed, 100, Some(Verdict::MayHaveRun), true },
     claimed_long_ago = { State::Claimed, 90, Some(Verdict::MayHaveRun), false },
@@ -107,12 +107,13 @@
             assert_eq!(*recorded, outcome(request::Attempt(9)));
             assert_eq!(verdict, None);
         }
-        Decision::Granted { .. } => panic!("it must not be sent"),
+        Decision::Granted { .. } => panic!("the repeat must not be granted"),
     }
 }
 
-// The answer to the claim's write is lost, and the row shows the own attempt.
-// Refused, the caller could not book although nobody holds the key.
+// The response to the write of the claim is lost, and the row names this router's
+// attempt. If the claim were refused, the caller could not book although no other
+// attempt holds the key.
 #[test]
 fn a_lost_write_response_is_resolved_by_the_attempt() {
     let mut ledger = ledger();
@@ -126,8 +127,8 @@
     assert!(ledger.start(request::Attempt(1), NOW).is_err());
 }
 
-// A router is frozen between its claim and the send. An operator may have
-// settled the claim by then, and another router sent the booking.
+// A router is paused between the grant and the send. By then an operator may have
+// resolved the claim, and another router may have sent the booking.
 #[test]
 fn a_paused_router_does_not_send_after_the_send_timeout() {
     let mut ledger = ledger();
@@ -141,7 +142,7 @@
     assert_eq!(batch.puts[0].1.state, State::Released);
 }
 
-// The same key comes with another body. The recorded outcome is not its own.
+// A key is reused with another body. The recorded outcome belongs to another request.
 #[test]
 fn a_key_reused_for_another_request_is_refused() {
     let mut ledger = ledger();
@@ -156,13 +157,13 @@
     let row = stored(9, 100, State::Done(outcome(request::Attempt(9))));
     let resolutions = ledger.handle_read(Some(vec![Some(row)]), NOW);
     let Decision::Refused(refusal) = &resolutions[0].decision else {
-        panic!("refused");
+        panic!("expected a refusal");
     };
     assert_eq!(refusal.code, Code::Malformed);
 }
 
-// Outcomes that are never deleted fill the table; one that is deleted too soon
-// lets a late repeat run again.
+// Outcomes that are never deleted fill the table; an outcome that is deleted too
+// early lets a late repeat of its request run again.
 #[test]
 fn outcomes_are_deleted_after_the_retention_period() {
     let claim = key(0);
--- a/crates/once/tests/claims/interleavings.rs
+++ b/crates/once/tests/claims/interleavings.rs
@@ -1,11 +1,11 @@
-//! What holds over all interleavings of faults.
+//! Properties that hold under all interleavings of faults.
 
 use once::{Decision, State};
 use proptest::{prelude::*, test_runner::RngSeed};
 
 use crate::world::{Faults, World, key, outcome};
 
-/// How many keys the callers use at most.
+/// The number of keys that the callers use.
 const KEYS: usize = 4;
 
 fn config() -> ProptestConfig {
@@ -42,10 +42,9 @@
 proptest! {
     #![proptest_config(config())]
 
-    // Callers repeat a booking on several routers at once while answers of the
-    // table are lost or its writes land late, and routers crash or are frozen
-    // at any point. If two attempts ran, two trucks would come and the customer
-    // would be billed twice.
+    // Callers repeat a booking on several routers concurrently while responses of
+    // the table are lost, writes are delayed, and routers crash or are paused at
+    // any point. If two attempts ran, the booking would be made and billed twice.
     #[test]
     fn no_key_runs_twice(
         seed: u64,
@@ -59,14 +58,14 @@
         }
         world.run_until_idle();
         for runs in world.runs.values() {
-            prop_assert!(runs.len() <= 1, "ran {} times", runs.len());
+            prop_assert!(runs.len() <= 1, "key ran {} times", runs.len());
         }
-        // A refusal as not run is true of the attempt that it answers.
+        // An attempt that was refused as not run has not run.
         for (attempt, key) in world.refused_as_not_run() {
             let ran = world.runs.get(key).is_some_and(|runs| runs.contains(attempt));
-            prop_assert!(!ran, "told not run, and ran");
+            prop_assert!(!ran, "attempt was refused as not run, but ran");
         }
-        // A repeat is given the outcome of the attempt that ran, and no other.
+        // A recorded outcome is that of the attempt that ran.
         for (_, key, decision) in &world.decisions {
             if let Decision::Recorded(recorded) = decision {
                 let ran = world.runs.get(key).and_then(|runs| runs.first());
@@ -76,9 +75,9 @@
         }
     }
 
-    // The table's answers are lost for a while, and all routers stay up. Once it
-    // answers again, nothing may be left behind that claims to run for ever: a
-    // booking that was never sent can be made, and one that ran shows its outcome.
+    // Calls to the table fail for a while, and all routers stay up. Once the table
+    // recovers, no row may stay claimed: the claim of a request that was never sent
+    // is released, and one that ran has an outcome or is recorded as unknown.
     #[test]
     fn claims_of_running_routers_are_resolved(
         seed: u64,
@@ -98,11 +97,11 @@
                 State::Released => !ran,
                 State::Claimed => false,
             };
-            prop_assert!(resolved, "{:?} although it {}", stored.row, if ran { "ran" } else { "did not run" });
+            prop_assert!(resolved, "row is {:?} although the request {}", stored.row, if ran { "ran" } else { "did not run" });
         }
         prop_assert!(world.routers.iter().all(|router| router.ledger.is_empty()));
-        // A row in the index that outlives its outcome would have a later claim
-        // of the same key deleted by a sweep, while it runs.
+        // If a row in the index outlived its outcome, a sweep would delete a later
+        // claim of the same key while its request runs.
         let mut index = world.index.clone();
         index.sort();
         let outcomes = world.rows.iter().filter(|(_, stored)| matches!(stored.row.state, State::Done(_)));
--- a/crates/once/tests/claims/main.rs
+++ b/crates/once/tests/claims/main.rs
@@ -1,4 +1,4 @@
-//! At-most-once claims over many interleavings of failures.
+//! At-most-once claims under single faults and random interleavings of faults.
 #![expect(clippy::unwrap_used, reason = "a failed setup of a test ends the test")]
 
 mod batching;
--- a/crates/once/tests/claims/world.rs
+++ b/crates/once/tests/claims/world.rs
@@ -1,4 +1,4 @@
-//! Routers, a table and a backend server in virtual time, with faults.
+//! Simulation of routers, a table and a backend server in virtual time, with faults.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -10,7 +10,7 @@
 use units::{request, revision, time::Instant};
 use verdict::Verdict;
 
-/// How likely each fault is, in percent.
+/// The probability of each fault, in percent.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub lost_response: u32,
@@ -41,11 +41,11 @@
     pub rows: BTreeMap<Key, Stored>,
     pub index: Vec<String>,
     pub writes: u32,
-    /// Attempts that ran at the backend server, for each key.
+    /// The attempts that ran at the backend server, by key.
     pub runs: BTreeMap<Key, Vec<request::Attempt>>,
-    /// The answers that callers got.
+    /// The decisions that callers got.
     pub decisions: Vec<(request::Attempt, Key, Decision)>,
-    /// How long each granted claim waited.
+    /// How long each granted claim waited for its decision.
     pub waits: Vec<Duration>,
     submitted: BTreeMap<request::Attempt, Instant>,
     keys: BTreeMap<request::Attempt, Key>,
@@ -90,7 +90,7 @@
         world
     }
 
-    /// One random step of one random part.
+    /// Runs one random step of a router, the table, the backend server or the clock.
     pub fn step(&mut self, keys: usize) {
         let router = self.rng.random_range(0..self.routers.len());
         match self.rng.random_range(0..100) {
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Runs on without faults until nothing is left to do.
+    /// Runs without faults for long enough that no operation is left.
     pub fn run_until_idle(&mut self) {
         self.faults = Faults::default();
         for _ in 0..400 {
@@ -148,7 +148,7 @@
         attempt
     }
 
-    /// Buckets of a minute, so that runs last for several of them.
+    /// The current bucket, of one minute so that a run spans several.
     pub fn bucket(&self) -> Bucket {
         Bucket(self.now.as_micros() / 60_000_000)
     }
@@ -159,7 +159,7 @@
         self.record_resolutions(router, resolutions);
         let target = &mut self.routers[router];
         if let Some(operation) = target.ledger.next_operation(now) {
-            assert!(!target.busy, "one piece of work at a time");
+            assert!(!target.busy, "only one operation may be in flight");
             target.busy = true;
             let incarnation = target.incarnation;
             self.calls.push(Call {
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Carries out one call to the table, in any order, with a fault maybe.
+    /// Completes a random pending call to the table, possibly with a fault.
     pub fn complete_call(&mut self) {
         if self.calls.is_empty() {
             return;
@@ -244,7 +244,7 @@
         WriteResult::Committed(generations.collect())
     }
 
-    /// A write whose answer was lost long ago reaches the table.
+    /// Applies a random delayed write to the table.
     fn deliver_delayed_write(&mut self) {
         if self.delayed.is_empty() {
             return;
@@ -272,7 +272,7 @@
         }
     }
 
-    /// A router sends what it was granted, some time later.
+    /// Sends a granted request of a router.
     fn send(&mut self, router: usize) {
         let target = &mut self.routers[router];
         let Some(attempt) = target.granted.pop() else {
@@ -290,7 +290,7 @@
         }
     }
 
-    /// The backend server answers, or the connection breaks.
+    /// Finishes a sent request: the backend server responds or the connection breaks.
     fn answer(&mut self, router: usize) {
         let broken = self.rng.random_ratio(1, 4);
         let target = &mut self.routers[router];
@@ -327,7 +327,7 @@
         self.rng.random_ratio(percent, 100)
     }
 
-    /// Attempts whose caller was told that they did not run.
+    /// The attempts that were refused as not run.
     pub fn refused_as_not_run(&self) -> impl Iterator<Item = (&request::Attempt, &Key)> {
         self.decisions
             .iter()
@@ -340,7 +340,7 @@
     }
 }
 
-/// The outcome of `attempt`, which names it.
+/// The outcome of `attempt`, with the attempt as its body.
 pub fn outcome(attempt: request::Attempt) -> Outcome {
     Outcome {
         status: 200,
