--- a/crates/orders/src/lease.rs
+++ b/crates/orders/src/lease.rs
@@ -1,4 +1,4 @@
-//! One process's part in a lease.
+//! The state machine of a lease in one process.
 
 use units::{host, revision, time};
 
@@ -7,40 +7,40 @@
     table::{Fence, Operation, Row, Stored, WriteResult},
 };
 
-/// Whether an engine refuses orders with an old fencing number.
+/// Whether an engine refuses orders with an outdated fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fencing {
-    /// It does.
+    /// The engine refuses them.
     Checked,
-    /// It obeys whoever sends an order.
+    /// The engine executes every order, whatever its fencing token.
     Ignored,
 }
 
 /// The right to send one order now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Permit {
-    /// The fencing number to send with it.
+    /// The fencing token to send with the order.
     pub fence: Fence,
-    /// When the call has to be given up and its connection closed.
+    /// The deadline of the call, by which its connection has to be closed.
     pub deadline: time::Instant,
 }
 
 /// Why an order may not be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
-    /// The lease is not held, or not surely.
+    /// The lease is not held, or may have expired.
     NotHeld,
-    /// An order of the former holder may still arrive, until this instant.
+    /// An order of the previous holder may still arrive until this instant.
     Wait(time::Instant),
 }
 
-/// What is known of the row.
+/// The last known state of the row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum RowState {
-    /// It has to be read.
+    /// The row has to be read.
     Unknown,
     Absent,
-    /// Another's lease, unchanged since the instant.
+    /// The row of another holder or of a released lease, unchanged since the instant.
     Other {
         stored: Stored,
         unchanged_since: time::Instant,
@@ -48,19 +48,19 @@
     Own(Stored),
 }
 
-/// A write whose end is not known, and equal ones before it.
+/// A write whose result is not known, together with earlier writes of the same row.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct PendingWrite {
     row: Row,
-    /// When the first write of this row was asked for: a late one may take effect.
+    /// When the first write of this row was requested; it may take effect with a delay.
     first_requested_at: time::Instant,
-    /// When the last write of this row was asked for.
+    /// When the last write of this row was requested.
     last_requested_at: time::Instant,
-    /// Whether a former holder's orders may still arrive.
+    /// Whether the write takes over an expired lease, whose holder's orders may still arrive.
     is_takeover: bool,
 }
 
-/// One process's part in a lease.
+/// A lease as seen by one process.
 #[derive(Debug)]
 pub struct Lease {
     settings: Settings,
@@ -71,17 +71,17 @@
     pending_write: Option<PendingWrite>,
     in_flight: bool,
     not_before: time::Instant,
-    /// Until when the lease is surely held.
+    /// The instant until which the lease is certainly held.
     held_until: time::Instant,
-    /// From when on engines that ignore fencing numbers may be given orders.
+    /// The instant from which orders may go to engines that ignore fencing tokens.
     predecessor_done_at: time::Instant,
-    /// By when all orders of this process have had their effect.
+    /// The instant by which all orders of this process have taken effect.
     orders_done_at: time::Instant,
     renew_at: time::Instant,
 }
 
 impl Lease {
-    /// A lease that is not held, for a process on `host` that drew `token` at random.
+    /// Creates a lease that is not held, for a process on `host` with the random `nonce`.
     pub fn new(settings: Settings, host: host::Id, nonce: u64) -> Self {
         Self {
             settings,
@@ -99,17 +99,17 @@
         }
     }
 
-    /// Says that the lease is wanted, until [`Lease::release`].
+    /// Requests the lease and its renewals, until [`Lease::release`].
     pub fn acquire(&mut self) {
         self.wanted = true;
     }
 
-    /// Gives the lease back once no order is in flight any more.
+    /// Releases the lease once no order is in flight any more.
     pub fn release(&mut self) {
         self.wanted = false;
     }
 
-    /// Who holds the lease, as far as is known.
+    /// The host of the holder of the lease, `None` when unknown or when there is none.
     pub fn holder(&self) -> Option<&host::Id> {
         match &self.row_state {
             RowState::Other { stored, .. } | RowState::Own(stored) => {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Asks for the right to send one order, right before it is sent.
+    /// Requests the permit to send one order, immediately before it is sent.
     ///
     /// # Errors
     ///
@@ -128,8 +128,8 @@
         let RowState::Own(stored) = &self.row_state else {
             return Err(Denial::NotHeld);
         };
-        // A process that was paused still takes itself for the holder; its
-        // clock tells that the lease may have lapsed and gone to another.
+        // After a pause, the row state still says that this process is the holder;
+        // the clock shows that the lease may have expired and been taken over.
         if !self.wanted || now >= self.held_until {
             return Err(Denial::NotHeld);
         }
@@ -144,7 +144,7 @@
         })
     }
 
-    /// When [`Lease::next_operation`] is to be called next.
+    /// The instant at which to call [`Lease::next_operation`] next.
     pub fn wake_at(&self) -> time::Instant {
         let idle = !self.wanted && !self.is_own() && self.pending_write.is_none();
         if self.in_flight || idle {
@@ -166,7 +166,7 @@
         matches!(self.row_state, RowState::Own(_))
     }
 
-    /// The next read or write, if there is any and none is outstanding.
+    /// The next operation to run; `None` when there is none or one is in flight.
     pub fn next_operation(&mut self, now: time::Instant) -> Option<Operation> {
         if now < self.wake_at() {
             return None;
@@ -195,10 +195,11 @@
         operation
     }
 
-    /// When another's lease is over for sure.
+    /// The instant by which another holder's lease has certainly expired.
     ///
-    /// Clocks of two processes are not comparable. The lease was asked for
-    /// before its row was seen here, so it ends before its duration passed here.
+    /// The clocks of two processes are not comparable. The holder requested the
+    /// lease before this process read its row, so the lease expires before its
+    /// duration has passed since that read.
     fn expires_at(&self, stored: &Stored, unchanged_since: time::Instant) -> time::Instant {
         if stored.row.released {
             return unchanged_since;
@@ -253,7 +254,7 @@
         Operation::Write { generation, row }
     }
 
-    /// Takes in how the outstanding write ended.
+    /// Handles the result of the write in flight.
     pub fn handle_write(&mut self, result: WriteResult, now: time::Instant) {
         self.in_flight = false;
         match result {
@@ -278,12 +279,12 @@
         }
     }
 
-    /// Has the row read before anything else.
+    /// Makes a read of the row the next operation.
     fn invalidate_row(&mut self) {
         self.row_state = RowState::Unknown;
     }
 
-    /// Takes in the row that was read, `None` when it is absent.
+    /// Handles the row that was read; `None` when it is absent.
     pub fn handle_read(&mut self, stored: Option<Stored>, now: time::Instant) {
         self.in_flight = false;
         self.renew_at = now + self.settings.renewal_interval;
@@ -299,21 +300,22 @@
         }
     }
 
-    /// Takes in that the row could not be read.
+    /// Handles a failed read of the row.
     pub fn handle_read_failure(&mut self, now: time::Instant) {
         self.in_flight = false;
         self.not_before = now + self.settings.retry_delay;
     }
 
-    /// A write whose answer was lost took effect after all.
+    /// Handles a row of this process: a write whose response was lost took effect.
     fn found_own_row(&mut self, stored: Stored, now: time::Instant) {
         let matches_row = |pending_write: &PendingWrite| pending_write.row == stored.row;
         if let Some(pending_write) = self
             .pending_write
             .take_if(|pending_write| matches_row(pending_write))
         {
-            // Of equal writes the first one may have taken effect; counted
-            // from the last one, the lease would seem to end later than it does.
+            // Of several writes of the same row, the first one may have taken
+            // effect. Counted from the last one, the lease would be assumed to
+            // expire later than it does for other processes.
             return self.hold(
                 stored,
                 pending_write.first_requested_at,
@@ -324,8 +326,8 @@
         if stored.row.released {
             return self.found_released_row(stored, now);
         }
-        // It is the row of an earlier write, whose instant is known already.
-        // The attempt is kept, since it may take effect later.
+        // This is the row of an earlier write, which `held_until` already counts.
+        // The pending write is kept, since it may take effect later.
         self.renew_at = now;
         self.row_state = RowState::Own(stored);
     }
@@ -354,7 +356,7 @@
         };
     }
 
-    /// The row is this process's, by a write that was first asked for at `asked_at`.
+    /// Records that this process holds the lease, by a write that was requested at `requested_at`.
     fn hold(
         &mut self,
         stored: Stored,
@@ -377,10 +379,10 @@
         self.row_state = RowState::Own(stored);
     }
 
-    /// When nothing of the former holder can arrive any more.
+    /// The instant from which no order of the previous holder can arrive any more.
     ///
-    /// Its lease was over before this one was written. What it sent at the
-    /// last moment may be on its way for one flight from now on.
+    /// Its lease had expired before this one was written. An order that it sent at
+    /// the last moment may be in flight for at most the order timeout from now on.
     fn predecessor_deadline(&self, now: time::Instant) -> time::Instant {
         now + self.settings.order_timeout + self.settings.clock_margin
     }
--- a/crates/orders/src/settings.rs
+++ b/crates/orders/src/settings.rs
@@ -2,21 +2,21 @@
 
 use std::time::Duration;
 
-/// How long leases last and orders take.
+/// The durations of leases, orders and retries.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// How long a lease lasts after it was asked for or renewed.
+    /// How long a lease is valid after its acquisition or renewal was requested.
     pub duration: Duration,
-    /// The time between two renewals, and between two looks at another's lease.
+    /// The time between two renewals, and between two reads of another holder's lease.
     pub renewal_interval: Duration,
-    /// The longest time from the permit for an order until its last effect.
+    /// The maximum time from the permit for an order until its last effect.
     ///
-    /// The sender closes the connection by then, and the engine must not act
-    /// on an order that it got earlier.
+    /// The sender closes the connection by then, and afterwards the engine must
+    /// not act on an order that it received before.
     pub order_timeout: Duration,
-    /// How much longer another's lease is waited out, since clocks run at different rates.
+    /// Added to the wait for another holder's lease to expire, since clocks run at different rates.
     pub clock_margin: Duration,
-    /// The time before a failed read or write is tried again.
+    /// The delay before a failed read or write is retried.
     pub retry_delay: Duration,
 }
 
--- a/crates/orders/src/table.rs
+++ b/crates/orders/src/table.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use units::{host, revision};
 
-/// A fencing number: each holder of a lease gets a higher one.
+/// A fencing token: each new holder of a lease gets a higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -25,54 +25,54 @@
     }
 }
 
-/// The value of the row.
+/// The value of the lease's row.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
-    /// Who holds the lease, for operators to read.
+    /// The host of the holder; informational, for operators.
     pub holder: host::Id,
-    /// A number drawn at random by the process that took the lease.
+    /// A random number that identifies the process that acquired the lease.
     #[serde(rename = "token")]
     pub nonce: u64,
-    /// The holder's fencing number.
+    /// The fencing token of the holder.
     pub fence: Fence,
-    /// How often the holder renewed it.
+    /// How often the holder has renewed the lease.
     pub renewals: u64,
-    /// Whether it was given back, with no order left in flight.
+    /// Whether the lease was released, with no order left in flight.
     pub released: bool,
 }
 
-/// A row that was read.
+/// A row with its generation, as read from the table.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Stored {
     /// The row.
     pub row: Row,
-    /// Its generation.
+    /// The generation of the row.
     pub generation: revision::Generation,
 }
 
-/// What the process has to do next.
+/// A table operation that the process has to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Operation {
     /// Read the row, then call [`crate::Lease::handle_read`].
     Read,
-    /// Write the row if it has this generation, zero for absent, then call [`crate::Lease::handle_write`].
+    /// Write the row if it has this generation, then call [`crate::Lease::handle_write`].
     Write {
-        /// The generation that the row must have.
+        /// The generation that the row must have; zero requires the row to be absent.
         generation: revision::Generation,
-        /// The row.
+        /// The new value of the row.
         row: Row,
     },
 }
 
-/// How a write ended.
+/// The result of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteResult {
-    /// It took effect; the row's new generation.
+    /// The write took effect; holds the new generation of the row.
     Committed(revision::Generation),
-    /// The row had another generation; nothing took effect.
+    /// The row had a different generation; nothing was written.
     Conflict,
-    /// It was not sent, or the platform refused it.
+    /// The write was not sent, or the platform refused it: nothing was written.
     NotRun,
-    /// Its answer was lost: it may have taken effect, or may do so later.
+    /// The response was lost: the write may have taken effect, or may do so later.
     MayHaveRun,
 }
--- a/crates/orders/tests/leases/cases.rs
+++ b/crates/orders/tests/leases/cases.rs
@@ -1,4 +1,4 @@
-//! Single failures, step by step.
+//! Single faults, step by step.
 
 use std::time::Duration;
 
@@ -33,13 +33,14 @@
 
 fn next_write(lease: &mut Lease, now: Instant) -> Row {
     let Some(Operation::Write { row, .. }) = lease.next_operation(now) else {
-        panic!("a write was expected");
+        panic!("expected a write");
     };
     row
 }
 
-// A dead operator holds the lease. The next one must not act before the lease
-// is over and, where the engine ignores fences, before the last order arrived.
+// The holder of the lease has crashed. The next one must not send orders before the
+// lease has expired and, where the engine ignores fencing tokens, before the last
+// order of the crashed holder can no longer arrive.
 #[test]
 fn a_takeover_waits_for_expiry_and_for_orders_in_flight() {
     let settings = Settings::default();
@@ -62,8 +63,9 @@
     );
 }
 
-// The former holder gave the lease back after its last order had landed: the
-// next one need not wait, or every change of operator would cost half a minute.
+// The previous holder released the lease after its last order had taken effect, so
+// the next one need not wait. Otherwise every change of holder would take half a
+// minute.
 #[test]
 fn a_released_lease_is_acquired_immediately() {
     let mut lease = lease();
@@ -74,8 +76,8 @@
     assert!(lease.permit(Fencing::Ignored, START).is_ok());
 }
 
-// The write of the lease was answered by silence, and the row shows the own
-// token. The lease counts from the write, not from the look at the row.
+// The response to the write of the lease is lost, and the row holds the nonce of
+// this process. The lease counts from the write, not from the read of the row.
 #[test]
 fn a_lost_write_response_is_resolved_by_the_nonce() {
     let mut lease = lease();
@@ -101,9 +103,9 @@
     );
 }
 
-// A write of the lease is lost on its way, is written again and only then
-// arrives. Others count the lease from its arrival; a holder that counts from
-// its second write would act when another one has taken over already.
+// A write of the lease is delayed, is repeated, and then the first one takes effect.
+// Other processes count the lease from then on; a holder that counts from its second
+// write could send orders after another process has taken over.
 #[test]
 fn a_delayed_write_holds_the_lease_from_its_first_request() {
     let mut lease = lease();
@@ -128,8 +130,8 @@
     );
 }
 
-// A holder is frozen for longer than its lease and wakes up. Whatever it meant
-// to order next, another operator may have taken over.
+// A holder is paused for longer than its lease and resumes. It must not send its
+// next order, since another process may have taken over.
 #[test]
 fn a_paused_holder_gets_no_permit() {
     let mut lease = lease();
@@ -144,8 +146,8 @@
     );
 }
 
-// An operator gives the lease back while its last order is on its way. Marked
-// as released at once, the next holder would order the engine at the same time.
+// A holder releases the lease while its last order is in flight. If the row were
+// marked as released immediately, the next holder's orders would overlap with it.
 #[test]
 fn a_lease_is_released_after_the_last_order_completed() {
     let settings = Settings::default();
--- a/crates/orders/tests/leases/interleavings.rs
+++ b/crates/orders/tests/leases/interleavings.rs
@@ -1,4 +1,4 @@
-//! Operators that race, pause and lose answers, with engines that ignore fences.
+//! Holders that compete, pause and lose responses, with engines that ignore fencing tokens.
 
 use std::time::Duration;
 
@@ -8,22 +8,22 @@
 use rand_chacha::ChaCha8Rng;
 use units::{revision, time::Instant};
 
-/// How likely each fault is, in percent.
+/// The probability of each fault, in percent.
 #[derive(Clone, Copy, Debug)]
 struct Faults {
     lost_response: u32,
     delayed_write: u32,
     failed_call: u32,
     pause: u32,
-    /// How many of a thousand steps let an operator lose interest or gain it.
+    /// The probability, in parts per thousand, that an operator requests or releases the lease in a step.
     toggle_permille: u32,
 }
 
-/// One process, with a clock that has its own origin and rate.
+/// One process, with a clock of its own origin and rate.
 struct Operator {
     lease: Lease,
     origin: u64,
-    /// Parts in a thousand by which the clock is fast.
+    /// By how many parts per thousand the clock is fast.
     drift_permille: i64,
     paused_until: u64,
     call: Option<Operation>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// An order on its way to the engine.
+/// An order in flight to the engine.
 struct InFlight {
     fence: Fence,
     operator: usize,
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Sends an order if it is permitted, and looks whether another's is on its way.
+    /// Sends an order if it is permitted, and checks that no order of another operator is in flight.
     fn order(&mut self, index: usize) {
         let now = self.operators[index].clock(self.now);
         let Ok(permit) = self.operators[index].lease.permit(Fencing::Ignored, now) else {
@@ -142,7 +142,7 @@
         self.orders += 1;
         if let Some(other) = self.in_flight.iter().find(|order| order.operator != index) {
             let text = format!(
-                "operator {index} acts under {} while an order of operator {} under {} is on its way",
+                "operator {index} sends an order with fence {} while an order of operator {} with fence {} is in flight",
                 permit.fence, other.operator, other.fence
             );
             self.overlap.get_or_insert(text);
@@ -240,10 +240,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Two operators order the same engine, which obeys whoever speaks last.
-    // One of them is frozen with the lease in hand, or its renewal is lost, and
-    // the other takes over. If both acted, the engine would load the one's
-    // model and then the other's, and chats would meet the wrong model.
+    // Two operators order the same engine, which executes every order. One of them
+    // is paused while it holds the lease, or its renewal is lost, and the other
+    // takes over. If the orders of both overlapped, the engine would load the model
+    // of one and then that of the other, and chats would reach the wrong model.
     #[test]
     fn orders_of_two_holders_never_overlap(
         seed: u64,
@@ -255,8 +255,8 @@
         prop_assert_eq!(world.overlap, None);
     }
 
-    // A holder goes away for good. Somebody else has to get the lease, or
-    // nobody could change the engines' models any more.
+    // A holder fails permanently. Another operator has to get the lease, or the
+    // models of the engines could not be changed any more.
     #[test]
     fn a_failed_holder_is_replaced(seed: u64) {
         let faults = Faults { lost_response: 10, delayed_write: 0, failed_call: 10, pause: 0, toggle_permille: 0 };
@@ -272,7 +272,7 @@
     }
 }
 
-// The property above says nothing if operators hardly ever act or take over.
+// Guards against vacuous properties: operators must often send orders and take over.
 #[test]
 fn the_simulation_issues_orders_and_takeovers() {
     let faults = Faults {
