--- a/crates/storage/src/error.rs
+++ b/crates/storage/src/error.rs
@@ -1,30 +1,30 @@
-//! What a failed call to the platform means.
+//! Errors of calls to the platform.
 
 use std::{error, fmt};
 
 use serde::{Deserialize, Serialize};
 use units::revision;
 
-/// A row whose generation was not the one that a transaction asked for.
+/// A row whose generation differs from the one that a transaction required.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Conflict {
     /// The key of the row.
     pub key: String,
-    /// Its present generation, zero when it is absent.
+    /// The current generation of the row, zero when it is absent.
     pub generation: revision::Generation,
 }
 
 /// Why a call to the platform failed, and whether it took effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The call did not take effect: it was not sent, or the platform said that it is down.
+    /// The call did not take effect: it was not sent, or the platform responded that it is unavailable.
     NotRun(String),
-    /// The call was sent and its answer was lost. A write may have taken
-    /// effect; only reading tells.
+    /// The call was sent and its response was lost. A write may have taken
+    /// effect; only a read can show whether it has.
     MayHaveRun(String),
-    /// A condition did not hold, and nothing was written.
+    /// A condition of the write did not hold; nothing was written.
     Conflict(Vec<Conflict>),
-    /// The platform refuses the call as malformed; repeating it does not help.
+    /// The platform refused the call as malformed; a retry does not help.
     Rejected(String),
 }
 
--- a/crates/storage/src/hosts.rs
+++ b/crates/storage/src/hosts.rs
@@ -1,4 +1,4 @@
-//! The lagging list of live and leaving hosts.
+//! The list of live and leaving hosts, which lags behind by seconds.
 
 use std::{
     future::Future,
@@ -14,7 +14,7 @@
 
 use crate::{error::Error, http, traffic::Traffic};
 
-/// What runs on a host.
+/// The kind of process that runs on a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Role {
@@ -24,42 +24,42 @@
     Backend,
 }
 
-/// What the platform knows of a host. The list lags by seconds.
+/// The state of a host in the list, which lags behind by seconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum State {
-    /// It runs.
+    /// The host is running.
     Live,
-    /// It will stop; it must get no new work.
+    /// The host is about to stop and must not get new requests.
     Leaving,
 }
 
 /// A host in the list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name; for a backend server the name of the server.
+    /// The name of the host, or of the backend server that runs on it.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: availability::Zone,
-    /// Where it listens; for a router its peer address.
+    /// The address on which the process listens; for a router its peer address.
     pub address: net::SocketAddr,
-    /// What runs on it.
+    /// The kind of process that runs on the host.
     pub role: Role,
-    /// The pool that a backend server joins.
+    /// The pool of a backend server.
     #[serde(default)]
     pub pool: Option<pool::Id>,
-    /// Whether it is about to stop.
+    /// Whether the host is live or about to stop.
     pub state: State,
 }
 
 /// The host list service.
 pub trait Hosts: Send + Sync {
-    /// The present list. An answer whose bytes keep coming is waited for beyond
-    /// the deadline.
+    /// Reads the current list. The deadline is extended while bytes of the response
+    /// keep arriving.
     ///
     /// # Errors
     ///
-    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no answer by `deadline`.
+    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no response by `deadline`.
     fn list(
         &self,
         deadline: time::Instant,
@@ -70,7 +70,7 @@
 #[derive(Debug)]
 pub struct Client {
     http: http::Client,
-    /// The list as last read, with its entity tag.
+    /// The list that was last read, with its entity tag.
     cached: sync::Mutex<Option<Cached>>,
 }
 
@@ -82,7 +82,7 @@
 }
 
 impl Client {
-    /// A client of the platform at `address`. It connects when it is first called.
+    /// Creates a client of the platform at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             http: http::Client::new(address),
@@ -90,7 +90,7 @@
         }
     }
 
-    /// The same, whose bytes are counted in `traffic`.
+    /// Creates a client like [`Client::new`] that counts its bytes in `traffic`.
     pub fn metered(address: net::SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             http: http::Client::metered(address, traffic),
@@ -109,8 +109,8 @@
         let cached = self.cached();
         let mut request = http::request(Method::GET, "/hosts", Bytes::new())?;
         if let Some(cached) = &cached {
-            // The list is long and rarely changes. An unchanged one costs a
-            // few bytes, so that it can be asked for often.
+            // The list is long and rarely changes. With a conditional request an
+            // unchanged list costs a few bytes, so that it can be polled often.
             let tag = cached.tag.clone();
             request.headers_mut().insert(header::IF_NONE_MATCH, tag);
         }
--- a/crates/storage/src/http.rs
+++ b/crates/storage/src/http.rs
@@ -1,7 +1,7 @@
-//! Requests to one HTTP server over a few kept connections.
+//! An HTTP client of one server with a small pool of idle connections.
 //!
-//! The clients of the platform use it, and so do the programs that ask a
-//! router or the administration a short question.
+//! The clients of the platform use it, and so do the programs that send short
+//! requests to a router or the administration.
 
 use std::{fmt, net, sync};
 
@@ -22,37 +22,37 @@
     traffic::{Metered, Traffic},
 };
 
-/// How many idle connections are kept.
+/// The maximum number of idle connections.
 const MAX_IDLE_CONNECTIONS: usize = 8;
 
-/// The largest answer that is read, in bytes.
+/// The maximum size of a response body, in bytes.
 const MAX_RESPONSE_BYTES: usize = 256 * 1024 * 1024;
 
-/// The most memory that is taken before any of an answer has come, in bytes.
+/// The maximum memory allocated for a response before its body arrives, in bytes.
 const MAX_PREALLOCATED_BYTES: usize = 8 * 1024 * 1024;
 
 type Sender = http1::SendRequest<Full<Bytes>>;
 
-/// What a server answered.
+/// A response that was read completely.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status.
+    /// The status.
     pub status: StatusCode,
-    /// Its headers.
+    /// The headers.
     pub headers: header::HeaderMap,
-    /// Its whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// How its body came.
+    /// When the bytes of the body arrived.
     pub progress: Progress,
 }
 
 /// A client of one HTTP server.
 ///
-/// A connection can go silent for good while new ones to the same server
-/// work, because something between the two ends lost track of it. One notices
-/// that calls on it miss their deadlines. A call that fails therefore drops
-/// its own connection and all idle ones, which have gone the same way, and the
-/// next call opens a fresh one.
+/// A connection can become permanently unresponsive while new ones to the same
+/// server work, because a device on the path lost its connection state. The only
+/// symptom is that calls on it miss their deadlines. A call that fails therefore
+/// drops its own connection and all idle ones, which are likely affected too, and
+/// the next call opens a new one.
 #[derive(Debug)]
 pub struct Client {
     address: net::SocketAddr,
@@ -61,12 +61,12 @@
 }
 
 impl Client {
-    /// A client of the server at `address`. It connects when it is first called.
+    /// Creates a client of the server at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self::metered(address, sync::Arc::default())
     }
 
-    /// The same, whose bytes are counted in `traffic`.
+    /// Creates a client like [`Client::new`] that counts its bytes in `traffic`.
     pub fn metered(address: net::SocketAddr, traffic: sync::Arc<Traffic>) -> Self {
         Self {
             address,
@@ -75,14 +75,14 @@
         }
     }
 
-    /// Sends a request and reads its answer, whatever its status, by `deadline`.
+    /// Sends a request and reads its response, whatever its status, by `deadline`.
     ///
-    /// The request names its path; the header `host` is added.
+    /// The URI of the request is its path; the header `host` is added.
     ///
     /// # Errors
     ///
     /// [`Error::NotRun`] when no byte was sent, [`Error::MayHaveRun`] when the
-    /// answer was lost.
+    /// response was lost.
     pub async fn call(
         &self,
         request: Request<Bytes>,
@@ -91,8 +91,8 @@
         self.exchange(request, Deadline::Fixed(deadline)).await
     }
 
-    /// The same for an answer of any size, which is due at `due` and waited
-    /// for as long as its bytes keep coming ([`Progress::extended_deadline`]).
+    /// Like [`Client::call`], for a response of any size: the deadline is extended
+    /// while its bytes keep arriving ([`Progress::extended_deadline`]).
     ///
     /// # Errors
     ///
@@ -113,8 +113,9 @@
         let request = self.with_host_header(request)?;
         let deadline = response_deadline.first_byte_deadline();
         let mut sender = self.connection(deadline).await?;
-        // A process that was paused here would send the request long after its
-        // caller had a right to: a timer is looked at only after the first step.
+        // Without this check, a process that was paused here would send the request
+        // long after its deadline: a timeout checks its timer only after it has
+        // polled the future once.
         if time::Instant::now() >= deadline {
             return Err(unreachable(self.address, "the deadline has passed"));
         }
@@ -150,7 +151,7 @@
 
     async fn idle_or_new(&self) -> Result<Sender, Error> {
         while let Some(mut sender) = self.take_idle() {
-            // A kept connection that the server has closed is not ready.
+            // An idle connection that the server has closed is not ready.
             if sender.ready().await.is_ok() {
                 return Ok(sender);
             }
@@ -180,12 +181,12 @@
     }
 }
 
-/// Opens a connection, whose task ends when its sender is dropped.
+/// Opens a connection. Its task ends when its sender is dropped.
 async fn connect(address: net::SocketAddr, traffic: &sync::Arc<Traffic>) -> Result<Sender, Error> {
     let stream = TcpStream::connect(address)
         .await
         .map_err(|error| unreachable(address, error))?;
-    // Without it a small request waits for the acknowledgement of the one before.
+    // With Nagle's algorithm, a small request waits for the acknowledgement of the previous one.
     stream
         .set_nodelay(true)
         .map_err(|error| unreachable(address, error))?;
@@ -205,24 +206,24 @@
     Error::NotRun(format!("{address}: {reason}"))
 }
 
-/// Until when an answer is waited for.
+/// The deadline of a response.
 #[derive(Clone, Copy, Debug)]
 enum Deadline {
-    /// All of it has to be there by then.
+    /// The whole response has to be received by then.
     Fixed(time::Instant),
-    /// It is due then, and waited for longer while its bytes come.
+    /// The deadline is extended while bytes of the response keep arriving.
     Extensible(time::Instant),
 }
 
 impl Deadline {
-    /// By when the answer has to begin.
+    /// The deadline for the first byte of the response.
     const fn first_byte_deadline(self) -> time::Instant {
         match self {
             Self::Fixed(deadline) | Self::Extensible(deadline) => deadline,
         }
     }
 
-    /// By when its next bytes have to come.
+    /// The deadline for the next bytes of the response.
     fn next_byte_deadline(self, progress: Progress) -> time::Instant {
         match self {
             Self::Fixed(deadline) => deadline,
@@ -233,13 +234,13 @@
 
 /// Why an exchange failed.
 enum Failure {
-    /// The answer, or more of it, was waited for too long.
+    /// The response, or the next part of it, missed its deadline.
     TimedOut(Progress),
-    /// Anything else.
+    /// Any other error.
     Other(Error),
 }
 
-/// Sends `request` on one connection and reads the whole answer.
+/// Sends `request` on one connection and reads the whole response.
 async fn send_on(
     sender: &mut Sender,
     request: Request<Full<Bytes>>,
@@ -254,7 +255,7 @@
     let response = match sending.map_err(|_| Failure::TimedOut(progress))? {
         Ok(response) => response,
         Err(mut failed) => {
-            // The request comes back only when no byte of it has been sent.
+            // The request is returned only when no byte of it has been sent.
             let unsent = failed.take_message().is_some();
             let reason = failed.into_error().to_string();
             return Err(Failure::Other(if unsent {
@@ -304,7 +305,7 @@
 ///
 /// # Errors
 ///
-/// [`Error::Rejected`] when `path` is no path.
+/// [`Error::Rejected`] when `path` is not a valid URI path.
 pub fn request(method: Method, path: &str, body: Bytes) -> Result<Request<Bytes>, Error> {
     Request::builder()
         .method(method)
@@ -314,7 +315,7 @@
         .map_err(|error| Error::Rejected(error.to_string()))
 }
 
-/// The error that a status other than the expected ones means.
+/// Converts a response with an unexpected status to an error.
 pub(crate) fn status_error(response: &Response) -> Error {
     let text = String::from_utf8_lossy(&response.body);
     let reason: String = text.chars().take(MAX_REASON_CHARS).collect();
@@ -326,20 +327,20 @@
     }
 }
 
-/// The longest part of an unexpected answer that is shown.
+/// The maximum length of the body in the error of an unexpected response, in characters.
 const MAX_REASON_CHARS: usize = 200;
 
-/// Reads the JSON body of an answer.
+/// Parses the JSON body of a response.
 ///
 /// # Errors
 ///
-/// [`Error::MayHaveRun`] when it is not of the expected form.
+/// [`Error::MayHaveRun`] when the body does not have the expected form.
 pub fn parse<T: serde::de::DeserializeOwned>(response: &Response) -> Result<T, Error> {
     serde_json::from_slice(&response.body)
         .map_err(|error| Error::MayHaveRun(format!("unreadable answer: {error}")))
 }
 
-/// A text as one part of a path or query: all but letters, digits and `-._~/` escaped.
+/// Percent-encodes `text` for a path or query: all bytes but letters, digits and `-._~/`.
 pub fn percent_encode(text: &str) -> String {
     use std::fmt::Write;
 
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,12 +1,11 @@
 //! Clients of the platform: table, object store and host list.
 //!
 //! Each service is a small trait ([`table::Table`], [`objects::Objects`],
-//! [`hosts::Hosts`]) with an HTTP client. Tests put a fake in its place.
+//! [`hosts::Hosts`]) with an HTTP client. Tests replace the client by a fake.
 //!
-//! Every call takes the deadline by which it has to be done. A call that
-//! misses it ends with an [`Error`], never waits on. A read whose answer may be
-//! large is waited for beyond its deadline while its bytes keep coming
-//! ([`progress`]).
+//! Every call takes a deadline, and fails with an [`Error`] when it misses it. The
+//! deadline of a read whose response may be large is extended while its bytes
+//! keep arriving ([`progress`]).
 
 mod error;
 pub mod hosts;
--- a/crates/storage/src/objects.rs
+++ b/crates/storage/src/objects.rs
@@ -12,14 +12,14 @@
 
 use crate::{error::Error, http};
 
-/// What must hold for an object to be written.
+/// The condition under which an object is written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Condition {
-    /// Nothing.
+    /// Write unconditionally.
     Always,
-    /// There is no such object yet.
+    /// Write only if the object is absent.
     Absent,
-    /// The object has this entity tag.
+    /// Write only if the object has this entity tag.
     Matches(String),
 }
 
@@ -28,18 +28,18 @@
 pub struct Object {
     /// The content.
     pub body: Bytes,
-    /// The entity tag, empty where the store gives none.
+    /// The entity tag, empty when the store returns none.
     pub tag: String,
 }
 
 /// The object store service.
 pub trait Objects: Send + Sync {
-    /// Reads the object `key`, `None` when it is absent. An answer whose bytes
-    /// keep coming is waited for beyond the deadline.
+    /// Reads the object `key`, `None` when it is absent. The deadline is extended
+    /// while bytes of the response keep arriving.
     ///
     /// # Errors
     ///
-    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no answer by `deadline`.
+    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no response by `deadline`.
     fn get(
         &self,
         key: &str,
@@ -51,7 +51,7 @@
     /// # Errors
     ///
     /// [`Error::Conflict`] when the condition failed, [`Error::NotRun`] when
-    /// nothing was sent, [`Error::MayHaveRun`] when the answer was lost.
+    /// nothing was sent, [`Error::MayHaveRun`] when the response was lost.
     fn put(
         &self,
         key: &str,
@@ -60,7 +60,7 @@
         deadline: time::Instant,
     ) -> impl Future<Output = Result<(), Error>> + Send;
 
-    /// The keys that begin with `prefix`, in order, with the deadline as in [`Objects::get`].
+    /// Lists the keys that begin with `prefix`, in order. The deadline is extended as in [`Objects::get`].
     ///
     /// # Errors
     ///
@@ -79,7 +79,7 @@
 }
 
 impl Client {
-    /// A client of the platform at `address`. It connects when it is first called.
+    /// Creates a client of the platform at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             http: http::Client::new(address),
@@ -142,7 +142,7 @@
     }
 }
 
-/// The header that stands for `condition`.
+/// The request header that expresses `condition`.
 fn condition_header(condition: &Condition) -> Result<Option<(HeaderName, HeaderValue)>, Error> {
     let (name, value) = match condition {
         Condition::Always => return Ok(None),
--- a/crates/storage/src/table.rs
+++ b/crates/storage/src/table.rs
@@ -14,7 +14,7 @@
     traffic::Traffic,
 };
 
-/// A row: a key, a JSON value and a generation that grows with each write.
+/// A row: a key, a JSON value and a generation that increases with each write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Row {
     /// The key.
@@ -25,14 +25,14 @@
     pub generation: revision::Generation,
 }
 
-/// The rows that a scan reads.
+/// The range of rows that a scan reads.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Range {
-    /// What all keys begin with.
+    /// The prefix of all keys.
     pub prefix: String,
-    /// The least key, empty for the first.
+    /// The smallest key; empty to start with the first one.
     pub from: String,
-    /// The most rows, unset for all.
+    /// The maximum number of rows; `None` reads all.
     pub limit: Option<usize>,
 }
 
@@ -41,11 +41,11 @@
 pub struct Check {
     /// The key of the row.
     pub key: String,
-    /// Its generation, zero for a row that must be absent.
+    /// The generation of the row; zero requires the row to be absent.
     pub generation: revision::Generation,
 }
 
-/// A row to be written.
+/// A row to write.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Put {
     /// The key.
@@ -54,14 +54,14 @@
     pub value: serde_json::Value,
 }
 
-/// Writes that take effect all or none, and only if all checks hold.
+/// A set of writes that take effect atomically, and only if all checks hold.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// The conditions.
     pub checks: Vec<Check>,
-    /// The rows to be written.
+    /// The rows to write.
     pub puts: Vec<Put>,
-    /// The keys of the rows to be deleted.
+    /// The keys of the rows to delete.
     pub deletes: Vec<String>,
 }
 
@@ -71,15 +71,15 @@
     ///
     /// # Errors
     ///
-    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no answer by `deadline`.
+    /// [`Error::NotRun`] or [`Error::MayHaveRun`] when there is no response by `deadline`.
     fn read(
         &self,
         key: &str,
         deadline: time::Instant,
     ) -> impl Future<Output = Result<Option<Row>, Error>> + Send;
 
-    /// Reads the rows of `range` in the order of their keys, as they stood at one moment.
-    /// An answer whose bytes keep coming is waited for beyond the deadline.
+    /// Reads a consistent snapshot of the rows of `range`, in the order of their keys.
+    /// The deadline is extended while bytes of the response keep arriving.
     ///
     /// # Errors
     ///
@@ -90,12 +90,12 @@
         deadline: time::Instant,
     ) -> impl Future<Output = Result<Vec<Row>, Error>> + Send;
 
-    /// Carries out `transaction` and gives the generations of its puts.
+    /// Runs `transaction` and returns the generations of its puts, in their order.
     ///
     /// # Errors
     ///
     /// [`Error::Conflict`] when a check failed, [`Error::NotRun`] when nothing
-    /// was sent, [`Error::MayHaveRun`] when the answer was lost.
+    /// was sent, [`Error::MayHaveRun`] when the response was lost.
     fn transact(
         &self,
         transaction: &Transaction,
@@ -103,7 +103,7 @@
     ) -> impl Future<Output = Result<Vec<revision::Generation>, Error>> + Send;
 }
 
-/// The limit that stands for all rows.
+/// The limit of a scan that reads all rows.
 const NO_ROW_LIMIT: usize = u32::MAX as usize;
 
 /// The table service over HTTP.
@@ -113,14 +113,14 @@
 }
 
 impl Client {
-    /// A client of the platform at `address`. It connects when it is first called.
+    /// Creates a client of the platform at `address`. It connects on the first call.
     pub fn new(address: net::SocketAddr) -> Self {
         Self {
             http: http::Client::new(address),
         }
     }
 
-    /// The same, whose bytes are counted in `traffic`.
+    /// Creates a client like [`Client::new`] that counts its bytes in `traffic`.
     pub fn metered(address: net::SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             http: http::Client::metered(address, traffic),
@@ -158,8 +158,8 @@
     }
 
     async fn scan(&self, range: &Range, deadline: time::Instant) -> Result<Vec<Row>, Error> {
-        // Without a limit the service would choose one, and a caller that asked
-        // for all would take the first rows for all.
+        // Without a limit the service applies its own default, and a caller that
+        // requested all rows would mistake the first ones for all.
         let path = format!(
             "/table/scan?prefix={}&from={}&limit={}",
             http::percent_encode(&range.prefix),
--- a/crates/storage/src/traffic.rs
+++ b/crates/storage/src/traffic.rs
@@ -1,4 +1,4 @@
-//! Bytes that connections carry.
+//! Byte counters of connections.
 
 use std::{
     io,
@@ -12,7 +12,7 @@
 
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-/// Counts the bytes that some connections carry, headers of HTTP included.
+/// The bytes transferred on a set of connections, HTTP headers included.
 #[derive(Debug, Default)]
 pub struct Traffic {
     sent: AtomicU64,
@@ -31,7 +31,7 @@
     }
 }
 
-/// A connection whose bytes are counted.
+/// A byte stream that counts what it transfers.
 #[derive(Debug)]
 pub struct Metered<S> {
     stream: S,
--- a/crates/storage/tests/client.rs
+++ b/crates/storage/tests/client.rs
@@ -1,4 +1,4 @@
-//! The clients over a platform that fails.
+//! The clients of a platform that fails.
 
 use std::time::Duration;
 
@@ -14,7 +14,7 @@
 async fn start() -> (stand::Handle, table::Client) {
     let platform = stand::start(stand::Settings::default())
         .await
-        .expect("platform");
+        .expect("the platform starts");
     let table = table::Client::new(platform.address());
     (platform, table)
 }
@@ -70,8 +70,8 @@
     assert_eq!(Ok(None), table.read("c", deadline_in(10_000)).await);
 }
 
-// The service gives a thousand rows to whoever sets no limit. A router that took
-// them for all would serve a configuration with resources missing.
+// The service returns a thousand rows for a scan without a limit. A router that
+// mistook them for all rows would serve a configuration with resources missing.
 #[tokio::test]
 async fn a_scan_without_a_limit_reads_all_rows() {
     let (_platform, table) = start().await;
@@ -110,8 +110,8 @@
     assert_eq!(Ok(vec![String::from("x/1")]), keys);
 }
 
-// A write fails in one of the ways in which the platform fails. Whoever was told
-// that it has not run does it again, so that must be true.
+// A write fails with each fault of the platform. A caller repeats a write that is
+// reported as not run, so it must not have taken effect.
 #[yare::parameterized(
     down = { Fault::Down, false, false },
     crashed = { Fault::Crash, false, false },
@@ -126,7 +126,7 @@
 ) {
     let (platform, table) = start().await;
     platform.fault(fault);
-    // Only a silent platform makes anybody wait for the deadline.
+    // Only with an unresponsive platform does the call last until its deadline.
     let millis = if fault == Fault::Silent { 300 } else { 10_000 };
     let failed = table.transact(&put("a", 0), deadline_in(millis)).await;
     assert_eq!(
@@ -140,16 +140,16 @@
         "{failed:?}"
     );
     if fault == Fault::Crash {
-        platform.restart().await.expect("restart");
+        platform.restart().await.expect("the platform restarts");
     }
     platform.fault(Fault::Normal);
     let row = table.read("a", deadline_in(10_000)).await.unwrap();
     assert_eq!(written, row.is_some());
 }
 
-// Something on the way loses track of all open connections at once, while new
-// ones work. If each had to be found out by a call of its own, a caller would
-// see an outage for as many calls as there were connections.
+// A device on the path loses the state of all open connections at once, while new
+// ones work. If each connection were replaced only after a failed call on it, as many
+// calls would fail as there were connections.
 #[tokio::test]
 async fn one_failed_call_replaces_all_unresponsive_connections() {
     let (platform, table) = start().await;
--- a/crates/storage/tests/hosts.rs
+++ b/crates/storage/tests/hosts.rs
@@ -20,9 +20,9 @@
     }
 }
 
-// Every router asks for the list each second or two. If each answer held the
-// whole list, the polls alone would use up what a router may spend on control
-// traffic, and an operator would see it grow with the deployment.
+// Every router polls the list each second or two. If each response held the whole
+// list, the polls alone would use up a router's budget for control traffic, which
+// would grow with the size of the deployment.
 #[tokio::test]
 async fn polling_an_unchanged_list_transfers_few_bytes() {
     let service = stand::start(stand::Settings::default())
@@ -33,7 +33,7 @@
     let client = Client::metered(service.address(), Arc::clone(&traffic));
     let list = async || {
         let deadline = time::Instant::now() + Duration::from_secs(10);
-        client.list(deadline).await.expect("an answer")
+        client.list(deadline).await.expect("the host list")
     };
     assert_eq!(list().await.len(), 1000);
     let initial_bytes = traffic.received();
--- a/crates/storage/tests/progress.rs
+++ b/crates/storage/tests/progress.rs
@@ -1,4 +1,4 @@
-//! How long answers of any size are waited for.
+//! Deadlines of responses of any size.
 
 use std::time::Duration;
 
@@ -11,12 +11,12 @@
 };
 use tokio::time::Instant;
 
-/// Bytes of an object that a link of 10 Mbit/s carries in eight tenths of a second.
+/// The size of an object that takes 0.8 s on a link of 10 Mbit/s.
 const LARGE: usize = 1_000_000;
 const LINK_BYTES_PER_S: u64 = 1_250_000;
 
-/// What is left of the patience with an answer that was due at `due_ms`, of which
-/// `bytes` have come so far, the last of them at `last_ms`.
+/// Checks the extended deadline of a response with the deadline `deadline_ms`, of which
+/// `bytes` have been received, the last of them at `last_byte_ms`.
 #[yare::parameterized(
     nothing_received = { 1000, 0, 0, 1000 },
     before_the_deadline = { 1000, 300_000, 100, 1000 },
@@ -33,17 +33,19 @@
     assert_eq!(progress.extended_deadline(at(deadline_ms)), at(expected_ms));
 }
 
-/// An object of a platform behind a slow link, and the clients of both.
+/// Starts a platform with a large object, a slow link to it, and a client of the link.
 async fn large_object() -> (stand::Handle, Link, http::Client) {
     let platform = stand::start(stand::Settings::default())
         .await
-        .expect("platform");
-    let link = Link::start(platform.address()).await.expect("a port");
+        .expect("the platform starts");
+    let link = Link::start(platform.address())
+        .await
+        .expect("the link starts");
     let absent = &objects::Condition::Absent;
     objects::Client::new(platform.address())
         .put("x", vec![7; LARGE].into(), absent, deadline_in(10_000))
         .await
-        .expect("it is written");
+        .expect("the object is written");
     link.limit(LINK_BYTES_PER_S);
     let client = http::Client::new(link.address());
     (platform, link, client)
@@ -54,21 +56,21 @@
 }
 
 fn request() -> Request<bytes::Bytes> {
-    http::request(Method::GET, "/objects/x", bytes::Bytes::new()).expect("a path")
+    http::request(Method::GET, "/objects/x", bytes::Bytes::new()).expect("a valid path")
 }
 
-/// Guards against answers that are given up while their bytes still come.
+/// Guards against reads that are aborted while their bytes still arrive.
 #[tokio::test]
 async fn a_response_still_arriving_extends_the_deadline() {
     let (_platform, _link, client) = large_object().await;
     let response = client
         .read(request(), deadline_in(300))
         .await
-        .expect("all of it");
+        .expect("the whole response");
     assert_eq!(response.body.len(), LARGE);
 }
 
-/// Guards against answers on silent connections that are waited for without end.
+/// Guards against reads that wait indefinitely on an unresponsive connection.
 #[tokio::test]
 async fn a_stalled_response_times_out() {
     let (_platform, link, client) = large_object().await;
@@ -85,7 +87,7 @@
     assert!(start.elapsed() >= STALL_TIMEOUT);
 }
 
-/// Guards against callers that wait for longer than they asked for.
+/// Guards against calls that last longer than their deadline.
 #[tokio::test]
 async fn call_does_not_extend_its_deadline() {
     let (_platform, _link, client) = large_object().await;
