--- a/crates/units/src/change.rs
+++ b/crates/units/src/change.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration.
 
 crate::name::identifier! {
-    /// The name that its author gives to a change, so that a repeat is known as one.
+    /// The name that the author gives to a change, by which a repeated submission is recognized.
     Id
 }
--- a/crates/units/src/chat.rs
+++ b/crates/units/src/chat.rs
@@ -1,4 +1,4 @@
-//! Chats that return.
+//! The keys that identify chats.
 
 use std::fmt;
 
@@ -6,14 +6,14 @@
 
 use crate::workspace;
 
-/// A chat, named by the hash of its workspace and its caller's identifier.
+/// The key of a chat: the hash of its workspace and of the caller's chat identifier.
 ///
-/// The hash has no seed, so that every router computes the same key.
+/// The hash is unseeded, so that every router computes the same key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Key(pub u64);
 
 impl Key {
-    /// Computes the key of the chat that `workspace` calls `chat`.
+    /// Computes the key of the chat that `workspace` identifies as `chat`.
     pub fn new(workspace: &workspace::Id, chat: &str) -> Self {
         let mut hasher = xxhash_rust::xxh3::Xxh3Default::new();
         hasher.update(workspace.as_str().as_bytes());
--- a/crates/units/src/cost.rs
+++ b/crates/units/src/cost.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// An amount of work: prompt tokens to compute plus output tokens expected.
+/// The cost of a request: prompt tokens to compute plus expected output tokens.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
--- a/crates/units/src/lib.rs
+++ b/crates/units/src/lib.rs
@@ -1,6 +1,6 @@
 //! Identifiers, sizes and instants shared by all libraries.
 //!
-//! The crate has no I/O and no clock: instants are handed in by the caller.
+//! The crate has no I/O and no clock: callers pass in the instants.
 
 pub mod availability;
 pub mod backend;
--- a/crates/units/src/name.rs
+++ b/crates/units/src/name.rs
@@ -2,10 +2,10 @@
 
 use std::{error, fmt};
 
-/// The longest identifier, in bytes.
+/// The maximum length of an identifier, in bytes.
 pub const MAX_LENGTH: usize = 64;
 
-/// A text that is not an identifier.
+/// The error for a text that is not a valid identifier.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Invalid {
     text: String,
@@ -23,11 +23,11 @@
 
 impl error::Error for Invalid {}
 
-/// Checks that `text` may serve as an identifier.
+/// Checks that `text` is a valid identifier.
 ///
 /// # Errors
 ///
-/// [`Invalid`] when it is empty, too long or holds a character that is not allowed.
+/// [`Invalid`] when it is empty, too long or contains a character that is not allowed.
 pub fn check(text: &str) -> Result<(), Invalid> {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'.' | b'_' | b'-');
     if (1..=MAX_LENGTH).contains(&text.len()) && text.bytes().all(allowed) {
--- a/crates/units/src/request.rs
+++ b/crates/units/src/request.rs
@@ -27,12 +27,12 @@
 }
 
 hex_id! {
-    /// A caller's request, drawn at random by the entry router.
+    /// The identifier of a request, drawn at random by the entry router.
     Id
 }
 
 hex_id! {
-    /// One attempt to run a request, drawn at random by the router that makes it.
+    /// The identifier of one attempt to run a request, drawn at random by the router that makes it.
     Attempt
 }
 
@@ -41,18 +41,18 @@
     Fingerprint
 }
 
-/// How urgent a request is; a higher one is served first.
+/// The priority of a request; a higher one is served first.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "lowercase")]
 pub enum Priority {
-    /// Work that may wait, such as summaries for a research desk.
+    /// Requests that may wait, such as batch summaries.
     Batch,
-    /// Ordinary work.
+    /// Ordinary requests.
     #[default]
     Normal,
-    /// Work that somebody waits for, such as prompts while typing.
+    /// Requests that a user waits for, such as completions while typing.
     Interactive,
 }
 
--- a/crates/units/src/revision.rs
+++ b/crates/units/src/revision.rs
@@ -11,7 +11,7 @@
         pub struct $name(pub u64);
 
         impl $name {
-            /// The one after this.
+            /// The next value.
             pub fn next(self) -> Self {
                 Self(self.0 + 1)
             }
@@ -34,11 +34,11 @@
 }
 
 counter! {
-    /// The revision of the whole configuration; each accepted change makes the next.
+    /// The revision of the whole configuration; each accepted change increments it.
     Id
 }
 
 counter! {
-    /// The generation of one resource or table row; each write makes a higher one. Zero: absent.
+    /// The generation of one resource or table row; each write increases it. Zero means absent.
     Generation
 }
--- a/crates/units/src/time.rs
+++ b/crates/units/src/time.rs
@@ -1,14 +1,14 @@
-//! Instants that do not depend on a clock.
+//! Instants and durations that do not depend on a clock.
 
 use std::{fmt, num, ops, str, time};
 
 use serde::{Deserialize, Serialize};
 
-/// A point in time, in microseconds since an origin of the process's choice.
+/// A point in time, in microseconds since an origin that the process chooses.
 ///
-/// Decision libraries take the present instant as an argument, so that a test
-/// or a bench drives them in virtual time. Instants of two processes are not
-/// comparable; frames carry remaining times instead.
+/// Libraries without I/O take the current instant as an argument, so that tests
+/// and benches can drive them in virtual time. Instants of two processes are not
+/// comparable; messages between processes carry remaining times instead.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -35,7 +35,7 @@
         self.0
     }
 
-    /// The time from `earlier` to this instant, zero when `earlier` is later.
+    /// The time elapsed from `earlier` to this instant, zero when `earlier` is later.
     pub fn since(self, earlier: Self) -> time::Duration {
         time::Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -65,14 +65,14 @@
     }
 }
 
-/// A length of time in whole milliseconds, as settings and protocols name it.
+/// A duration in whole milliseconds, as used in settings and protocols.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Millis(pub u64);
 
 impl Millis {
-    /// The same length as the standard library's type.
+    /// Converts to the duration type of the standard library.
     pub const fn duration(self) -> time::Duration {
         time::Duration::from_millis(self.0)
     }
--- a/crates/verdict/src/lib.rs
+++ b/crates/verdict/src/lib.rs
@@ -5,18 +5,18 @@
 use serde::{Deserialize, Serialize};
 use units::time;
 
-/// Whether a request that got no answer of its own may have run.
+/// Whether a request that was refused, or got no response, may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// No byte of the request reached a backend server. It is safe to repeat.
     NotRun,
-    /// A backend server may have run it, wholly or in part.
+    /// A backend server may have run the request, wholly or in part.
     MayHaveRun,
 }
 
 impl Verdict {
-    /// The verdict on two attempts at the same request.
+    /// The combined verdict on two attempts of the same request.
     pub fn and(self, other: Self) -> Self {
         match (self, other) {
             (Self::NotRun, Self::NotRun) => Self::NotRun,
@@ -52,11 +52,11 @@
     MissingChat,
     /// No route matches.
     UnknownRoute,
-    /// All that may take the request are at their limit.
+    /// Every backend server or queue that could accept the request is at its limit.
     Busy,
-    /// Those that have room for the request are starting, and have had their share.
+    /// The backend servers with free capacity are in slow start and at its limit.
     Cold,
-    /// The workspace is at its own limit.
+    /// The workspace is at its own limit of concurrent requests.
     WorkspaceLimit,
     /// The request could not have been finished by its deadline.
     Deadline,
@@ -70,17 +70,17 @@
     ClaimTaken,
     /// The request is suspected of crashing backend servers.
     Suspect,
-    /// The backend server failed while it had the request.
+    /// The backend server failed while it processed the request.
     BackendFailed,
-    /// The backend server died while it had the request.
+    /// The backend server crashed while it processed the request.
     BackendDied,
-    /// The backend server's answer belonged to another request or was cut short.
+    /// The response of the backend server belonged to another request or was truncated.
     BadAnswer,
-    /// The retry budget is used up.
+    /// The retry budget is exhausted.
     RetryBudget,
-    /// The backend server is not this router's, is leaving or is out.
+    /// This router does not own the backend server, or the server is leaving or ejected.
     Moved,
-    /// Something else failed inside the system.
+    /// Another internal error occurred.
     Internal,
 }
 
@@ -140,21 +140,21 @@
     }
 }
 
-/// The final answer to a request that the system gave up on.
+/// The final response to a request that the system refuses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Refusal {
     /// Whether the request may have run.
     pub verdict: Verdict,
-    /// Why it was refused.
+    /// Why the request was refused.
     pub code: Code,
-    /// What the caller is told, one sentence.
+    /// The message to the caller, one sentence.
     pub message: String,
-    /// When the caller may come back, where waiting helps.
+    /// When the caller may retry; `None` when a later retry does not help.
     pub retry_at: Option<time::Instant>,
 }
 
 impl Refusal {
-    /// A refusal of a request that has not run.
+    /// Creates a refusal of a request that has not run.
     pub fn not_run(code: Code, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::NotRun,
@@ -164,7 +164,7 @@
         }
     }
 
-    /// A refusal of a request that a backend server may have run.
+    /// Creates a refusal of a request that a backend server may have run.
     pub fn may_have_run(code: Code, message: impl Into<String>) -> Self {
         Self {
             verdict: Verdict::MayHaveRun,
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The same refusal with the instant to come back at.
+    /// Sets the instant at which the caller may retry.
     pub fn retry_at(self, instant: time::Instant) -> Self {
         Self {
             retry_at: Some(instant),
