--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -1,10 +1,10 @@
-//! Entry routers that decide with [`gateway::queue::ServiceQueue`] and tell each other their loads.
+//! Entry routers that decide with [`gateway::queue::Queue`] and tell each other their loads.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use gateway::{
     pool::{Demand, Fleet, Outcome, Part, Placement, Pool},
-    queue::{Admission, QueueRequest, ServiceQueue},
+    queue::{Admission, Queue, Request},
     roster, route,
     settings::Bounds,
 };
@@ -30,7 +30,7 @@
     load_multiple: 2.0,
     cold_multiple: 1.5,
     cold_extra: 5.0,
-    repeats: gateway::retry_budget::Allowance {
+    retries: gateway::retry_budget::Allowance {
         ratio: 0.2,
         burst: 50.0,
         window_s: 10,
@@ -62,7 +62,7 @@
 /// Routers that decide with a pool of their own.
 #[derive(Debug)]
 pub struct Entry {
-    queues: Vec<ServiceQueue>,
+    queues: Vec<Queue>,
     fleets: Vec<Fleet>,
     /// Requests in flight by router and engine.
     running: Vec<Vec<u32>>,
@@ -83,7 +83,7 @@
                 cache_tokens: 1,
             });
             set_servers(&mut pool, core, core.known(router));
-            ServiceQueue::new(pool)
+            Queue::new(pool)
         });
         let host = |router| -> host::Id {
             let name = format!("router-{router:02}");
@@ -125,7 +125,7 @@
             self.give_up(core, request);
             return;
         }
-        let queue_request = QueueRequest {
+        let queue_request = Request {
             attempt: request::Attempt(request as u64),
             workspace: self.workspaces[usize::from(arrival.workspace)].clone(),
             cost: Cost(u64::from(arrival.prompt) + u64::from(arrival.output) * OUTPUT_TOKEN),
@@ -238,7 +238,7 @@
                 slots: core.deployment.engine.capacity,
                 is_draining: false,
                 cold_until: Instant::ZERO,
-                born: 0,
+                incarnation: 0,
                 revision: 0,
             };
             (entry, member.state == topology::State::Excluded)
--- a/crates/gateway/benches/place.rs
+++ b/crates/gateway/benches/place.rs
@@ -26,7 +26,7 @@
         slots: 24,
         is_draining: false,
         cold_until: Instant::ZERO,
-        born: 1,
+        incarnation: 1,
         revision: 1,
     }
 }
@@ -83,13 +83,13 @@
             bencher.iter(|| {
                 number += 1;
                 let demand = demand(number);
-                let place = pool.admit(&demand, &fleet, NOW).expect("a place");
-                if let Some(server) = pool.server_mut(&place.server) {
-                    server.end_prefill(place.uncached);
+                let placement = pool.admit(&demand, &fleet, NOW).expect("a place");
+                if let Some(server) = pool.server_mut(&placement.server) {
+                    server.end_prefill(placement.uncached);
                     server.record_cached(&demand.parts, NOW);
                 }
-                pool.ended(&place.server, Outcome::Completed, NOW);
-                hint::black_box(place.load)
+                pool.ended(&placement.server, Outcome::Completed, NOW);
+                hint::black_box(placement.load)
             });
         });
     }
--- a/crates/gateway/examples/control_bytes.rs
+++ b/crates/gateway/examples/control_bytes.rs
@@ -29,14 +29,14 @@
 use wire::seal::{Boot, Key};
 
 /// How long routers talk before it is counted, and for how long it is.
-const SETTLE: Duration = Duration::from_secs(15);
-const COUNT: Duration = Duration::from_secs(10);
+const WARM_UP: Duration = Duration::from_secs(15);
+const MEASUREMENT: Duration = Duration::from_secs(10);
 /// How long a request is at its server.
-const REQUEST: Duration = Duration::from_millis(900);
+const REQUEST_DURATION: Duration = Duration::from_millis(900);
 /// The share of requests whose prompt their server had not read for any router.
-const NEW_PROMPTS: f64 = 0.1;
+const NEW_PROMPT_RATIO: f64 = 0.1;
 /// The length of such a prompt, in tokens.
-const PROMPT: u32 = 10_000;
+const PROMPT_TOKENS: u32 = 10_000;
 
 /// One fleet.
 struct Size {
@@ -71,9 +71,9 @@
 
 /// A store that knows nothing and does not change.
 #[derive(Clone)]
-struct Still;
+struct StaticSource;
 
-impl Source for Still {
+impl Source for StaticSource {
     async fn read(&self, _: Topic, _: time::Instant) -> Result<Batch, source::Error> {
         Ok(Batch {
             rows: Vec::new(),
@@ -117,7 +117,7 @@
     }
 }
 
-fn name(server: usize) -> String {
+fn server_name(server: usize) -> String {
     format!("i-{server:010x}")
 }
 
@@ -127,8 +127,8 @@
     clock: Clock,
     rate: f64,
     next_at: Instant,
-    running: VecDeque<(usize, Instant)>,
-    tallies: Vec<outlier::OutcomeTracker>,
+    in_flight: VecDeque<(usize, Instant)>,
+    trackers: Vec<outlier::OutcomeTracker>,
     prefixes: prefixes::PrefixUpdates,
 }
 
@@ -139,32 +139,33 @@
             clock,
             rate: size.rate,
             next_at: clock.now(),
-            running: VecDeque::new(),
-            tallies: vec![outlier::OutcomeTracker::default(); size.servers],
+            in_flight: VecDeque::new(),
+            trackers: vec![outlier::OutcomeTracker::default(); size.servers],
             prefixes: prefixes::PrefixUpdates::default(),
         }
     }
 
-    fn news(&mut self) -> dispatch::PeerUpdate {
+    fn peer_update(&mut self) -> dispatch::PeerUpdate {
         let now = self.clock.now();
         while self.next_at <= now {
-            let server = self.random.random_range(0..self.tallies.len());
-            self.running.push_back((server, self.next_at + REQUEST));
-            if self.random.random_bool(NEW_PROMPTS) {
-                self.read(server, now);
+            let server = self.random.random_range(0..self.trackers.len());
+            self.in_flight
+                .push_back((server, self.next_at + REQUEST_DURATION));
+            if self.random.random_bool(NEW_PROMPT_RATIO) {
+                self.record_cached(server, now);
             }
             let gap = -self.random.random::<f64>().max(1e-9).ln() / self.rate;
             self.next_at = self.next_at + Duration::from_secs_f64(gap);
         }
-        while let Some((server, end)) = self.running.pop_front_if(|(_, end)| *end <= now) {
-            self.tallies[server].record(self.random.random_bool(0.02), end);
+        while let Some((server, end)) = self.in_flight.pop_front_if(|(_, end)| *end <= now) {
+            self.trackers[server].record(self.random.random_bool(0.02), end);
         }
-        let loads = self.tallies.iter().enumerate().map(|(server, tally)| {
-            let running = self.running.iter().filter(|(at, _)| *at == server);
+        let loads = self.trackers.iter().enumerate().map(|(server, tracker)| {
+            let in_flight = self.in_flight.iter().filter(|(at, _)| *at == server);
             dispatch::Load {
-                server: name(server).parse().expect("a name"),
-                running: u32::try_from(running.count()).expect("few"),
-                outcomes: tally.counts(now),
+                server: server_name(server).parse().expect("a name"),
+                running: u32::try_from(in_flight.count()).expect("few"),
+                outcomes: tracker.counts(now),
             }
         });
         let loads = loads.filter(|load| load.running > 0 || !load.outcomes.is_empty());
@@ -176,25 +177,25 @@
     }
 
     /// A server has read a prompt that no other has.
-    fn read(&mut self, server: usize, now: Instant) {
+    fn record_cached(&mut self, server: usize, now: Instant) {
         let part = pool::Part {
             key: chat::Key(self.random.random()),
-            tokens: PROMPT,
+            tokens: PROMPT_TOKENS,
         };
-        let name = name(server).parse().expect("a name");
+        let name = server_name(server).parse().expect("a name");
         self.prefixes.record(load::Load::hash(&name), &part, now);
     }
 
     async fn run(mut self, mut messages: mpsc::UnboundedReceiver<dispatch::Message>) {
         while let Some(message) = messages.recv().await {
             if let dispatch::Message::PeerUpdate(reply) = message {
-                drop(reply.send(self.news()));
+                drop(reply.send(self.peer_update()));
             }
         }
     }
 }
 
-async fn socket() -> io::Result<(Member, peers::Sockets)> {
+async fn bind() -> io::Result<(Member, peers::Sockets)> {
     let digests = UdpSocket::bind((Ipv4Addr::LOCALHOST, 0)).await?;
     let address: SocketAddr = digests.local_addr()?;
     let member = Member {
@@ -215,7 +216,7 @@
     let mut members = Vec::new();
     let mut sockets = Vec::new();
     for index in 0..size.routers {
-        let (mut member, socket) = socket().await?;
+        let (mut member, socket) = bind().await?;
         let zone = index % size.zones;
         member.host = format!("edge-zone-{zone}-{}", index / size.zones)
             .parse()
@@ -225,19 +226,19 @@
         sockets.push(socket);
     }
     let (_members_sender, members_receiver) = watch::channel(Arc::new(members.clone()));
-    let (_mirrors_sender, replicas) = watch::channel(Arc::default());
-    let (_served_sender, is_store_reachable) = watch::channel(true);
-    let mut counted = Vec::new();
+    let (_replicas_sender, replicas) = watch::channel(Arc::default());
+    let (_store_reachable_sender, is_store_reachable) = watch::channel(true);
+    let mut all_metrics = Vec::new();
     let mut tasks = Vec::new();
     for (index, (own, sockets)) in members.into_iter().zip(sockets).enumerate() {
         let metrics = Arc::new(Metrics::default());
-        counted.push(Arc::clone(&metrics));
+        all_metrics.push(Arc::clone(&metrics));
         let (dispatch, messages) = mpsc::unbounded_channel();
         let requests = Requests::new(size, index as u64, clock);
         tasks.push(tokio::spawn(requests.run(messages)));
-        let (events, mut taken) = mpsc::channel(64);
+        let (events, mut event_receiver) = mpsc::channel(64);
         tasks.push(tokio::spawn(async move {
-            while taken.recv().await.is_some() {}
+            while event_receiver.recv().await.is_some() {}
         }));
         let inputs = peers::Inputs {
             own,
@@ -257,23 +258,28 @@
             boot: Boot(index as u64 + 1),
         };
         tasks.push(tokio::spawn(peers::run(
-            clock, Still, sockets, secret, inputs, outputs,
+            clock,
+            StaticSource,
+            sockets,
+            secret,
+            inputs,
+            outputs,
         )));
         // Processes do not all start in the same millisecond.
         time::sleep(Duration::from_millis(1)).await;
     }
-    time::sleep(SETTLE).await;
-    let before: Vec<_> = counted
+    time::sleep(WARM_UP).await;
+    let before: Vec<_> = all_metrics
         .iter()
         .map(|metrics| metrics.control_bytes())
         .collect();
-    time::sleep(COUNT).await;
-    let mut rates: Vec<_> = counted
+    time::sleep(MEASUREMENT).await;
+    let mut rates: Vec<_> = all_metrics
         .iter()
         .zip(before)
         .map(|(metrics, (sent, received))| {
             let (sent_now, received_now) = metrics.control_bytes();
-            let seconds = COUNT.as_secs();
+            let seconds = MEASUREMENT.as_secs();
             (
                 (sent_now - sent) / seconds,
                 (received_now - received) / seconds,
@@ -284,11 +290,11 @@
         task.abort();
     }
     rates.sort_by_key(|(sent, received)| sent + received);
-    let middle = rates[rates.len() / 2];
+    let median = rates[rates.len() / 2];
     let busiest = rates[rates.len() - 1];
     println!(
         "routers={} servers={} rate={} middle_sent={} middle_received={} busiest_sent={} busiest_received={}",
-        size.routers, size.servers, size.rate, middle.0, middle.1, busiest.0, busiest.1
+        size.routers, size.servers, size.rate, median.0, median.1, busiest.0, busiest.1
     );
     Ok(())
 }
--- a/crates/gateway/src/activity.rs
+++ b/crates/gateway/src/activity.rs
@@ -25,27 +25,27 @@
 #[derive(Debug)]
 pub struct Activity {
     clock: Clock,
-    running: AtomicU32,
+    in_flight: AtomicU32,
     idle_since_us: AtomicU64,
     head_since_us: AtomicU64,
-    head_began: Notify,
+    head_started: Notify,
 }
 
 impl Activity {
     /// A connection that was just opened.
     pub fn new(clock: Clock) -> Self {
         Self {
-            running: AtomicU32::new(0),
+            in_flight: AtomicU32::new(0),
             idle_since_us: AtomicU64::new(clock.now().as_micros()),
             head_since_us: AtomicU64::new(NONE),
-            head_began: Notify::new(),
+            head_started: Notify::new(),
             clock,
         }
     }
 
     /// Since when nothing has run on the connection; `None` while something does.
     pub fn idle_since(&self) -> Option<Instant> {
-        if self.running.load(Ordering::Relaxed) > 0 {
+        if self.in_flight.load(Ordering::Relaxed) > 0 {
             return None;
         }
         let idle_since = self.idle_since_us.load(Ordering::Relaxed);
@@ -59,8 +59,8 @@
     }
 
     /// Waits until a head begins.
-    pub async fn head_began(&self) {
-        self.head_began.notified().await;
+    pub async fn head_started(&self) {
+        self.head_started.notified().await;
     }
 
     fn received(&self) {
@@ -69,39 +69,39 @@
         }
         let now = self.clock.now().as_micros();
         self.head_since_us.store(now, Ordering::Relaxed);
-        self.head_began.notify_one();
+        self.head_started.notify_one();
     }
 }
 
 /// Keeps a connection from counting as idle while its request is served.
 #[derive(Debug)]
-pub struct Busy(Arc<Activity>);
+pub struct Guard(Arc<Activity>);
 
-impl Busy {
+impl Guard {
     /// A request whose head has come.
     pub fn new(activity: &Arc<Activity>) -> Self {
-        activity.running.fetch_add(1, Ordering::Relaxed);
+        activity.in_flight.fetch_add(1, Ordering::Relaxed);
         activity.head_since_us.store(NONE, Ordering::Relaxed);
         Self(Arc::clone(activity))
     }
 }
 
-impl Drop for Busy {
+impl Drop for Guard {
     fn drop(&mut self) {
         let now = self.0.clock.now().as_micros();
         self.0.idle_since_us.store(now, Ordering::Relaxed);
-        self.0.running.fetch_sub(1, Ordering::Relaxed);
+        self.0.in_flight.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 /// A connection whose received bytes are noticed.
 #[derive(Debug)]
-pub struct Heard<S> {
+pub struct Tracked<S> {
     stream: S,
     activity: Arc<Activity>,
 }
 
-impl<S> Heard<S> {
+impl<S> Tracked<S> {
     /// Notes in `activity` when bytes come on `stream`.
     pub fn new(stream: S, activity: Arc<Activity>) -> Self {
         Self { stream, activity }
@@ -113,7 +113,7 @@
     }
 }
 
-impl<S: AsyncRead + Unpin> AsyncRead for Heard<S> {
+impl<S: AsyncRead + Unpin> AsyncRead for Tracked<S> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -128,7 +128,7 @@
     }
 }
 
-impl<S: AsyncWrite + Unpin> AsyncWrite for Heard<S> {
+impl<S: AsyncWrite + Unpin> AsyncWrite for Tracked<S> {
     fn poll_write(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -14,12 +14,12 @@
     connection::{Connection, Failure},
     dispatch::Permit,
     pool::Outcome,
-    protocol::{Judgement, Protocol},
+    protocol::{Classification, Protocol},
 };
 
 /// The head of a server's answer, and what is needed to follow it to its end.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Its status and headers.
     pub head: response::Parts,
     /// Its body, of which nothing has been read.
@@ -34,7 +34,7 @@
 #[derive(Debug)]
 pub enum End {
     /// The server's own answer begins.
-    Answered(Box<Answer>),
+    Responded(Box<Response>),
     /// No byte of the request was sent.
     Unsent(String),
     /// The server is full and has not run the request.
@@ -44,7 +44,7 @@
     /// The server may have run the request, and there is no answer.
     Broken(String),
     /// The time is up, and the server may have run the request.
-    Late,
+    TimedOut,
 }
 
 /// Sends a request on a new connection and waits for the head of its answer.
@@ -60,13 +60,14 @@
     clock: Clock,
     deadline: Instant,
 ) -> End {
-    let place = permit.placement();
-    let limit = clock.remaining(deadline.min(place.connect_deadline));
-    let opened = Connection::within(place.address, Arc::<Traffic>::default(), limit).await;
-    let mut connection = match opened {
+    let placement = permit.placement();
+    let timeout = clock.remaining(deadline.min(placement.connect_deadline));
+    let connected =
+        Connection::with_timeout(placement.address, Arc::<Traffic>::default(), timeout).await;
+    let mut connection = match connected {
         Ok(connection) => connection,
         Err(error) => {
-            permit.end(unreached(&error));
+            permit.end(connect_failure(&error));
             return End::Unsent(error.to_string());
         }
     };
@@ -78,7 +79,7 @@
     }
     let sent = time::timeout_at(clock.at(deadline), connection.send(request)).await;
     match sent {
-        Err(_) => End::Late,
+        Err(_) => End::TimedOut,
         Ok(Err(Failure::Unsent(_))) => {
             permit.end(Outcome::Unreachable);
             End::Unsent(String::from("closed before the request was sent"))
@@ -89,37 +90,42 @@
         }
         Ok(Ok(response)) => {
             let (head, body) = response.into_parts();
-            let judgement = protocol.judge(id, head.status, &head.headers);
-            judged(judgement, head, body, permit)
+            let classification = protocol.classify(id, head.status, &head.headers);
+            end_attempt(classification, head, body, permit)
         }
     }
 }
 
 /// What an attempt to connect says of the server.
-fn unreached(error: &io::Error) -> Outcome {
+fn connect_failure(error: &io::Error) -> Outcome {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => Outcome::Refused,
         _ => Outcome::Unreachable,
     }
 }
 
-fn judged(judgement: Judgement, head: response::Parts, body: Incoming, permit: Permit) -> End {
-    match judgement {
-        Judgement::Answer | Judgement::Failure => End::Answered(Box::new(Answer {
+fn end_attempt(
+    classification: Classification,
+    head: response::Parts,
+    body: Incoming,
+    permit: Permit,
+) -> End {
+    match classification {
+        Classification::Response | Classification::Failure => End::Responded(Box::new(Response {
             head,
             body,
             permit: Some(permit),
-            is_failure: judgement == Judgement::Failure,
+            is_failure: classification == Classification::Failure,
         })),
-        Judgement::Full | Judgement::NotRun => {
+        Classification::Full | Classification::NotRun => {
             permit.end(Outcome::Full);
             End::Full
         }
-        Judgement::Moved => {
+        Classification::Moved => {
             permit.end(Outcome::Moved);
             End::Moved
         }
-        Judgement::Foreign => {
+        Classification::Foreign => {
             permit.end(Outcome::Failed);
             End::Broken(String::from("the answer does not belong to the request"))
         }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -15,7 +15,7 @@
 ///
 /// A path that lost track of a connection swallows bytes in silence; the
 /// kernel gives the connection up after this long.
-const UNACKNOWLEDGED: Duration = Duration::from_millis(1500);
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A connection to a backend server that carries one request at a time.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     ///
     /// As [`Connection::open`].
     pub async fn metered(address: net::SocketAddr, traffic: Arc<Traffic>) -> io::Result<Self> {
-        Self::within(address, traffic, CONNECT_TIMEOUT).await
+        Self::with_timeout(address, traffic, CONNECT_TIMEOUT).await
     }
 
     /// The same, with a time limit of its own.
@@ -47,14 +47,14 @@
     /// # Errors
     ///
     /// As [`Connection::open`].
-    pub async fn within(
+    pub async fn with_timeout(
         address: net::SocketAddr,
         traffic: Arc<Traffic>,
-        limit: Duration,
+        timeout: Duration,
     ) -> io::Result<Self> {
-        let stream = time::timeout(limit, TcpStream::connect(address)).await??;
+        let stream = time::timeout(timeout, TcpStream::connect(address)).await??;
         stream.set_nodelay(true)?;
-        socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(UNACKNOWLEDGED))?;
+        socket2::SockRef::from(&stream).set_tcp_user_timeout(Some(ACKNOWLEDGEMENT_TIMEOUT))?;
         let stream = Metered::new(stream, traffic);
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
             .await
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -25,7 +25,7 @@
 struct BrokenRequest {
     fingerprint: Fingerprint,
     server: backend::Server,
-    born: u64,
+    incarnation: u64,
     began_at: Instant,
     expires_at: Instant,
 }
@@ -35,13 +35,13 @@
 /// A broken connection alone is weak evidence, since connections are reset for many
 /// reasons. It counts once the server refuses connections or restarts.
 #[derive(Debug)]
-pub struct CrashTracker {
+pub struct Tracker {
     suspects: Suspects,
     broken: Vec<BrokenRequest>,
     recent_strikes: Vec<(Strike, Instant)>,
 }
 
-impl Default for CrashTracker {
+impl Default for Tracker {
     fn default() -> Self {
         let settings = recovery::Settings {
             refuse_at_strikes: STRIKE_LIMIT,
@@ -55,7 +55,7 @@
     }
 }
 
-impl CrashTracker {
+impl Tracker {
     /// Whether a request is refused because it is suspected of having crashed several
     /// servers.
     pub fn is_refused(&self, fingerprint: Fingerprint, now: Instant) -> bool {
@@ -71,7 +71,7 @@
         &mut self,
         fingerprint: Fingerprint,
         server: &backend::Server,
-        born: u64,
+        incarnation: u64,
         began_at: Instant,
         now: Instant,
     ) {
@@ -79,7 +79,7 @@
         self.broken.push(BrokenRequest {
             fingerprint,
             server: server.clone(),
-            born,
+            incarnation,
             began_at,
             expires_at: now + CONFIRM_WITHIN,
         });
@@ -90,13 +90,20 @@
         self.suspects.record_completion(fingerprint);
     }
 
-    /// Records that the incarnation `born` of a server has ended. Returns the number of
+    /// Records that the incarnation `incarnation` of a server has ended. Returns the number of
     /// requests that get a strike for it.
-    pub fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) -> usize {
-        let matches = |request: &BrokenRequest| request.server == *server && request.born == born;
+    pub fn record_death(
+        &mut self,
+        server: &backend::Server,
+        incarnation: u64,
+        now: Instant,
+    ) -> usize {
+        let matches = |request: &BrokenRequest| {
+            request.server == *server && request.incarnation == incarnation
+        };
         let (matching, rest): (Vec<_>, Vec<_>) = self.broken.drain(..).partition(matches);
         self.broken = rest;
-        let crash = Crash::new(server, born);
+        let crash = Crash::new(server, incarnation);
         let mut count = 0;
         for request in matching.iter().filter(|request| now < request.expires_at) {
             let strike = Strike {
--- a/crates/gateway/src/dispatch.rs
+++ b/crates/gateway/src/dispatch.rs
@@ -19,14 +19,13 @@
 
 use crate::{
     clock::Clock,
-    crashes::CrashTracker,
-    load,
+    crashes, load,
     metrics::Metrics,
     pause,
     pool::{Fleet, Outcome, Part, Placement, Pool},
     prefixes::{self, PrefixUpdates},
-    queue::{Admission, QueueRequest, ServiceQueue},
-    retry_budget::RetryBudget,
+    queue::{self, Admission, Queue},
+    retry_budget,
     roster::Roster,
     route::Table,
     settings::{Bounds, Settings},
@@ -50,8 +49,8 @@
     settings: Settings,
     sender: mpsc::UnboundedSender<Message>,
     table: Arc<Table>,
-    queues: BTreeMap<pool::Id, ServiceQueue>,
-    retry_budgets: HashMap<pool::Id, RetryBudget>,
+    queues: BTreeMap<pool::Id, Queue>,
+    retry_budgets: HashMap<pool::Id, retry_budget::Budget>,
     fleet: Fleet,
     pending: HashMap<request::Attempt, (AcquireRequest, Reply)>,
     attempts: u64,
@@ -60,10 +59,10 @@
     /// `aggregate_until`.
     aggregate: Vec<load::Load>,
     aggregate_until: Instant,
-    crashes: CrashTracker,
+    crashes: crashes::Tracker,
     /// Prefixes that servers have cached for requests of this router.
     prefixes: PrefixUpdates,
-    pauses: pause::Watch,
+    pauses: pause::Detector,
 }
 
 impl Dispatch {
@@ -95,16 +94,16 @@
             peer_loads: BTreeMap::new(),
             aggregate: Vec::new(),
             aggregate_until: Instant::ZERO,
-            crashes: CrashTracker::default(),
+            crashes: crashes::Tracker::default(),
             prefixes: PrefixUpdates::default(),
-            pauses: pause::Watch::default(),
+            pauses: pause::Detector::default(),
         };
         (dispatch, sender, messages)
     }
 
     /// Runs until all senders of messages are dropped.
     pub async fn run(mut self, mut messages: mpsc::UnboundedReceiver<Message>) {
-        let mut pause_checks = time::interval(pause::LOOK);
+        let mut pause_checks = time::interval(pause::CHECK_INTERVAL);
         pause_checks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
         loop {
             let wake = self.next_wake();
@@ -123,7 +122,7 @@
     /// Detects that the process was paused. The state of all servers is stale after
     /// that.
     fn detect_pause(&mut self, now: Instant) {
-        let Some(pause) = self.pauses.look(now) else {
+        let Some(pause) = self.pauses.check(now) else {
             return;
         };
         let until = now + COLD_AFTER_PAUSE;
@@ -134,10 +133,7 @@
     }
 
     fn next_wake(&self) -> Option<Instant> {
-        self.queues
-            .values()
-            .filter_map(ServiceQueue::next_wake)
-            .min()
+        self.queues.values().filter_map(Queue::next_wake).min()
     }
 
     /// Processes one message.
@@ -191,7 +187,7 @@
             return;
         };
         self.attempts += 1;
-        let queue_request = QueueRequest {
+        let queue_request = queue::Request {
             attempt: request::Attempt(self.attempts),
             workspace: request.workspace.clone(),
             cost: request.cost,
@@ -219,10 +215,10 @@
         members > 0 && self.retry_budget(pool, now).withdraw(members, now)
     }
 
-    fn retry_budget(&mut self, pool: &pool::Id, now: Instant) -> &mut RetryBudget {
+    fn retry_budget(&mut self, pool: &pool::Id, now: Instant) -> &mut retry_budget::Budget {
         let members = self.fleet.members.len();
-        let allowance = self.settings.bounds.repeats;
-        let retry_budget = || RetryBudget::new(allowance, members, now);
+        let allowance = self.settings.bounds.retries;
+        let retry_budget = || retry_budget::Budget::new(allowance, members, now);
         self.retry_budgets
             .entry(pool.clone())
             .or_insert_with(retry_budget)
@@ -236,7 +232,7 @@
         let ticket = Ticket {
             pool: request.pool,
             server: placement.server.clone(),
-            born: placement.born,
+            incarnation: placement.incarnation,
             uncached: placement.uncached,
             parts: request.demand.parts,
             workspace: request.workspace,
@@ -295,7 +291,7 @@
             return;
         };
         server.end_prefill(ticket.uncached);
-        if server.born() == ticket.born {
+        if server.incarnation() == ticket.incarnation {
             if let Some(part) = prefixes::shared_part(&ticket.parts)
                 && !server.has_cached(part, now)
             {
@@ -327,7 +323,7 @@
         }
         let standing = queue.ended(&ticket.server, &ticket.workspace, outcome, now);
         if let Some(standing) = standing {
-            self.metrics.stands(standing);
+            self.metrics.standing_changed(standing);
             logging::event!(
                 info,
                 "server_standing",
@@ -343,44 +339,49 @@
     fn record_crash(&mut self, ticket: &Ticket, outcome: Outcome, now: Instant) {
         match outcome {
             Outcome::Broken => {
-                let (server, born) = (&ticket.server, ticket.born);
-                self.crashes
-                    .record_broken(ticket.fingerprint, server, born, ticket.sent_at, now);
+                let (server, incarnation) = (&ticket.server, ticket.incarnation);
+                self.crashes.record_broken(
+                    ticket.fingerprint,
+                    server,
+                    incarnation,
+                    ticket.sent_at,
+                    now,
+                );
             }
             Outcome::Refused | Outcome::Unreachable => {
-                self.record_death(&ticket.server, ticket.born, now);
+                self.record_death(&ticket.server, ticket.incarnation, now);
             }
             Outcome::Completed => self.crashes.record_completed(ticket.fingerprint),
             Outcome::Failed | Outcome::Moved | Outcome::Full | Outcome::Cancelled => {}
         }
     }
 
-    fn record_death(&mut self, server: &backend::Server, born: u64, now: Instant) {
-        let count = self.crashes.record_death(server, born, now);
+    fn record_death(&mut self, server: &backend::Server, incarnation: u64, now: Instant) {
+        let count = self.crashes.record_death(server, incarnation, now);
         if count > 0 {
             logging::event!(info, "server_died", server = server, requests = count);
         }
     }
 
     /// Records the end of incarnations that the roster no longer lists.
-    fn record_ended_starts(&mut self, roster: &Roster) {
+    fn record_ended_incarnations(&mut self, roster: &Roster) {
         let now = self.clock.now();
-        let starts = roster.starts();
+        let incarnations = roster.incarnations();
         let servers = self
             .queues
             .values()
             .flat_map(|queue| queue.pool().servers());
         let ended: Vec<_> = servers
-            .filter(|server| starts.get(server.name()) != Some(&server.born()))
-            .map(|server| (server.name().clone(), server.born()))
+            .filter(|server| incarnations.get(server.name()) != Some(&server.incarnation()))
+            .map(|server| (server.name().clone(), server.incarnation()))
             .collect();
-        for (server, born) in ended {
-            self.record_death(&server, born, now);
+        for (server, incarnation) in ended {
+            self.record_death(&server, incarnation, now);
         }
     }
 
     fn set_roster(&mut self, roster: &Roster) {
-        self.record_ended_starts(roster);
+        self.record_ended_incarnations(roster);
         let mut names: Vec<pool::Id> = self.queues.keys().cloned().collect();
         names.extend(roster.all().map(|(entry, _)| entry.pool.clone()));
         names.sort_unstable();
@@ -391,7 +392,7 @@
                 if let Some(service) = self.table.services.get(&name) {
                     pool.set_service(service.clone());
                 }
-                ServiceQueue::new(pool)
+                Queue::new(pool)
             });
             queue
                 .pool_mut()
@@ -427,14 +428,14 @@
                 status::Row::new(name, server, bound, standing, now)
             })
         });
-        let waiting = self.queues.iter();
+        let queued = self.queues.iter();
         status::Report {
             servers: rows.collect(),
-            waiting: waiting
+            queued: queued
                 .map(|(name, queue)| (name.clone(), queue.len()))
                 .collect(),
             members: self.fleet.members.len(),
-            heard: self.peer_loads.len(),
+            reporting_peers: self.peer_loads.len(),
         }
     }
 }
--- a/crates/gateway/src/dispatch/message.rs
+++ b/crates/gateway/src/dispatch/message.rs
@@ -118,7 +118,7 @@
     /// The server.
     pub server: backend::Server,
     /// The incarnation of the server for which the request was meant.
-    pub born: u64,
+    pub incarnation: u64,
     /// Prompt tokens that were not known to be cached at the server.
     pub uncached: Cost,
     /// The prompt.
--- a/crates/gateway/src/dispatch/peers.rs
+++ b/crates/gateway/src/dispatch/peers.rs
@@ -48,7 +48,7 @@
             let pool = queue.pool_mut();
             pool.set_peer_state(|hash| sums.get(&hash).copied().unwrap_or_default());
             for (server, outcomes) in pool.detect_outliers(now) {
-                self.metrics.stands(Standing::Ejected);
+                self.metrics.standing_changed(Standing::Ejected);
                 logging::event!(
                     info,
                     "server_judged",
--- a/crates/gateway/src/follow.rs
+++ b/crates/gateway/src/follow.rs
@@ -130,19 +130,19 @@
     async fn handle_result(&mut self, result: Result<Batch, Error>) {
         match result {
             Ok(batch) => {
-                self.metrics.called(self.topic.name(), "ok");
+                self.metrics.store_called(self.topic.name(), "ok");
                 self.is_store_reachable.send_replace(true);
                 self.record_success().await;
                 self.after = self.after.max(Some(batch.version));
                 self.emit(Event::Batch(self.topic, batch)).await;
             }
             Err(Error::Compacted) => {
-                self.metrics.called(self.topic.name(), "history_gone");
+                self.metrics.store_called(self.topic.name(), "history_gone");
                 logging::event!(info, "store_history_gone", topic = self.topic);
                 self.after = None;
             }
             Err(Error::Unavailable(reason)) => {
-                self.metrics.called(self.topic.name(), "failed");
+                self.metrics.store_called(self.topic.name(), "failed");
                 self.record_failure(&reason).await;
             }
         }
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -4,7 +4,7 @@
 use smallvec::SmallVec;
 
 /// Headers of one connection, whatever its `Connection` header names.
-const HOP: [&str; 9] = [
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -25,7 +25,7 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in HOP {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     for name in named {
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -20,7 +20,7 @@
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// What stands for the first part of a frame that has none.
-const EMPTY: &[u8] = &[];
+const EMPTY_PART: &[u8] = &[];
 
 /// Why a link broke.
 #[derive(Debug)]
@@ -87,7 +87,7 @@
     pub async fn connect(address: net::SocketAddr, key: &seal::Key) -> Result<Self, Error> {
         let connected = async {
             let stream = TcpStream::connect(address).await?;
-            Self::shake_hands(stream, key, seal::Role::Client).await
+            Self::handshake(stream, key, seal::Role::Client).await
         };
         time::timeout(CONNECT_TIMEOUT, connected)
             .await
@@ -100,13 +100,13 @@
     ///
     /// When the peer does not finish the handshake in time.
     pub async fn accept(stream: TcpStream, key: &seal::Key) -> Result<Self, Error> {
-        let shaken = Self::shake_hands(stream, key, seal::Role::Server);
-        time::timeout(CONNECT_TIMEOUT, shaken)
+        let handshake = Self::handshake(stream, key, seal::Role::Server);
+        time::timeout(CONNECT_TIMEOUT, handshake)
             .await
             .map_err(|_| Error::Timeout)?
     }
 
-    async fn shake_hands(
+    async fn handshake(
         mut stream: TcpStream,
         key: &seal::Key,
         role: seal::Role,
@@ -164,9 +164,9 @@
     /// As [`Reader::receive`], and [`Error::Timeout`].
     pub async fn receive_within<T: DeserializeOwned>(
         &mut self,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<hop::Frame<T>, Error> {
-        time::timeout(patience, self.receive())
+        time::timeout(timeout, self.receive())
             .await
             .map_err(|_| Error::Timeout)?
     }
@@ -209,7 +209,7 @@
     async fn write(&mut self, parts: &[&[u8]]) -> Result<(), Error> {
         let head = self.seal.head(parts)?;
         let written = async {
-            let (first, rest) = parts.split_first().unwrap_or((&EMPTY, &[]));
+            let (first, rest) = parts.split_first().unwrap_or((&EMPTY_PART, &[]));
             let mut start = Vec::with_capacity(head.len() + first.len());
             start.extend_from_slice(&head);
             start.extend_from_slice(first);
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -13,7 +13,7 @@
 use verdict::{Code, Refusal};
 
 use crate::{
-    activity::{Activity, Busy, Heard},
+    activity::{Activity, Guard, Tracked},
     clock::Clock,
     protocol::Protocol,
     refusal,
@@ -23,25 +23,25 @@
 };
 
 /// The least buffer that the HTTP library works with, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
+const MIN_BUFFER: usize = 8 * 1024;
 /// How long to wait after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
 /// How long a caller may take to receive a last refusal; it fits every socket's buffer.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(500);
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
 /// How much longer than its limit an idle connection stays open.
 ///
 /// A caller measures the idle time from its own side; a close at the very
 /// limit would meet requests that were sent just in time.
-const IDLE_SLACK: Duration = Duration::from_secs(1);
+const IDLE_GRACE: Duration = Duration::from_secs(1);
 
 /// Serves callers until the listener is told to close and all answers are out.
 pub async fn serve<P: Protocol>(
     listener: TcpListener,
     context: Arc<Context<P>>,
-    most: usize,
+    max_connections: usize,
     mut phase: watch::Receiver<Phase>,
 ) {
-    let connections = Arc::new(Semaphore::new(most));
+    let connections = Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -51,30 +51,30 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 logging::event!(warn, "accept_failed", reason = error);
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
         // Over the limit the connection is closed at once: its caller tries
         // another router, while an accepted one would only wait here.
         let Ok(slot) = Arc::clone(&connections).try_acquire_owned() else {
-            logging::event!(warn, "connection_refused", most = most);
+            logging::event!(warn, "connection_refused", most = max_connections);
             continue;
         };
         let context = Arc::clone(&context);
         let phase = phase.clone();
         tokio::spawn(async move {
-            connection(stream, context, phase).await;
+            serve_connection(stream, context, phase).await;
             drop(slot);
         });
     }
     drop(listener);
-    let all = u32::try_from(most).unwrap_or(u32::MAX);
+    let all_slots = u32::try_from(max_connections).unwrap_or(u32::MAX);
     // The semaphore is never closed, so this waits for the last connection.
-    drop(connections.acquire_many(all).await);
+    drop(connections.acquire_many(all_slots).await);
 }
 
-async fn connection<P: Protocol>(
+async fn serve_connection<P: Protocol>(
     stream: TcpStream,
     context: Arc<Context<P>>,
     mut phase: watch::Receiver<Phase>,
@@ -88,29 +88,29 @@
     let clock = context.clock;
     let table = context.table.clone();
     let activity = Arc::new(Activity::new(clock));
-    let watched = Arc::clone(&activity);
-    let stream = Heard::new(stream, Arc::clone(&activity));
-    let own = Arc::clone(&context);
+    let watched_activity = Arc::clone(&activity);
+    let stream = Tracked::new(stream, Arc::clone(&activity));
+    let shared_context = Arc::clone(&context);
     let service = service::service_fn(move |request: Request<Incoming>| {
         let context = Arc::clone(&context);
-        let busy = Busy::new(&activity);
-        async move { Ok::<_, std::convert::Infallible>(serve::serve(context, request, busy).await) }
+        let guard = Guard::new(&activity);
+        async move { Ok::<_, std::convert::Infallible>(serve::serve(context, request, guard).await) }
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let result = tokio::select! {
         result = &mut connection => result,
-        rest = rested_too_long(&watched, clock, &table) => match rest {
-            Rest::Idle => {
+        expired = wait_for_timeout(&watched_activity, clock, &table) => match expired {
+            Expired::Idle => {
                 pin::Pin::new(&mut connection).graceful_shutdown();
                 connection.await
             }
-            Rest::SlowHead => {
+            Expired::SlowHead => {
                 let stream = connection.into_parts().io.into_inner().into_inner();
-                refuse_slow_head(&own, stream).await;
+                refuse_slow_head(&shared_context, stream).await;
                 return;
             }
         },
@@ -139,12 +139,12 @@
     );
     context.metrics.refused(&refused);
     let response = refusal::response(&context.protocol, &refused, context.clock.now());
-    let bytes = refusal::last(response);
+    let bytes = refusal::closing_response(response);
     let sent = async {
         stream.write_all(&bytes).await?;
         stream.shutdown().await
     };
-    match time::timeout(REFUSAL_LIMIT, sent).await {
+    match time::timeout(REFUSAL_TIMEOUT, sent).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => logging::event!(debug, "caller_gone", reason = error),
         Err(error) => logging::event!(debug, "caller_gone", reason = error),
@@ -156,7 +156,7 @@
 }
 
 /// Why a connection is closed on which nothing runs.
-enum Rest {
+enum Expired {
     /// Nothing came for too long.
     Idle,
     /// A head began and did not end.
@@ -164,27 +164,27 @@
 }
 
 /// Waits until the connection has rested for the time in force at that moment.
-async fn rested_too_long(
+async fn wait_for_timeout(
     activity: &Activity,
     clock: Clock,
     table: &watch::Receiver<Option<Arc<Table>>>,
-) -> Rest {
+) -> Expired {
     loop {
         let limits = limits(table.borrow().as_deref());
         let now = clock.now();
-        let (until, rest) = match (activity.head_since(), activity.idle_since()) {
-            (Some(since), _) => (since + limits.head_timeout.duration(), Rest::SlowHead),
+        let (deadline, expired) = match (activity.head_since(), activity.idle_since()) {
+            (Some(since), _) => (since + limits.head_timeout.duration(), Expired::SlowHead),
             (None, since) => {
-                let limit = limits.idle_timeout.duration() + IDLE_SLACK;
-                (since.unwrap_or(now) + limit, Rest::Idle)
+                let limit = limits.idle_timeout.duration() + IDLE_GRACE;
+                (since.unwrap_or(now) + limit, Expired::Idle)
             }
         };
-        if until <= now {
-            return rest;
+        if deadline <= now {
+            return expired;
         }
         tokio::select! {
-            () = time::sleep_until(clock.at(until)) => {}
-            () = activity.head_began() => {}
+            () = time::sleep_until(clock.at(deadline)) => {}
+            () = activity.head_started() => {}
         }
     }
 }
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -28,7 +28,7 @@
 
 /// The labels of an answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct AnswerLabels {
+struct ResponseLabels {
     status: u16,
 }
 
@@ -71,7 +71,7 @@
 pub struct Metrics {
     registry: Registry,
     refusals: Family<RefusalLabels, Counter>,
-    answers: Family<AnswerLabels, Counter>,
+    responses: Family<ResponseLabels, Counter>,
     calls: Family<CallLabels, Counter>,
     head_seconds: Histogram,
     first_byte_seconds: Histogram,
@@ -91,7 +91,7 @@
     fn default() -> Self {
         let mut registry = Registry::default();
         let refusals = Family::default();
-        let answers = Family::default();
+        let responses = Family::default();
         let calls = Family::default();
         let head_seconds = Histogram::new(BUCKETS);
         let first_byte_seconds = Histogram::new(BUCKETS);
@@ -106,7 +106,11 @@
         let servers = Gauge::default();
         let members = Gauge::default();
         registry.register("weir_refusals", "Final refusals", Family::clone(&refusals));
-        registry.register("weir_answers", "Answers by status", Family::clone(&answers));
+        registry.register(
+            "weir_answers",
+            "Answers by status",
+            Family::clone(&responses),
+        );
         registry.register(
             "weir_store_calls",
             "Calls to the store",
@@ -167,7 +171,7 @@
         Self {
             registry,
             refusals,
-            answers,
+            responses,
             calls,
             head_seconds,
             first_byte_seconds,
@@ -196,11 +200,11 @@
     }
 
     /// The head of an answer went out after `waited`.
-    pub fn answered(&self, status: StatusCode, waited: Duration) {
-        let labels = AnswerLabels {
+    pub fn response_started(&self, status: StatusCode, waited: Duration) {
+        let labels = ResponseLabels {
             status: status.as_u16(),
         };
-        self.answers.get_or_create(&labels).inc();
+        self.responses.get_or_create(&labels).inc();
         self.head_seconds.observe(waited.as_secs_f64());
     }
 
@@ -210,7 +214,7 @@
     }
 
     /// A request got a place at a server, or none, after `waited`.
-    pub fn placed(&self, waited: Duration) {
+    pub fn queue_wait(&self, waited: Duration) {
         self.wait_seconds.observe(waited.as_secs_f64());
     }
 
@@ -220,14 +224,14 @@
     }
 
     /// An attempt at a server ended.
-    pub fn attempted(&self, outcome: &'static str) {
+    pub fn attempt_ended(&self, outcome: &'static str) {
         self.attempts
             .get_or_create(&AttemptLabels { outcome })
             .inc();
     }
 
     /// A server stands so from now on.
-    pub fn stands(&self, standing: Standing) {
+    pub fn standing_changed(&self, standing: Standing) {
         let labels = StandingLabels {
             standing: standing.name(),
         };
@@ -249,16 +253,16 @@
     }
 
     /// A datagram of `length` bytes went to another router.
-    pub fn told(&self, length: usize) {
-        self.control("sent", length);
+    pub fn datagram_sent(&self, length: usize) {
+        self.add_control_bytes("sent", length);
     }
 
     /// A datagram of `length` bytes came from another router.
-    pub fn heard(&self, length: usize) {
-        self.control("received", length);
+    pub fn datagram_received(&self, length: usize) {
+        self.add_control_bytes("received", length);
     }
 
-    fn control(&self, direction: &'static str, length: usize) {
+    fn add_control_bytes(&self, direction: &'static str, length: usize) {
         let bytes = DATAGRAM_HEADERS + length as u64;
         let labels = DirectionLabels { direction };
         self.control_bytes.get_or_create(&labels).inc_by(bytes);
@@ -266,15 +270,15 @@
 
     /// Bytes of datagrams sent to and received from other routers so far.
     pub fn control_bytes(&self) -> (u64, u64) {
-        let of = |direction| {
+        let total = |direction| {
             let labels = DirectionLabels { direction };
             self.control_bytes.get_or_create(&labels).get()
         };
-        (of("sent"), of("received"))
+        (total("sent"), total("received"))
     }
 
     /// A call to the store ended.
-    pub fn called(&self, topic: &'static str, result: &'static str) {
+    pub fn store_called(&self, topic: &'static str, result: &'static str) {
         let labels = CallLabels { topic, result };
         self.calls.get_or_create(&labels).inc();
     }
--- a/crates/gateway/src/observer.rs
+++ b/crates/gateway/src/observer.rs
@@ -50,7 +50,7 @@
         let sources = sources.clone();
         tokio::spawn(async move {
             let service = service::service_fn(async |request| {
-                Ok::<_, Infallible>(answer(&request, &sources).await)
+                Ok::<_, Infallible>(respond(&request, &sources).await)
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
@@ -63,7 +63,7 @@
     }
 }
 
-async fn answer(request: &Request<Incoming>, sources: &Sources) -> Response<Full<Bytes>> {
+async fn respond(request: &Request<Incoming>, sources: &Sources) -> Response<Full<Bytes>> {
     let (status, text) = match request.uri().path() {
         "/readyz" => readiness(sources),
         "/metrics" => (StatusCode::OK, metrics(sources)),
@@ -82,19 +82,19 @@
 }
 
 async fn status(sources: &Sources) -> (StatusCode, String) {
-    let (reply, answer) = oneshot::channel();
-    let asked = sources.dispatch.send(dispatch::Message::Status(reply));
-    let (Ok(()), Ok(report)) = (asked, answer.await) else {
+    let (reply, report) = oneshot::channel();
+    let sent = sources.dispatch.send(dispatch::Message::Status(reply));
+    let (Ok(()), Ok(report)) = (sent, report.await) else {
         return (StatusCode::SERVICE_UNAVAILABLE, String::from("ending\n"));
     };
-    let own = status::Own {
+    let header = status::Header {
         host: &sources.host,
         readiness: *sources.readiness.borrow(),
         phase: *sources.phase.borrow(),
         ages: &sources.ages,
         now: sources.clock.now(),
     };
-    (StatusCode::OK, status::page(&own, &report))
+    (StatusCode::OK, status::page(&header, &report))
 }
 
 fn readiness(sources: &Sources) -> (StatusCode, String) {
--- a/crates/gateway/src/pause.rs
+++ b/crates/gateway/src/pause.rs
@@ -5,11 +5,11 @@
 use units::time::Instant;
 
 /// How often the process looks at the clock while it has nothing to do.
-pub const LOOK: Duration = Duration::from_millis(250);
+pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
 /// A longer gap between two looks is a pause: four looks missed.
 ///
 /// A machine at its quota stands still for a tenth of a second at most.
-const LEAST_PAUSE: Duration = Duration::from_secs(1);
+const MIN_PAUSE: Duration = Duration::from_secs(1);
 
 /// When the process last ran.
 ///
@@ -17,15 +17,17 @@
 /// What it knows is as old as the pause: servers have left, or started again
 /// and are cold, and it would send them all that waits in its sockets at once.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Watch {
-    seen_at: Option<Instant>,
+pub struct Detector {
+    checked_at: Option<Instant>,
 }
 
-impl Watch {
+impl Detector {
     /// Notes that the process runs. Returns the pause, if there was one.
-    pub fn look(&mut self, now: Instant) -> Option<Duration> {
-        let gap = self.seen_at.map_or(Duration::ZERO, |seen| now.since(seen));
-        self.seen_at = Some(now);
-        (gap >= LEAST_PAUSE).then_some(gap)
+    pub fn check(&mut self, now: Instant) -> Option<Duration> {
+        let gap = self
+            .checked_at
+            .map_or(Duration::ZERO, |checked| now.since(checked));
+        self.checked_at = Some(now);
+        (gap >= MIN_PAUSE).then_some(gap)
     }
 }
--- a/crates/gateway/src/peers.rs
+++ b/crates/gateway/src/peers.rs
@@ -30,7 +30,7 @@
 pub use relays::{Relay, relays};
 pub use store_fallback::StoreFallback;
 pub use sums::{LoadSums, ZoneSum};
-pub use table::{Part, PeerTable};
+pub use table::{Part, Table};
 pub use targets::gossip_targets;
 pub use watchers::{WATCHERS, Watcher, Watchers};
 
--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -60,7 +60,7 @@
             zone: sum.zone,
             routers: sum.routers,
             loads: self.zone_reporter.next(&sum.loads, now),
-            reads: self.zone_reads.updates(now),
+            cached_prefixes: self.zone_prefixes.updates(now),
         };
         let own_zone = self.inputs.own.zone.clone();
         for zone in zones.into_iter().filter(|zone| **zone != own_zone) {
@@ -72,7 +72,7 @@
 
     async fn send_total(&mut self, routers: u16, total: &[Load], now: Instant) {
         let loads = self.fleet_reporter.next(total, now);
-        let reads = self.fleet_reads.updates(now);
+        let cached_prefixes = self.fleet_prefixes.updates(now);
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
         let same_zone: Vec<&Member> = members
@@ -88,7 +88,7 @@
                 aggregator: sums::hash(own.host.as_str()),
                 routers,
                 loads: loads.clone(),
-                reads: reads.clone(),
+                cached_prefixes: cached_prefixes.clone(),
                 relay_to: relay.targets,
             };
             self.send_to(&Frame::FleetTotal(total), relay.member).await;
@@ -140,7 +140,7 @@
             .or_default()
             .sum_received(total.aggregator, now);
         self.relay_total(&total).await;
-        self.apply_reads(total.reads);
+        self.apply_cached_prefixes(total.cached_prefixes);
         let loads = self.fleet_loads.apply(total.loads);
         let (known_routers, expires_at) = self.fleet_routers;
         if now < expires_at && sums::is_partial(total.routers, known_routers) {
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -70,7 +70,7 @@
     /// Requests that servers recently died of.
     pub strikes: Vec<recovery::Strike>,
     /// Prompts that servers have just read.
-    pub reads: Vec<CachedPrefix>,
+    pub cached_prefixes: Vec<CachedPrefix>,
 }
 
 /// The content of a datagram.
@@ -83,7 +83,7 @@
         /// The loads.
         loads: Report,
         /// Prompts that servers have just read for the sender.
-        reads: Vec<CachedPrefix>,
+        cached_prefixes: Vec<CachedPrefix>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
     ZoneSum {
@@ -94,7 +94,7 @@
         /// The summed loads.
         loads: Report,
         /// Prompts that servers have just read for these routers.
-        reads: Vec<CachedPrefix>,
+        cached_prefixes: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
     FleetTotal(FleetTotal),
@@ -110,7 +110,7 @@
     /// The summed loads.
     pub loads: Report,
     /// Prompts that servers have just read, anywhere in the fleet.
-    pub reads: Vec<CachedPrefix>,
+    pub cached_prefixes: Vec<CachedPrefix>,
     /// The hashes of the routers to which the receiver relays the total.
     pub relay_to: Vec<u32>,
 }
@@ -136,7 +136,7 @@
             watchers,
             loads: None,
             strikes,
-            reads: Vec::new(),
+            cached_prefixes: Vec::new(),
         }
     }
 
@@ -146,10 +146,10 @@
     }
 
     /// Adds the loads and the prompts that servers have read.
-    pub fn with_loads(self, loads: Report, reads: Vec<CachedPrefix>) -> Self {
+    pub fn with_loads(self, loads: Report, cached_prefixes: Vec<CachedPrefix>) -> Self {
         Self {
             loads: Some(loads),
-            reads,
+            cached_prefixes,
             ..self
         }
     }
@@ -174,20 +174,28 @@
     pub fn encode_truncated(mut self) -> Result<Vec<u8>, Malformed> {
         loop {
             let encoded = self.encode();
-            let reads = self.reads_mut();
-            if encoded.is_ok() || reads.is_empty() {
+            let cached_prefixes = self.cached_prefixes_mut();
+            if encoded.is_ok() || cached_prefixes.is_empty() {
                 return encoded;
             }
-            reads.truncate(reads.len() * 3 / 4);
+            cached_prefixes.truncate(cached_prefixes.len() * 3 / 4);
         }
     }
 
-    fn reads_mut(&mut self) -> &mut Vec<CachedPrefix> {
+    fn cached_prefixes_mut(&mut self) -> &mut Vec<CachedPrefix> {
         match self {
-            Self::Digest(Digest { reads, .. })
-            | Self::Loads { reads, .. }
-            | Self::ZoneSum { reads, .. }
-            | Self::FleetTotal(FleetTotal { reads, .. }) => reads,
+            Self::Digest(Digest {
+                cached_prefixes, ..
+            })
+            | Self::Loads {
+                cached_prefixes, ..
+            }
+            | Self::ZoneSum {
+                cached_prefixes, ..
+            }
+            | Self::FleetTotal(FleetTotal {
+                cached_prefixes, ..
+            }) => cached_prefixes,
         }
     }
 
--- a/crates/gateway/src/peers/table.rs
+++ b/crates/gateway/src/peers/table.rs
@@ -86,14 +86,14 @@
 
 /// The peers heard from recently.
 #[derive(Clone, Debug, Default)]
-pub struct PeerTable {
+pub struct Table {
     records: BTreeMap<host::Id, Record>,
     configuration: RequestPace,
     rest: RequestPace,
     diverged_since: Option<Instant>,
 }
 
-impl PeerTable {
+impl Table {
     /// Records a digest of a peer, which expires after `timeout`. Returns whether the peer
     /// is new.
     pub fn record(
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -12,7 +12,7 @@
 
 use super::{
     Aggregators, Digest, Directory, FAN_OUT, Frame, INITIAL_FAN_OUT, INTERVAL, Inputs, LoadSums,
-    Outputs, PeerTable, QUIET_FAN_OUT, StoreFallback, Versions, Watchers,
+    Outputs, QUIET_FAN_OUT, StoreFallback, Table, Versions, Watchers,
     catch_up::{Completion, InFlight},
     digest, gossip_targets, sums,
 };
@@ -42,7 +42,7 @@
     /// The latest known boot of each peer, by the tag of its host.
     boots: BTreeMap<Tag, Boot>,
     pub(super) directory: Directory,
-    pub(super) table: PeerTable,
+    pub(super) table: Table,
     pub(super) sums: LoadSums,
     /// The last digest that this router sent, without its loads.
     last_digest: Option<Digest>,
@@ -63,9 +63,9 @@
     pub(super) fleet_reporter: ReportEncoder,
     /// Prompts that servers have read for routers of this zone, to be relayed if this
     /// router is an aggregator.
-    pub(super) zone_reads: PrefixUpdates,
+    pub(super) zone_prefixes: PrefixUpdates,
     /// Prompts that servers have read for any router of the fleet, to be relayed likewise.
-    pub(super) fleet_reads: PrefixUpdates,
+    pub(super) fleet_prefixes: PrefixUpdates,
     watchers: Watchers,
     socket: UdpSocket,
     pub(super) inputs: Inputs,
@@ -106,7 +106,7 @@
             seals,
             boots: BTreeMap::new(),
             directory: Directory::default(),
-            table: PeerTable::default(),
+            table: Table::default(),
             sums: LoadSums::default(),
             last_digest: None,
             own_loads: Vec::new(),
@@ -117,8 +117,8 @@
             load_reporter: ReportEncoder::default(),
             zone_reporter: ReportEncoder::default(),
             fleet_reporter: ReportEncoder::default(),
-            zone_reads: PrefixUpdates::default(),
-            fleet_reads: PrefixUpdates::default(),
+            zone_prefixes: PrefixUpdates::default(),
+            fleet_prefixes: PrefixUpdates::default(),
             watchers: Watchers::new(&inputs.own.host, boot.0),
             socket,
             inputs,
@@ -199,7 +199,7 @@
             None => Audience::Anyone,
         };
         let datagram = self.seals.sealer.seal(&payload, audience);
-        self.outputs.metrics.told(datagram.len());
+        self.outputs.metrics.datagram_sent(datagram.len());
         // Datagrams are not retried: any may be lost, and the next round follows soon.
         if let Err(error) = self.socket.send_to(&datagram, member.address).await {
             logging::event!(
@@ -271,10 +271,10 @@
         if !self.is_large() {
             return;
         }
-        self.queue_reads(&state.prefixes, now);
+        self.queue_cached_prefixes(&state.prefixes, now);
         let frame = Frame::Loads {
             loads: report,
-            reads: state.prefixes,
+            cached_prefixes: state.prefixes,
         };
         for member in self.own_aggregators() {
             self.send_to(&frame, &member).await;
@@ -326,7 +326,7 @@
 
     async fn receive(&mut self, datagram: &[u8], from: SocketAddr) {
         let now = self.clock.now();
-        self.outputs.metrics.heard(datagram.len());
+        self.outputs.metrics.datagram_received(datagram.len());
         let opened = match self.seals.opener.open(datagram) {
             Ok(opened) => opened,
             Err(error) => {
@@ -350,22 +350,25 @@
                     self.gossip(FAN_OUT).await;
                 }
             }
-            Ok(Frame::Loads { loads, reads }) => {
+            Ok(Frame::Loads {
+                loads,
+                cached_prefixes,
+            }) => {
                 let tag = opened.tag;
                 self.receive_loads(tag, loads);
-                self.queue_reads(&reads, now);
-                self.apply_reads(reads);
+                self.queue_cached_prefixes(&cached_prefixes, now);
+                self.apply_cached_prefixes(cached_prefixes);
             }
             Ok(Frame::ZoneSum {
                 zone,
                 routers,
                 loads,
-                reads,
+                cached_prefixes,
             }) => {
                 let tag = opened.tag;
                 self.receive_sum(tag, zone, routers, loads);
-                self.fleet_reads.forward(&reads, now);
-                self.apply_reads(reads);
+                self.fleet_prefixes.forward(&cached_prefixes, now);
+                self.apply_cached_prefixes(cached_prefixes);
             }
             Ok(Frame::FleetTotal(total)) => self.receive_total(total).await,
             Err(_) => logging::event!(debug, "digest_malformed"),
@@ -393,16 +396,16 @@
 
     /// Queues prompts read for routers of this zone, to be relayed to the zone and the
     /// fleet.
-    fn queue_reads(&mut self, reads: &[CachedPrefix], now: Instant) {
-        self.zone_reads.forward(reads, now);
-        self.fleet_reads.forward(reads, now);
+    fn queue_cached_prefixes(&mut self, cached_prefixes: &[CachedPrefix], now: Instant) {
+        self.zone_prefixes.forward(cached_prefixes, now);
+        self.fleet_prefixes.forward(cached_prefixes, now);
     }
 
     /// Passes prompts that servers read for other routers on to the task that selects
     /// servers.
-    pub(super) fn apply_reads(&self, reads: Vec<CachedPrefix>) {
-        if !reads.is_empty() {
-            self.notify_dispatch(dispatch::Message::CachedPrefixes(reads));
+    pub(super) fn apply_cached_prefixes(&self, cached_prefixes: Vec<CachedPrefix>) {
+        if !cached_prefixes.is_empty() {
+            self.notify_dispatch(dispatch::Message::CachedPrefixes(cached_prefixes));
         }
     }
 
@@ -441,7 +444,7 @@
         if !digest.strikes.is_empty() {
             self.notify_dispatch(dispatch::Message::Strikes(digest.strikes));
         }
-        self.apply_reads(digest.reads);
+        self.apply_cached_prefixes(digest.cached_prefixes);
         let Some(report) = digest.loads else {
             self.notify_dispatch(dispatch::Message::Peer(digest.host, Vec::new()));
             return has_update;
--- a/crates/gateway/src/pool.rs
+++ b/crates/gateway/src/pool.rs
@@ -67,7 +67,7 @@
     /// The address on which the server listens.
     pub address: SocketAddr,
     /// The incarnation of the server for which the request is meant.
-    pub born: u64,
+    pub incarnation: u64,
     /// Prompt tokens that are not known to be in the server's cache.
     pub uncached: Cost,
     /// A server from which more of the prompt's cache may be copied.
@@ -213,7 +213,7 @@
             connect_deadline: now + self.zone_tracker.connect_timeout(server.zone()),
             zone: server.zone().clone(),
             address: server.address(),
-            born: server.born(),
+            incarnation: server.incarnation(),
             server: choice,
             uncached,
             source,
--- a/crates/gateway/src/pool/server.rs
+++ b/crates/gateway/src/pool/server.rs
@@ -128,7 +128,7 @@
 
     /// Applies a new entry of the store.
     pub fn update(&mut self, entry: &roster::Entry, is_leaving: bool) {
-        if entry.born != self.entry.born || entry.address != self.entry.address {
+        if entry.incarnation != self.entry.incarnation || entry.address != self.entry.address {
             // A restarted server has lost its cache and all other state.
             *self = Self {
                 running: self.running,
@@ -172,8 +172,8 @@
     }
 
     /// The incarnation of the server, which changes with each restart.
-    pub fn born(&self) -> u64 {
-        self.entry.born
+    pub fn incarnation(&self) -> u64 {
+        self.entry.incarnation
     }
 
     /// Requests of this router in flight.
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -18,7 +18,7 @@
     /// The caller's key.
     pub key: Option<String>,
     /// How long the caller waits.
-    pub patience: Option<Millis>,
+    pub timeout: Option<Millis>,
     /// The prompt; empty for a plain service.
     pub parts: Parts,
     /// The work that it means, in prompt tokens.
@@ -48,9 +48,9 @@
 
 /// What the head of an answer means.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Judgement {
+pub enum Classification {
     /// The server's own answer to this request.
-    Answer,
+    Response,
     /// The server failed the request.
     Failure,
     /// The server is full and has not run the request.
@@ -78,12 +78,12 @@
     fn compose(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
     /// Judges the head of an answer to the request `id`.
-    fn judge(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Judgement;
+    fn classify(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Classification;
 
     /// The status of a refusal. One that promises that the request has not run
     /// is used only for such a refusal.
     fn status(&self, refusal: &Refusal) -> StatusCode;
 
     /// The number of the event that a line of a stream gives, if it gives one.
-    fn event<'a>(&self, line: &'a str) -> Option<&'a str>;
+    fn event_id<'a>(&self, line: &'a str) -> Option<&'a str>;
 }
--- a/crates/gateway/src/queue.rs
+++ b/crates/gateway/src/queue.rs
@@ -3,7 +3,7 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use admission::{Queue, Shares, Standing, Ticket, Waiting};
+use admission::{Queue as FairQueue, Shares, Standing, Ticket, Waiting};
 use units::{backend, cost::Cost, request, time::Instant, workspace};
 
 use crate::pool::{self, Demand, Denial, Fleet, Outcome, Placement, Pool};
@@ -28,7 +28,7 @@
 
 /// A request for a slot at a server.
 #[derive(Clone, Debug)]
-pub struct QueueRequest {
+pub struct Request {
     /// Identifies the request in the queue.
     pub attempt: request::Attempt,
     /// The workspace to which the request is charged.
@@ -57,7 +57,7 @@
 pub enum Admission {
     /// The request is sent to a server now.
     Placed(Placement),
-    /// The request is queued; [`ServiceQueue::dequeue`] returns its result.
+    /// The request is queued; [`Queue::dequeue`] returns its result.
     Queued,
     /// The request is refused.
     Refused(Refusal),
@@ -73,24 +73,24 @@
 /// leaves some slots free; otherwise a surge of one workspace would delay every request
 /// of all others.
 #[derive(Debug)]
-pub struct ServiceQueue {
+pub struct Queue {
     pool: Pool,
-    queue: Queue,
+    queue: FairQueue,
     shares: Shares,
     settings: admission::Settings,
-    waiting: HashMap<request::Attempt, QueueRequest>,
+    waiting: HashMap<request::Attempt, Request>,
     rate: PlacementRate,
     slow_start_at: Option<Instant>,
     /// Results of requests that were displaced from a full queue and not yet returned.
     displaced: Vec<Dequeued>,
 }
 
-impl ServiceQueue {
+impl Queue {
     /// Creates an empty queue for the servers of `pool`.
     pub fn new(pool: Pool) -> Self {
         Self {
             pool,
-            queue: Queue::default(),
+            queue: FairQueue::default(),
             shares: Shares::default(),
             settings: admission::Settings::default(),
             waiting: HashMap::new(),
@@ -105,7 +105,7 @@
         &self.pool
     }
 
-    /// Mutable access to the servers. [`ServiceQueue::dequeue`] must be called after
+    /// Mutable access to the servers. [`Queue::dequeue`] must be called after
     /// changes.
     pub fn pool_mut(&mut self) -> &mut Pool {
         &mut self.pool
@@ -122,7 +122,7 @@
     }
 
     /// Submits a request: places it, queues it or refuses it.
-    pub fn submit(&mut self, request: QueueRequest, fleet: &Fleet, now: Instant) -> Admission {
+    pub fn submit(&mut self, request: Request, fleet: &Fleet, now: Instant) -> Admission {
         self.shares.expire(now);
         self.shares
             .offered(&request.workspace, 1, &self.settings, now);
@@ -147,7 +147,7 @@
     /// free. A slot that is free now is therefore reserved from them.
     fn try_place(
         &mut self,
-        request: &QueueRequest,
+        request: &Request,
         fleet: &Fleet,
         now: Instant,
     ) -> Result<Placement, Denial> {
@@ -161,7 +161,7 @@
 
     fn place(
         &mut self,
-        request: &QueueRequest,
+        request: &Request,
         fleet: &Fleet,
         now: Instant,
     ) -> Result<Placement, Denial> {
@@ -178,7 +178,7 @@
     }
 
     /// Whether the request would wait beyond its latest start.
-    fn would_miss_deadline(&self, request: &QueueRequest, now: Instant) -> bool {
+    fn would_miss_deadline(&self, request: &Request, now: Instant) -> bool {
         if now >= request.latest_start {
             return true;
         }
@@ -188,7 +188,7 @@
     /// Makes room for one more request in the queue by displacing one of the workspace
     /// with the most queued requests. Returns false if that is the request's own
     /// workspace.
-    fn make_room(&mut self, request: &QueueRequest, now: Instant) -> bool {
+    fn make_room(&mut self, request: &Request, now: Instant) -> bool {
         if self.queue.len() < MAX_QUEUED {
             return true;
         }
@@ -201,14 +201,14 @@
     }
 
     /// The expected wait of the request, by the recent rate of placements.
-    fn expected_wait(&self, request: &QueueRequest, now: Instant) -> Duration {
+    fn expected_wait(&self, request: &Request, now: Instant) -> Duration {
         let ahead = self
             .queue
             .cost_ahead(&request.workspace, priority(request.rank));
         self.rate.time_to_place(ahead, now)
     }
 
-    fn push(&mut self, request: QueueRequest, now: Instant) {
+    fn push(&mut self, request: Request, now: Instant) {
         let ticket = Ticket {
             attempt: request.attempt,
             workspace: request.workspace.clone(),
@@ -288,7 +288,7 @@
         self.pool.ended(server, outcome, now)
     }
 
-    /// When [`ServiceQueue::dequeue`] must be called even if nothing else happens.
+    /// When [`Queue::dequeue`] must be called even if nothing else happens.
     pub fn next_wake(&self) -> Option<Instant> {
         if !self.displaced.is_empty() {
             return Some(Instant::ZERO);
@@ -311,7 +311,7 @@
     ///
     /// Up to half of that time is added, depending on the attempt, so that callers
     /// refused together do not retry together.
-    fn refusal(&self, denial: Denial, request: &QueueRequest, now: Instant) -> Refusal {
+    fn refusal(&self, denial: Denial, request: &Request, now: Instant) -> Refusal {
         let wait = match denial {
             Denial::ZonesUnreachable(at) => at.since(now),
             _ => self.rate.time_to_place(self.queue.cost(), now),
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -30,7 +30,7 @@
 ///
 /// For callers whose request never became one, which the HTTP library answers
 /// by a close alone.
-pub fn last(response: Response<Bytes>) -> Vec<u8> {
+pub fn closing_response(response: Response<Bytes>) -> Vec<u8> {
     let (head, body) = response.into_parts();
     let mut bytes = format!("HTTP/1.1 {}\r\n", head.status).into_bytes();
     for (name, value) in &head.headers {
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -17,29 +17,29 @@
 pub use events::Splitter;
 
 use crate::{
-    activity::Busy, attempt::Answer, dispatch::Permit, pool::Outcome, protocol::Protocol,
+    activity::Guard, attempt::Response, dispatch::Permit, pool::Outcome, protocol::Protocol,
     route::Kind, serve::Exchange,
 };
 
 /// A stream that can go on elsewhere does so after this many of its longest
 /// pauses without a byte.
-const SILENCE_PAUSES: u32 = 3;
+const STALL_TIMEOUT_TARGETS: u32 = 3;
 /// The least such time.
-const LEAST_SILENCE: Duration = Duration::from_millis(900);
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// The answer ends here without being whole.
 ///
 /// The caller's connection is closed in the middle of the answer, so that what
 /// it has got does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Cut {
+pub enum Error {
     /// The server broke off.
     Server,
     /// The time was up.
     Deadline,
 }
 
-impl fmt::Display for Cut {
+impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Server => "the server broke off",
@@ -48,15 +48,15 @@
     }
 }
 
-impl error::Error for Cut {}
+impl error::Error for Error {}
 
 /// What the server sent next.
 enum Next {
     Data(Bytes),
     End,
     Broken(String),
-    Silent,
-    Late,
+    Stalled,
+    TimedOut,
 }
 
 #[derive(Debug)]
@@ -72,33 +72,33 @@
     longest_gap: Duration,
     status: u16,
     is_failure: bool,
-    is_over: bool,
-    _busy: Busy,
+    is_finished: bool,
+    _guard: Guard,
 }
 
 /// The rest of an answer whose head has been passed on.
 pub fn stream<P: Protocol>(
     exchange: Exchange<P>,
-    answer: Box<Answer>,
-    busy: Busy,
-) -> impl Stream<Item = Result<Frame<Bytes>, Cut>> + Send {
+    response: Box<Response>,
+    guard: Guard,
+) -> impl Stream<Item = Result<Frame<Bytes>, Error>> + Send {
     let is_events = exchange.plan().route.kind == Kind::Resumable
-        && answer.head.status.is_success()
-        && !answer.head.headers.contains_key(header::CONTENT_LENGTH);
+        && response.head.status.is_success()
+        && !response.head.headers.contains_key(header::CONTENT_LENGTH);
     let mut relay = Relay {
-        status: answer.head.status.as_u16(),
-        is_failure: answer.is_failure,
-        body: Some(answer.body),
-        permit: answer.permit,
+        status: response.head.status.as_u16(),
+        is_failure: response.is_failure,
+        body: Some(response.body),
+        permit: response.permit,
         splitter: is_events.then(Splitter::default),
         first_byte_at: None,
         last_byte_at: None,
         longest_gap: Duration::ZERO,
-        is_over: false,
+        is_finished: false,
         exchange,
-        _busy: busy,
+        _guard: guard,
     };
-    relay.finish_if_whole();
+    relay.finish_if_complete();
     stream::unfold(relay, |mut relay| async move {
         let item = relay.next().await?;
         Some((item, relay))
@@ -106,34 +106,34 @@
 }
 
 impl<P: Protocol> Relay<P> {
-    async fn next(&mut self) -> Option<Result<Frame<Bytes>, Cut>> {
-        if self.is_over {
+    async fn next(&mut self) -> Option<Result<Frame<Bytes>, Error>> {
+        if self.is_finished {
             return None;
         }
         loop {
             let failure = match self.receive().await {
-                Next::Data(bytes) => match self.pass(bytes) {
+                Next::Data(bytes) => match self.forward(bytes) {
                     Some(bytes) => {
-                        self.finish_if_whole();
+                        self.finish_if_complete();
                         return Some(Ok(Frame::data(bytes)));
                     }
                     None => continue,
                 },
-                Next::End if self.is_in_event() => String::from("ended inside an event"),
+                Next::End if self.has_partial_event() => String::from("ended inside an event"),
                 Next::End => {
                     self.finish(Outcome::Completed, "complete");
                     return None;
                 }
-                Next::Late => {
+                Next::TimedOut => {
                     self.finish(Outcome::Cancelled, "late");
-                    return Some(Err(Cut::Deadline));
+                    return Some(Err(Error::Deadline));
                 }
-                Next::Silent => String::from("silent"),
+                Next::Stalled => String::from("silent"),
                 Next::Broken(reason) => reason,
             };
             if !self.resume(&failure).await {
                 self.finish(Outcome::Broken, &failure);
-                return Some(Err(Cut::Server));
+                return Some(Err(Error::Server));
             }
         }
     }
@@ -143,11 +143,11 @@
         let clock = self.exchange.context().clock;
         let plan = self.exchange.plan();
         let deadline = plan.deadline;
-        let pause = plan.route.target.duration() * SILENCE_PAUSES;
-        let silent_at = clock.now() + pause.max(LEAST_SILENCE);
-        let can_resume = self.splitter.is_some() && self.exchange.may_repeat();
+        let stall_timeout = plan.route.target.duration() * STALL_TIMEOUT_TARGETS;
+        let stalled_at = clock.now() + stall_timeout.max(MIN_STALL_TIMEOUT);
+        let can_resume = self.splitter.is_some() && self.exchange.may_retry();
         let until = if can_resume {
-            deadline.min(silent_at)
+            deadline.min(stalled_at)
         } else {
             deadline
         };
@@ -155,8 +155,8 @@
             return Next::End;
         };
         match time::timeout_at(clock.at(until), body.frame()).await {
-            Err(_) if until < deadline => Next::Silent,
-            Err(_) => Next::Late,
+            Err(_) if until < deadline => Next::Stalled,
+            Err(_) => Next::TimedOut,
             Ok(None) => Next::End,
             Ok(Some(Err(error))) => Next::Broken(error.to_string()),
             Ok(Some(Ok(frame))) => Next::Data(frame.into_data().unwrap_or_default()),
@@ -164,7 +164,7 @@
     }
 
     /// What of the bytes can be passed on now.
-    fn pass(&mut self, bytes: Bytes) -> Option<Bytes> {
+    fn forward(&mut self, bytes: Bytes) -> Option<Bytes> {
         if bytes.is_empty() {
             return None;
         }
@@ -180,8 +180,8 @@
             return Some(bytes);
         };
         let protocol = &self.exchange.context().protocol;
-        let whole = splitter.push(&bytes, |line| protocol.event(line).map(String::from));
-        (!whole.is_empty()).then_some(whole)
+        let complete = splitter.push(&bytes, |line| protocol.event_id(line).map(String::from));
+        (!complete.is_empty()).then_some(complete)
     }
 
     /// Ends with the last byte of an answer whose length is known, or before any
@@ -190,14 +190,14 @@
     /// The HTTP library asks for nothing after it, so the end would never be
     /// seen: the place would count as cancelled and the request would have no
     /// line in the log, whether its server failed it or not.
-    fn finish_if_whole(&mut self) {
-        let is_whole = self.body.as_ref().is_some_and(Body::is_end_stream);
-        if is_whole && !self.is_in_event() {
+    fn finish_if_complete(&mut self) {
+        let is_complete = self.body.as_ref().is_some_and(Body::is_end_stream);
+        if is_complete && !self.has_partial_event() {
             self.finish(Outcome::Completed, "complete");
         }
     }
 
-    fn is_in_event(&self) -> bool {
+    fn has_partial_event(&self) -> bool {
         self.splitter.as_ref().is_some_and(Splitter::is_partial)
     }
 
@@ -205,13 +205,13 @@
     ///
     /// The connection to the first server is closed before, so that it stops.
     async fn resume(&mut self, reason: &str) -> bool {
-        if !self.exchange.may_repeat() {
+        if !self.exchange.may_retry() {
             return false;
         }
         let Some(splitter) = &mut self.splitter else {
             return false;
         };
-        let last = splitter.restart();
+        let last_id = splitter.reset();
         // This closes the connection.
         self.body = None;
         if let Some(permit) = self.permit.take() {
@@ -220,31 +220,31 @@
                 "stream_resumed",
                 request = self.exchange.plan().head.id,
                 server = permit.placement().server,
-                after = last.as_deref().unwrap_or("none"),
+                after = last_id.as_deref().unwrap_or("none"),
                 reason = reason
             );
             permit.end(Outcome::Broken);
         }
-        let Ok(answer) = self.exchange.answer(last.as_deref()).await else {
+        let Ok(response) = self.exchange.respond(last_id.as_deref()).await else {
             return false;
         };
-        if !answer.head.status.is_success() {
+        if !response.head.status.is_success() {
             return false;
         }
-        self.body = Some(answer.body);
-        self.permit = answer.permit;
+        self.body = Some(response.body);
+        self.permit = response.permit;
         true
     }
 }
 
 impl<P> Relay<P> {
     fn finish(&mut self, outcome: Outcome, ending: &str) {
-        self.is_over = true;
+        self.is_finished = true;
         let context = self.exchange.context();
         let now = context.clock.now();
         let plan = self.exchange.plan();
         let waited = self.first_byte_at.unwrap_or(now).since(plan.arrived);
-        let place = self.permit.as_ref().map(Permit::placement);
+        let placement = self.permit.as_ref().map(Permit::placement);
         logging::event!(
             info,
             "request_done",
@@ -252,12 +252,12 @@
             route = plan.route.name,
             pool = plan.pool,
             workspace = self.exchange.workspace(),
-            server = place.map_or("none", |place| place.server.as_str()),
-            zone = place.map_or("none", |place| place.zone.as_str()),
-            load = place.map_or(0, |place| place.load),
-            bound = format!("{:.1}", place.map_or(0.0, |place| place.bound)),
-            unread = place.map_or(Cost(0), |place| place.uncached),
-            copied = place.is_some_and(|place| place.source.is_some()),
+            server = placement.map_or("none", |placement| placement.server.as_str()),
+            zone = placement.map_or("none", |placement| placement.zone.as_str()),
+            load = placement.map_or(0, |placement| placement.load),
+            bound = format!("{:.1}", placement.map_or(0.0, |placement| placement.bound)),
+            unread = placement.map_or(Cost(0), |placement| placement.uncached),
+            copied = placement.is_some_and(|placement| placement.source.is_some()),
             status = self.status,
             ending = ending,
             sends = self.exchange.sends(),
@@ -285,7 +285,7 @@
     /// Nobody asks for the rest then. Without this the request would have no line
     /// in the log, and nobody could tell a caller that left from a lost one.
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.is_finished {
             self.finish(Outcome::Cancelled, "caller left");
         }
     }
--- a/crates/gateway/src/relay/events.rs
+++ b/crates/gateway/src/relay/events.rs
@@ -3,7 +3,7 @@
 use bytes::{Bytes, BytesMut};
 
 /// What ends an event.
-const END: &[u8] = b"\n\n";
+const EVENT_END: &[u8] = b"\n\n";
 
 /// Passes on whole events only and remembers the last one.
 ///
@@ -13,30 +13,30 @@
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
-    last: Option<String>,
+    last_id: Option<String>,
 }
 
 impl Splitter {
     /// Takes in bytes and returns the events that are whole with them.
     ///
     /// `number` reads the number of an event from one of its lines.
-    pub fn push(&mut self, bytes: &[u8], number: impl Fn(&str) -> Option<String>) -> Bytes {
+    pub fn push(&mut self, bytes: &[u8], event_id: impl Fn(&str) -> Option<String>) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = self.end() else {
             return Bytes::new();
         };
-        let whole = self.partial.split_to(end).freeze();
-        let text = String::from_utf8_lossy(&whole);
-        if let Some(last) = text.lines().rev().find_map(number) {
-            self.last = Some(last);
+        let complete = self.partial.split_to(end).freeze();
+        let text = String::from_utf8_lossy(&complete);
+        if let Some(last_id) = text.lines().rev().find_map(event_id) {
+            self.last_id = Some(last_id);
         }
-        whole
+        complete
     }
 
     fn end(&self) -> Option<usize> {
-        let mut ends = self.partial.windows(END.len());
-        let last = ends.rposition(|window| window == END)?;
-        Some(last + END.len())
+        let mut ends = self.partial.windows(EVENT_END.len());
+        let start = ends.rposition(|window| window == EVENT_END)?;
+        Some(start + EVENT_END.len())
     }
 
     /// Whether a part of an event is held back.
@@ -45,8 +45,8 @@
     }
 
     /// Drops what is held back, and returns the number of the last whole event.
-    pub fn restart(&mut self) -> Option<String> {
+    pub fn reset(&mut self) -> Option<String> {
         self.partial.clear();
-        self.last.clone()
+        self.last_id.clone()
     }
 }
--- a/crates/gateway/src/retry_budget.rs
+++ b/crates/gateway/src/retry_budget.rs
@@ -29,13 +29,13 @@
 /// Each first attempt of this router adds the ratio to the bucket, so that part adds up
 /// over the fleet without coordination. The burst is divided by the number of routers.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct RetryBudget {
+pub struct Budget {
     allowance: Allowance,
     tokens: f64,
     filled_at: Instant,
 }
 
-impl RetryBudget {
+impl Budget {
     /// Creates a bucket that holds this router's share of the burst.
     pub fn new(allowance: Allowance, members: usize, now: Instant) -> Self {
         Self {
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -34,7 +34,7 @@
     /// read.
     pub cold_until: Instant,
     /// Distinguishes the starts of the server; a later start has a higher value.
-    pub born: u64,
+    pub incarnation: u64,
     /// The store's version of the entry.
     pub revision: u64,
 }
@@ -45,7 +45,7 @@
     /// Neither condition is sufficient alone: a server's clock may have been set back, and
     /// a write may reach the store late.
     fn is_superseded_by(&self, other: &Self) -> bool {
-        other.born > self.born && other.revision > self.revision
+        other.incarnation > self.incarnation && other.revision > self.revision
     }
 }
 
@@ -228,10 +228,11 @@
         all.filter_map(|(entry, is_leaving)| (!is_leaving).then_some(entry))
     }
 
-    /// The start (`born`) of each registered server that is not superseded.
-    pub fn starts(&self) -> HashMap<&backend::Server, u64> {
+    /// The start (`incarnation`) of each registered server that is not superseded.
+    pub fn incarnations(&self) -> HashMap<&backend::Server, u64> {
         let all = self.all();
-        all.map(|(entry, _)| (&entry.server, entry.born)).collect()
+        all.map(|(entry, _)| (&entry.server, entry.incarnation))
+            .collect()
     }
 
     /// How many servers are registered.
--- a/crates/gateway/src/route.rs
+++ b/crates/gateway/src/route.rs
@@ -170,7 +170,7 @@
     }
 
     /// The owner of an API key.
-    pub fn holder(&self, key: &str) -> Option<&Arc<KeyOwner>> {
+    pub fn key_owner(&self, key: &str) -> Option<&Arc<KeyOwner>> {
         self.keys.get(key)
     }
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -52,7 +52,7 @@
     /// Whether the router can serve.
     pub readiness: watch::Receiver<Readiness>,
     /// Until when requests wait for that at the start.
-    pub start_by: Instant,
+    pub start_deadline: Instant,
 }
 
 /// The body of an answer: a refusal's text, or a server's bytes.
@@ -62,15 +62,15 @@
 pub async fn serve<P: Protocol>(
     context: Arc<Context<P>>,
     request: Request<Incoming>,
-    busy: activity::Busy,
-) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, relay::Cut>> + Send>> {
+    guard: activity::Guard,
+) -> Response<Body<impl Stream<Item = Result<Frame<Bytes>, relay::Error>> + Send>> {
     let is_closing = *context.phase.borrow() > Phase::Serving;
     let started = context.clock.now();
-    let mut response = match answered(&context, request).await {
-        Ok((exchange, answer)) => {
-            let mut head = answer.head.clone();
+    let mut response = match respond(&context, request).await {
+        Ok((exchange, upstream)) => {
+            let mut head = upstream.head.clone();
             crate::headers::strip(&mut head.headers);
-            let stream = relay::stream(exchange, answer, busy);
+            let stream = relay::stream(exchange, upstream, guard);
             Response::from_parts(head, Either::Right(StreamBody::new(stream)))
         }
         Err(refused) => {
@@ -81,7 +81,7 @@
         }
     };
     let waited = context.clock.now().since(started);
-    context.metrics.answered(response.status(), waited);
+    context.metrics.response_started(response.status(), waited);
     if is_closing {
         let close = header::HeaderValue::from_static("close");
         response.headers_mut().insert(header::CONNECTION, close);
@@ -89,15 +89,15 @@
     response
 }
 
-type Answered<P> = (Exchange<P>, Box<crate::attempt::Answer>);
+type Exchanged<P> = (Exchange<P>, Box<crate::attempt::Response>);
 
-async fn answered<P: Protocol>(
+async fn respond<P: Protocol>(
     context: &Arc<Context<P>>,
     request: Request<Incoming>,
-) -> Result<Answered<P>, Refusal> {
-    let mut exchange = intake::take(context, request).await?;
-    match exchange.answer(None).await {
-        Ok(answer) => Ok((exchange, answer)),
+) -> Result<Exchanged<P>, Refusal> {
+    let mut exchange = intake::accept(context, request).await?;
+    match exchange.respond(None).await {
+        Ok(upstream) => Ok((exchange, upstream)),
         Err(refusal) => {
             exchange.log_refusal(&refusal);
             Err(refusal)
@@ -111,25 +111,25 @@
 /// After a process was killed, its callers are there before what it has to know.
 /// Refused, they would come back later than it takes to know it. A router that
 /// knows nothing for longer refuses at once.
-pub const START: Duration = Duration::from_millis(400);
+pub const START_TIMEOUT: Duration = Duration::from_millis(400);
 /// When a caller may come back that met a router without configuration.
-const RETRY_START: Duration = Duration::from_millis(200);
+const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(200);
 
 impl<P> Context<P> {
     /// Waits until the router can serve, or its start has taken too long.
-    async fn started(&self) {
-        if self.clock.now() >= self.start_by {
+    async fn wait_until_ready(&self) {
+        if self.clock.now() >= self.start_deadline {
             return;
         }
         let mut readiness = self.readiness.clone();
         let ready = readiness.wait_for(|readiness| *readiness == Readiness::Ready);
         // If it takes too long the request is refused by what is missing.
-        drop(time::timeout_at(self.clock.at(self.start_by), ready).await);
+        drop(time::timeout_at(self.clock.at(self.start_deadline), ready).await);
     }
 
     /// No configuration is known yet, so nothing can be said of a request.
     fn not_ready(&self) -> Refusal {
         let refusal = Refusal::not_run(Code::NotReady, "The router has no configuration yet.");
-        refusal.retry_at(self.clock.now() + RETRY_START)
+        refusal.retry_at(self.clock.now() + RETRY_AFTER_NOT_READY)
     }
 }
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -16,7 +16,7 @@
 
 use super::Context;
 use crate::{
-    attempt::{self, Answer, End},
+    attempt::{self, End, Response},
     dispatch::{self, AcquireRequest, Message, Permit},
     pool::{Demand, Denial, Outcome, Placement},
     protocol::{Attempt, Head, Protocol},
@@ -26,19 +26,19 @@
 /// How many servers that cannot be reached a request meets before it is given up.
 const MAX_UNREACHABLE: u32 = 4;
 /// A request waits for a place up to this many times its target.
-const WAIT_TARGETS: u32 = 2;
+const QUEUE_TIMEOUT_TARGETS: u32 = 2;
 /// The least such time.
-const LEAST_WAIT: Duration = Duration::from_millis(200);
+const MIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
 /// When a caller may come back that met a full service: about one short answer later.
-const RETRY_FULL: Duration = Duration::from_millis(150);
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
 /// When a caller may come back that met no server at all: an entry takes about as long to return.
-const RETRY_EMPTY: Duration = Duration::from_millis(400);
+const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
 /// Less time than this is not enough for any server.
-const LEAST_TIME: Duration = Duration::from_millis(5);
+const MIN_REMAINING: Duration = Duration::from_millis(5);
 /// A repeatable request goes to the next server after this many times its target without an answer.
-const SILENCE_TARGETS: u32 = 3;
+const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
 /// The least such time.
-const LEAST_SILENCE: Duration = Duration::from_millis(400);
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// A request that has passed all checks.
 #[derive(Clone, Debug)]
@@ -70,7 +70,7 @@
     /// Its body.
     pub body: Bytes,
     /// The body's share of the memory for all bodies.
-    pub _held: Option<Arc<OwnedSemaphorePermit>>,
+    pub _memory_permit: Option<Arc<OwnedSemaphorePermit>>,
     /// What it has in common with its repeats by the caller.
     pub fingerprint: Fingerprint,
     /// What placement needs to know, with the servers that had it.
@@ -86,7 +86,7 @@
     sends: u32,
     unreachable: u32,
     /// A server's failure, to be passed on if no other server answers.
-    failure: Option<Box<Answer>>,
+    failure: Option<Box<Response>>,
     stage: Stage,
 }
 
@@ -94,15 +94,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     /// Nothing.
-    Asking,
+    Pending,
     /// An answer has begun, or it is refused.
-    Answered,
+    Responded,
 }
 
 /// What follows an attempt.
 enum Step {
-    Done(Box<Answer>),
-    Again,
+    Done(Box<Response>),
+    Retry,
     Refuse(Refusal),
 }
 
@@ -116,7 +116,7 @@
             sends: 0,
             unreachable: 0,
             failure: None,
-            stage: Stage::Asking,
+            stage: Stage::Pending,
         }
     }
 
@@ -138,7 +138,7 @@
     /// Who is charged for it.
     pub fn workspace(&self) -> workspace::Id {
         match &self.plan.key_owner {
-            Some(holder) => holder.workspace.clone(),
+            Some(key_owner) => key_owner.workspace.clone(),
             None => self.context.anonymous.clone(),
         }
     }
@@ -164,7 +164,7 @@
 
 impl<P: Protocol> Exchange<P> {
     /// Whether one more server may have the request if one may have run it.
-    pub fn may_repeat(&self) -> bool {
+    pub fn may_retry(&self) -> bool {
         self.plan.route.kind.is_idempotent() && self.sends < self.plan.route.max_attempts
     }
 
@@ -174,41 +174,45 @@
     ///
     /// The refusal for the caller. It says that the request has not run only if
     /// no server may have run it.
-    pub async fn answer(&mut self, last_event: Option<&str>) -> Result<Box<Answer>, Refusal> {
-        let result = self.seek(last_event).await;
-        self.stage = Stage::Answered;
+    pub async fn respond(&mut self, last_event: Option<&str>) -> Result<Box<Response>, Refusal> {
+        let result = self.run_attempts(last_event).await;
+        self.stage = Stage::Responded;
         result
     }
 
-    async fn seek(&mut self, last_event: Option<&str>) -> Result<Box<Answer>, Refusal> {
+    async fn run_attempts(&mut self, last_event: Option<&str>) -> Result<Box<Response>, Refusal> {
         loop {
             let permit = match self.acquire().await {
                 Ok(permit) => permit,
                 Err(refusal) => return self.failure.take().ok_or(refusal),
             };
-            let place = permit.placement().clone();
+            let placement = permit.placement().clone();
             let end = self.attempt(permit, last_event).await;
-            self.log_attempt(&place, &end);
-            self.plan.demand.tried.push(place.server);
-            match self.weigh(end) {
-                Step::Done(answer) => return Ok(answer),
-                Step::Again => {}
+            self.log_attempt(&placement, &end);
+            self.plan.demand.tried.push(placement.server);
+            match self.next_step(end) {
+                Step::Done(response) => return Ok(response),
+                Step::Retry => {}
                 Step::Refuse(refusal) => return self.failure.take().ok_or(refusal),
             }
         }
     }
 
     async fn attempt(&self, permit: Permit, last_event: Option<&str>) -> End {
-        let place = permit.placement().clone();
+        let placement = permit.placement().clone();
         let now = self.context.clock.now();
         let remaining = self.plan.deadline.since(now);
         let attempt = Attempt {
-            server: &place.server,
+            server: &placement.server,
             remaining: Millis(u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)),
-            workspace: self.plan.key_owner.as_ref().map(|holder| &holder.workspace),
+            workspace: self
+                .plan
+                .key_owner
+                .as_ref()
+                .map(|key_owner| &key_owner.workspace),
             rank: self.rank(),
             last_event: last_event.or(self.plan.head.last_event.as_deref()),
-            source: place.source,
+            source: placement.source,
             is_engine: self.plan.is_engine,
         };
         let mut headers = self.plan.headers.clone();
@@ -223,36 +227,42 @@
             request,
             &self.plan.head.id,
             self.context.clock,
-            self.patience(now),
+            self.attempt_deadline(now),
         )
         .await
     }
 
     fn rank(&self) -> u8 {
-        let own = self.plan.key_owner.as_ref().and_then(|holder| holder.rank);
-        own.unwrap_or(self.plan.route.rank)
+        let override_rank = self
+            .plan
+            .key_owner
+            .as_ref()
+            .and_then(|key_owner| key_owner.rank);
+        override_rank.unwrap_or(self.plan.route.rank)
     }
 
     /// Until when one server may stay without an answer.
     ///
     /// A server that hangs keeps a request to the end of its time. One that may
     /// be repeated goes to the next server while there is time for it.
-    fn patience(&self, now: Instant) -> Instant {
+    fn attempt_deadline(&self, now: Instant) -> Instant {
         let route = &self.plan.route;
         if !route.kind.is_idempotent() || self.sends + 1 >= route.max_attempts {
             return self.plan.deadline;
         }
-        let silence = route.target.duration() * SILENCE_TARGETS;
-        self.plan.deadline.min(now + silence.max(LEAST_SILENCE))
+        let timeout = route.target.duration() * ATTEMPT_TIMEOUT_TARGETS;
+        self.plan
+            .deadline
+            .min(now + timeout.max(MIN_ATTEMPT_TIMEOUT))
     }
 
     /// A place at a server, waited for while there is hope.
     async fn acquire(&mut self) -> Result<Permit, Refusal> {
         let now = self.context.clock.now();
-        if now + LEAST_TIME >= self.plan.deadline {
+        if now + MIN_REMAINING >= self.plan.deadline {
             return Err(self.refusal(Code::Deadline, "The time was up."));
         }
-        let order = AcquireRequest {
+        let request = AcquireRequest {
             pool: self.plan.pool.clone(),
             workspace: self.workspace(),
             cost: self.plan.head.cost,
@@ -262,14 +272,14 @@
             is_retry: self.sends > 0,
             fingerprint: self.plan.fingerprint,
         };
-        let (reply, answer) = oneshot::channel();
-        let asked = self.context.dispatch.send(Message::Acquire(order, reply));
-        let answer = answer.await;
+        let (reply, response) = oneshot::channel();
+        let sent = self.context.dispatch.send(Message::Acquire(request, reply));
+        let response = response.await;
         let waited = self.context.clock.now().since(now);
-        self.context.metrics.placed(waited);
-        match (asked, answer) {
+        self.context.metrics.queue_wait(waited);
+        match (sent, response) {
             (Ok(()), Ok(Ok(permit))) => Ok(permit),
-            (Ok(()), Ok(Err(refused))) => Err(self.denied(refused)),
+            (Ok(()), Ok(Err(refusal))) => Err(self.refusal_for(refusal)),
             _ => Err(self.refusal(Code::Internal, "The router is ending.")),
         }
     }
@@ -279,23 +289,23 @@
     /// Later than some times its target the answer is worth little, and a
     /// refusal has to leave the caller time to come back.
     fn latest_start(&self, now: Instant) -> Instant {
-        let targets = self.plan.route.target.duration() * WAIT_TARGETS;
-        let half = self.plan.deadline.since(now) / 2;
-        now + half.min(targets.max(LEAST_WAIT))
+        let targets = self.plan.route.target.duration() * QUEUE_TIMEOUT_TARGETS;
+        let half_remaining = self.plan.deadline.since(now) / 2;
+        now + half_remaining.min(targets.max(MIN_QUEUE_TIMEOUT))
     }
 
-    fn denied(&self, refused: dispatch::Refusal) -> Refusal {
+    fn refusal_for(&self, refusal: dispatch::Refusal) -> Refusal {
         let now = self.context.clock.now();
-        match refused {
+        match refusal {
             dispatch::Refusal::RetryBudget => self
                 .refusal(Code::RetryBudget, "The repeats of the service are used up.")
-                .retry_at(now + RETRY_FULL),
+                .retry_at(now + RETRY_AFTER_FULL),
             dispatch::Refusal::Suspect => {
                 self.refusal(Code::Suspect, "Servers died while they ran this request.")
             }
             dispatch::Refusal::Unknown => self
                 .refusal(Code::NoServer, "No server of the service is known.")
-                .retry_at(now + RETRY_EMPTY),
+                .retry_at(now + RETRY_AFTER_NO_SERVER),
             dispatch::Refusal::Denied(refusal) => {
                 let (code, message) = match refusal.denial {
                     Denial::NoServer => (Code::NoServer, "No server takes the request."),
@@ -316,10 +326,10 @@
         }
     }
 
-    fn weigh(&mut self, end: End) -> Step {
+    fn next_step(&mut self, end: End) -> Step {
         match end {
-            End::Unsent(_) => self.after_unsent(),
-            End::Answered(answer) => self.after_answer(answer),
+            End::Unsent(_) => self.after_connect_failure(),
+            End::Responded(response) => self.after_response(response),
             End::Full => {
                 self.sends += 1;
                 self.after_rejection("The server is full.")
@@ -330,71 +340,73 @@
             }
             End::Broken(_) => {
                 self.sends += 1;
-                self.after_break(Code::BackendDied, "The server broke off.")
+                self.after_failure(Code::BackendDied, "The server broke off.")
             }
-            End::Late => {
+            End::TimedOut => {
                 self.sends += 1;
-                self.after_break(Code::Deadline, "The server did not answer in time.")
+                self.after_failure(Code::Deadline, "The server did not answer in time.")
             }
         }
     }
 
-    fn after_unsent(&mut self) -> Step {
+    fn after_connect_failure(&mut self) -> Step {
         self.unreachable += 1;
         if self.unreachable < MAX_UNREACHABLE {
-            return Step::Again;
+            return Step::Retry;
         }
         let now = self.context.clock.now();
         let refusal = self.refusal(Code::NoServer, "No server could be reached.");
-        Step::Refuse(refusal.retry_at(now + RETRY_EMPTY))
+        Step::Refuse(refusal.retry_at(now + RETRY_AFTER_NO_SERVER))
     }
 
-    fn after_answer(&mut self, mut answer: Box<Answer>) -> Step {
+    fn after_response(&mut self, mut response: Box<Response>) -> Step {
         self.sends += 1;
-        if answer.is_failure && self.may_repeat() {
+        if response.is_failure && self.may_retry() {
             self.verdict = Verdict::MayHaveRun;
             // Kept with the answer, the place would count as taken while another
             // server works, and in the end as cancelled.
-            if let Some(permit) = answer.permit.take() {
+            if let Some(permit) = response.permit.take() {
                 permit.end(Outcome::Failed);
             }
-            self.failure = Some(answer);
-            return Step::Again;
+            self.failure = Some(response);
+            return Step::Retry;
         }
-        Step::Done(answer)
+        Step::Done(response)
     }
 
     fn after_rejection(&mut self, message: &str) -> Step {
         if self.sends < self.plan.route.max_attempts {
-            return Step::Again;
+            return Step::Retry;
         }
         let now = self.context.clock.now();
         let refusal = self.refusal(Code::Busy, message);
-        Step::Refuse(refusal.retry_at(now + RETRY_FULL))
+        Step::Refuse(refusal.retry_at(now + RETRY_AFTER_FULL))
     }
 
-    fn after_break(&mut self, code: Code, message: &str) -> Step {
+    fn after_failure(&mut self, code: Code, message: &str) -> Step {
         self.verdict = Verdict::MayHaveRun;
-        if self.may_repeat() {
-            return Step::Again;
+        if self.may_retry() {
+            return Step::Retry;
         }
         Step::Refuse(self.refusal(code, message))
     }
 
-    fn log_attempt(&self, place: &Placement, end: &End) {
+    fn log_attempt(&self, placement: &Placement, end: &End) {
         let (outcome, reason) = match end {
-            End::Answered(answer) if answer.is_failure => ("failed", answer.head.status.as_str()),
-            End::Answered(_) => {
-                self.context.metrics.attempted("answered");
+            End::Responded(response) if response.is_failure => {
+                ("failed", response.head.status.as_str())
+            }
+            End::Responded(_) => {
+                self.context.metrics.attempt_ended("answered");
                 return;
             }
             End::Unsent(reason) => ("unsent", reason.as_str()),
             End::Full => ("full", ""),
             End::Moved => ("moved", ""),
             End::Broken(reason) => ("broken", reason.as_str()),
-            End::Late => ("late", ""),
+            End::TimedOut => ("late", ""),
         };
-        self.context.metrics.attempted(outcome);
+        self.context.metrics.attempt_ended(outcome);
         let now = self.context.clock.now();
         let waited = now.since(self.plan.arrived);
         logging::event!(
@@ -404,10 +416,10 @@
             route = self.plan.route.name,
             pool = self.plan.pool,
             workspace = self.workspace(),
-            server = place.server,
-            zone = place.zone,
-            load = place.load,
-            bound = format!("{:.1}", place.bound),
+            server = placement.server,
+            zone = placement.zone,
+            load = placement.load,
+            bound = format!("{:.1}", placement.bound),
             outcome = outcome,
             reason = reason,
             waited_ms = waited.as_millis(),
@@ -445,7 +457,7 @@
     /// All that the router did for the request is dropped with it. Without this
     /// the request would have no line in the log.
     fn drop(&mut self) {
-        if self.stage == Stage::Asking {
+        if self.stage == Stage::Pending {
             self.log_abandoned();
         }
     }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -29,22 +29,22 @@
 /// # Errors
 ///
 /// A refusal; the request has not run.
-pub async fn take<P: Protocol>(
+pub async fn accept<P: Protocol>(
     context: &Arc<Context<P>>,
     request: Request<Incoming>,
 ) -> Result<Exchange<P>, Refusal> {
     let arrived = context.clock.now();
     let (mut parts, body) = request.into_parts();
     let head = context.protocol.read(&parts);
-    let head = head.inspect_err(log_unread)?;
-    context.started().await;
+    let head = head.inspect_err(log_malformed)?;
+    context.wait_until_ready().await;
     let table = context.table.borrow().clone();
     let table = table.ok_or_else(|| context.not_ready());
     let table = table.inspect_err(|refusal| log_refusal(&head, &Table::default(), refusal))?;
     let checked = check(&table, &head, parts.uri.path(), &body);
     let (route, key_owner) = checked.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     let body = read(body, table.limits.body_bytes, &context.memory).await;
-    let (body, held) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
+    let (body, reserved) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     headers::strip(&mut parts.headers);
     parts.headers.remove(hyper::header::CONTENT_LENGTH);
     let hash = xxh3::xxh3_64(head.id.as_bytes());
@@ -58,7 +58,7 @@
         Arc::clone(context),
         exchange::Plan {
             deadline: deadline(arrived, &route, &head),
-            caller_deadline: head.patience.map(|wait| arrived + wait.duration()),
+            caller_deadline: head.timeout.map(|wait| arrived + wait.duration()),
             arrived,
             version: table.version,
             is_engine,
@@ -70,7 +70,7 @@
             uri: parts.uri,
             headers: parts.headers,
             body,
-            _held: held.map(Arc::new),
+            _memory_permit: reserved.map(Arc::new),
             demand: Demand {
                 parts: head.parts.clone(),
                 ..Demand::default()
@@ -87,7 +87,7 @@
         .find(&head.host, path)
         .ok_or_else(|| Refusal::not_run(Code::UnknownRoute, "No route matches."))?;
     let key_owner = match &head.key {
-        Some(key) => table.holder(key).cloned(),
+        Some(key) => table.key_owner(key).cloned(),
         None => None,
     };
     if key_owner.is_none() && table.needs_key && !route.is_anonymous {
@@ -101,13 +101,17 @@
 }
 
 /// A body and its share of the memory for bodies.
-type Held = (Bytes, Option<OwnedSemaphorePermit>);
+type BodyWithPermit = (Bytes, Option<OwnedSemaphorePermit>);
 
 /// Reads a body within the limit of its size and of the memory for all bodies.
 ///
 /// Bodies are kept until their answers end. Many large ones at once would take
 /// more memory than the process has, and it would be killed with every request.
-async fn read(body: Incoming, limit: u64, memory: &Arc<Semaphore>) -> Result<Held, Refusal> {
+async fn read(
+    body: Incoming,
+    limit: u64,
+    memory: &Arc<Semaphore>,
+) -> Result<BodyWithPermit, Refusal> {
     match time::timeout(BODY_TIMEOUT, collect(body, limit, memory)).await {
         Ok(collected) => collected,
         Err(_) => Err(Refusal::not_run(
@@ -117,10 +121,14 @@
     }
 }
 
-async fn collect(mut body: Incoming, limit: u64, memory: &Arc<Semaphore>) -> Result<Held, Refusal> {
+async fn collect(
+    mut body: Incoming,
+    limit: u64,
+    memory: &Arc<Semaphore>,
+) -> Result<BodyWithPermit, Refusal> {
     let expected = body.size_hint().lower().min(limit);
     let mut bytes = BytesMut::with_capacity(usize::try_from(expected).unwrap_or(0));
-    let mut held: Option<OwnedSemaphorePermit> = None;
+    let mut reserved: Option<OwnedSemaphorePermit> = None;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             Refusal::not_run(
@@ -132,30 +140,32 @@
         if bytes.len() as u64 > limit {
             return Err(too_large());
         }
-        hold(&mut held, bytes.len(), memory)?;
+        reserve_memory(&mut reserved, bytes.len(), memory)?;
     }
-    Ok((bytes.freeze(), held))
+    Ok((bytes.freeze(), reserved))
 }
 
 /// Takes as much of the memory for bodies as `length` bytes need.
-fn hold(
-    held: &mut Option<OwnedSemaphorePermit>,
+fn reserve_memory(
+    reserved: &mut Option<OwnedSemaphorePermit>,
     length: usize,
     memory: &Arc<Semaphore>,
 ) -> Result<(), Refusal> {
-    let needed = length.div_ceil(BODY_UNIT);
-    let has = held.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-    let more = u32::try_from(needed.saturating_sub(has)).unwrap_or(u32::MAX);
-    if more == 0 {
+    let needed_units = length.div_ceil(BODY_UNIT);
+    let held_units = reserved
+        .as_ref()
+        .map_or(0, OwnedSemaphorePermit::num_permits);
+    let missing_units = u32::try_from(needed_units.saturating_sub(held_units)).unwrap_or(u32::MAX);
+    if missing_units == 0 {
         return Ok(());
     }
-    let Ok(permit) = Arc::clone(memory).try_acquire_many_owned(more) else {
+    let Ok(permit) = Arc::clone(memory).try_acquire_many_owned(missing_units) else {
         let message = "There is no memory for the body now.";
         return Err(Refusal::not_run(Code::Busy, message));
     };
-    match held {
-        Some(held) => held.merge(permit),
-        None => *held = Some(permit),
+    match reserved {
+        Some(reserved) => reserved.merge(permit),
+        None => *reserved = Some(permit),
     }
     Ok(())
 }
@@ -181,13 +191,13 @@
 /// When the final answer is due: the route's time limit, or the caller's if that is sooner.
 fn deadline(arrived: Instant, route: &Route, head: &Head) -> Instant {
     let limit = head
-        .patience
+        .timeout
         .map_or(route.timeout, |wait| wait.min(route.timeout));
     arrived + limit.duration()
 }
 
 /// Logs the refusal of a request whose id could not be read.
-fn log_unread(refusal: &Refusal) {
+fn log_malformed(refusal: &Refusal) {
     logging::event!(
         info,
         "request_rejected",
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -47,7 +47,7 @@
     /// Requests that a cold server may get in one second besides.
     pub cold_extra: f64,
     /// What may be repeated at one service.
-    pub repeats: retry_budget::Allowance,
+    pub retries: retry_budget::Allowance,
 }
 
 impl Default for Bounds {
@@ -56,7 +56,7 @@
             load_multiple: 2.0,
             cold_multiple: 1.0,
             cold_extra: 0.0,
-            repeats: retry_budget::Allowance {
+            retries: retry_budget::Allowance {
                 ratio: 0.1,
                 burst: 0.0,
                 window_s: 10,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -35,20 +35,20 @@
 /// How long callers are still taken after the process was told to end.
 ///
 /// The balancer asks once a second and takes a router out after two misses.
-const LEAVE: Duration = Duration::from_millis(3000);
+const LEAVE_PERIOD: Duration = Duration::from_millis(3000);
 /// How long before it would be killed the process ends by itself.
-const MARGIN: Duration = Duration::from_millis(300);
+const KILL_MARGIN: Duration = Duration::from_millis(300);
 /// How long a call that registers a router may take.
-const REGISTER_LIMIT: Duration = Duration::from_secs(1);
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 /// The pause after one that failed.
-const REGISTER_PAUSE: Duration = Duration::from_millis(400);
+const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
 /// How long the store alone is asked for the key, and the pause between two rounds of others.
 ///
 /// A store that answers does so within some milliseconds; one that is slowed to
 /// sixty times that still answers first.
-const INTRODUCTION_PAUSE: Duration = Duration::from_millis(400);
+const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(400);
 /// How often the settings are read again without being told.
-const REREAD: Duration = Duration::from_secs(5);
+const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
 /// A router that could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -116,7 +116,7 @@
         let (table_sender, table) = watch::channel(None);
         let (readiness_sender, readiness_receiver) = watch::channel(Readiness::default());
         let (members_sender, members) = watch::channel(Arc::default());
-        let (mirrors_sender, replicas) = watch::channel(Arc::default());
+        let (replicas_sender, replicas) = watch::channel(Arc::default());
         let (dispatch, handle, messages) =
             Dispatch::new(clock, Arc::clone(&metrics), settings.clone());
         tokio::spawn(dispatch.run(messages));
@@ -126,15 +126,15 @@
             table: table_sender,
             readiness: readiness_sender,
             members: members_sender,
-            replicas: mirrors_sender,
+            replicas: replicas_sender,
             dispatch: handle.clone(),
             metrics: Arc::clone(&metrics),
         };
-        let (events, event_receiver) = mpsc::channel(EVENTS);
+        let (events, event_receiver) = mpsc::channel(EVENT_CHANNEL_CAPACITY);
         let state = State::new(source.clone(), clock, outputs);
         tokio::spawn(state.run(event_receiver));
         let (watching_sender, is_watching) = watch::channel(false);
-        let (served_sender, is_store_reachable) = watch::channel(false);
+        let (store_reachable_sender, is_store_reachable) = watch::channel(false);
         for topic in Topic::ALL {
             let follow = Follow::new(
                 source.clone(),
@@ -142,7 +142,7 @@
                 events.clone(),
                 Arc::clone(&metrics),
                 is_watching.clone(),
-                served_sender.clone(),
+                store_reachable_sender.clone(),
             );
             tokio::spawn(follow.run());
         }
@@ -165,7 +165,7 @@
             ages: Arc::clone(&ages),
             metrics: Arc::clone(&metrics),
         };
-        tokio::spawn(talk(
+        tokio::spawn(run_gossip(
             clock,
             source.clone(),
             settings.introducers.clone(),
@@ -183,7 +183,7 @@
             dispatch: handle.clone(),
         };
         tokio::spawn(observer::serve(sockets.readiness, sources.clone()));
-        tokio::spawn(observer::serve(sockets.questions, sources));
+        tokio::spawn(observer::serve(sockets.metrics, sources));
         let context = Arc::new(Context {
             anonymous: settings.anonymous.clone(),
             protocol,
@@ -195,7 +195,7 @@
             metrics,
             ages,
             readiness: readiness_receiver,
-            start_by: clock.now() + serve::START,
+            start_deadline: clock.now() + serve::START_TIMEOUT,
         });
         let callers = listener::serve(
             sockets.callers,
@@ -253,7 +253,7 @@
                 _ = terminate.recv() => break,
                 _ = interrupt.recv() => break,
                 _ = hangup.recv() => {}
-                () = time::sleep(REREAD) => {}
+                () = time::sleep(RELOAD_INTERVAL) => {}
             }
             if let Some(settings) = read() {
                 self.reload(&settings);
@@ -273,16 +273,17 @@
         let started = time::Instant::now();
         logging::event!(info, "leaving", routers = self.members.borrow().len());
         self.phase.send_replace(Phase::Leaving);
-        time::sleep(LEAVE).await;
+        time::sleep(LEAVE_PERIOD).await;
         self.phase.send_replace(Phase::Closing);
         logging::event!(info, "closing");
-        let end = started + self.settings.grace.duration().saturating_sub(MARGIN);
-        let left = self.source.unregister(&self.settings.host, end);
-        let (drained, left) = tokio::join!(time::timeout_at(end, self.callers), left);
+        let deadline = started + self.settings.grace.duration().saturating_sub(KILL_MARGIN);
+        let unregistered = self.source.unregister(&self.settings.host, deadline);
+        let (drained, unregistered) =
+            tokio::join!(time::timeout_at(deadline, self.callers), unregistered);
         if drained.is_err() {
             logging::event!(warn, "drain_timed_out");
         }
-        if let Err(error) = left {
+        if let Err(error) = unregistered {
             logging::event!(info, "unregister_failed", reason = error);
         }
         logging::event!(info, "closed");
@@ -293,7 +294,7 @@
 struct Sockets {
     callers: TcpListener,
     readiness: TcpListener,
-    questions: TcpListener,
+    metrics: TcpListener,
     peers: peers::Sockets,
 }
 
@@ -303,7 +304,7 @@
     async fn bind(settings: &mut Settings) -> Result<Self, Report<Error>> {
         let callers = listen(&mut settings.callers, Error::Callers).await?;
         let readiness = listen(&mut settings.readiness, Error::Readiness).await?;
-        let questions = listen(&mut settings.metrics, Error::Metrics).await?;
+        let metrics = listen(&mut settings.metrics, Error::Metrics).await?;
         let rows = listen(&mut settings.peers, Error::Peers).await?;
         let introductions = listen(&mut settings.introductions, Error::Peers).await?;
         let digests = UdpSocket::bind(settings.peers)
@@ -312,7 +313,7 @@
         Ok(Self {
             callers,
             readiness,
-            questions,
+            metrics,
             peers: peers::Sockets {
                 digests,
                 rows,
@@ -329,7 +330,7 @@
 }
 
 /// Learns the key of the fleet, and talks to the other routers from then on.
-async fn talk<S: Source>(
+async fn run_gossip<S: Source>(
     clock: Clock,
     source: S,
     introducers: Vec<SocketAddr>,
@@ -338,8 +339,8 @@
     outputs: peers::Outputs,
 ) {
     let secret = tokio::select! {
-        secret = secret(&source) => secret,
-        introduced = introduced(&introducers) => {
+        secret = read_secret(&source) => secret,
+        introduced = request_introduction(&introducers) => {
             for (topic, batch) in introduced.batches {
                 // The task ends only with the process.
                 drop(outputs.events.send(follow::Event::Relayed(topic, batch)).await);
@@ -351,21 +352,21 @@
 }
 
 /// Reads the key of the fleet, until it is there.
-async fn secret<S: Source>(source: &S) -> Secret {
+async fn read_secret<S: Source>(source: &S) -> Secret {
     loop {
-        let deadline = time::Instant::now() + REGISTER_LIMIT;
+        let deadline = time::Instant::now() + STORE_TIMEOUT;
         match source.secret(deadline).await {
             Ok(secret) => return secret,
             Err(error) => logging::event!(info, "secret_unavailable", reason = error),
         }
-        time::sleep(REGISTER_PAUSE).await;
+        time::sleep(STORE_RETRY_INTERVAL).await;
     }
 }
 
 /// Asks other routers for the key, and for all that they know, until one answers.
-async fn introduced(introducers: &[SocketAddr]) -> Introduced {
+async fn request_introduction(introducers: &[SocketAddr]) -> Introduced {
     loop {
-        time::sleep(INTRODUCTION_PAUSE).await;
+        time::sleep(INTRODUCTION_INTERVAL).await;
         for &address in introducers {
             match introduction::request(address).await {
                 Ok(introduced) => {
@@ -381,7 +382,7 @@
 }
 
 /// How many events of the store may wait to be taken in.
-const EVENTS: usize = 64;
+const EVENT_CHANNEL_CAPACITY: usize = 64;
 
 /// Registers this router until the store lists it, and again whenever it is missing.
 async fn register<S: Source>(
@@ -398,7 +399,7 @@
             }
             continue;
         }
-        match enroll(&source, &own).await {
+        match register_once(&source, &own).await {
             Ok(batch) => {
                 let event = follow::Event::Batch(Topic::Routers, batch);
                 // The task ends only with the process.
@@ -407,14 +408,14 @@
             Err(error) => logging::event!(info, "register_failed", reason = error),
         }
         // The list is published within a moment; until it is, nothing is missing.
-        let listed = time::timeout(REGISTER_PAUSE, members.changed()).await;
+        let listed = time::timeout(STORE_RETRY_INTERVAL, members.changed()).await;
         drop(listed);
     }
 }
 
 /// Registers this router and reads who else is registered.
-async fn enroll<S: Source>(source: &S, own: &Member) -> Result<Batch, source::Error> {
-    let deadline = time::Instant::now() + REGISTER_LIMIT;
+async fn register_once<S: Source>(source: &S, own: &Member) -> Result<Batch, source::Error> {
+    let deadline = time::Instant::now() + STORE_TIMEOUT;
     source.register(own, deadline).await?;
     source.read(Topic::Routers, deadline).await
 }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -86,16 +86,16 @@
     /// The servers, by service and name.
     pub servers: Vec<Row>,
     /// Requests that wait, by service.
-    pub waiting: Vec<(pool::Id, usize)>,
+    pub queued: Vec<(pool::Id, usize)>,
     /// How many routers share bounds.
     pub members: usize,
     /// How many other routers told of their requests in flight.
-    pub heard: usize,
+    pub reporting_peers: usize,
 }
 
 /// What the first line of the page says.
 #[derive(Debug)]
-pub struct Own<'a> {
+pub struct Header<'a> {
     /// This router.
     pub host: &'a host::Id,
     /// What it misses to serve requests.
@@ -109,20 +109,20 @@
 }
 
 /// Writes the page.
-pub fn page(own: &Own<'_>, report: &Report) -> String {
+pub fn page(header: &Header<'_>, report: &Report) -> String {
     let mut lines = vec![format!(
         "router={} readiness=\"{}\" phase={:?} config_age_ms={} servers_age_ms={} members={} \
          heard={}",
-        own.host,
-        own.readiness,
-        own.phase,
-        own.ages.configuration(own.now).as_millis(),
-        own.ages.servers(own.now).as_millis(),
+        header.host,
+        header.readiness,
+        header.phase,
+        header.ages.configuration(header.now).as_millis(),
+        header.ages.servers(header.now).as_millis(),
         report.members,
-        report.heard
+        report.reporting_peers
     )];
-    let waiting = report.waiting.iter();
-    lines.extend(waiting.map(|(pool, count)| format!("pool={pool} waiting={count}")));
+    let queued = report.queued.iter();
+    lines.extend(queued.map(|(pool, count)| format!("pool={pool} waiting={count}")));
     lines.extend(report.servers.iter().map(Row::to_string));
     lines.push(String::new());
     lines.join("\n")
--- a/crates/gateway/src/value.rs
+++ b/crates/gateway/src/value.rs
@@ -11,7 +11,7 @@
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 
 /// The smallest value that is packed, in bytes: one that fits few packets gains little.
-const LEAST_PACKED: usize = 4 * 1024;
+const MIN_PACKED_BYTES: usize = 4 * 1024;
 
 /// The value of a row.
 ///
@@ -45,8 +45,8 @@
     /// When it has another length, or is no packed value.
     pub fn unpack(packed: Bytes, length: usize) -> Result<Self, Corrupt> {
         let mut bytes = Vec::with_capacity(length);
-        let most = u64::try_from(length).unwrap_or(u64::MAX).saturating_add(1);
-        let mut decoder = DeflateDecoder::new(&packed[..]).take(most);
+        let max_length = u64::try_from(length).unwrap_or(u64::MAX).saturating_add(1);
+        let mut decoder = DeflateDecoder::new(&packed[..]).take(max_length);
         decoder.read_to_end(&mut bytes).map_err(|_| Corrupt)?;
         if bytes.len() != length {
             return Err(Corrupt);
@@ -59,7 +59,7 @@
 
     /// The packed form; `None` for a value that is too short to gain by it.
     pub fn packed(&self) -> Option<&Bytes> {
-        if self.bytes.len() < LEAST_PACKED {
+        if self.bytes.len() < MIN_PACKED_BYTES {
             return None;
         }
         let packed = self.packed.get_or_init(|| pack(&self.bytes).ok());
--- a/crates/gateway/tests/decisions/aggregation.rs
+++ b/crates/gateway/tests/decisions/aggregation.rs
@@ -68,14 +68,14 @@
         zone: sum.zone,
         routers: sum.routers,
         loads: ReportEncoder::default().next(&sum.loads, START),
-        reads: Vec::new(),
+        cached_prefixes: Vec::new(),
     };
     assert!(frame.encode().is_ok());
     let total = FleetTotal {
         aggregator: u32::MAX,
         routers: u16::MAX,
         loads: ReportEncoder::default().next(&aggregator.fleet_total(&sum, START), START),
-        reads: Vec::new(),
+        cached_prefixes: Vec::new(),
         relay_to: vec![u32::MAX; 10],
     };
     assert!(Frame::FleetTotal(total).encode().is_ok());
@@ -182,7 +182,7 @@
         let report = reporter.next(&loads, START);
         let frame = Frame::Loads {
             loads: report,
-            reads: Vec::new(),
+            cached_prefixes: Vec::new(),
         };
         let Ok(Frame::Loads { loads: report, .. }) = Frame::decode(&frame.encode().expect("the frame fits one datagram")) else {
             panic!("decoded as another kind of frame");
--- a/crates/gateway/tests/decisions/configurations.rs
+++ b/crates/gateway/tests/decisions/configurations.rs
@@ -4,8 +4,8 @@
 
 use gateway::{
     peers::{
-        Digest, FAN_OUT, INTERVAL, Part, PeerTable, QUIET_FAN_OUT, StoreFallback, Versions,
-        WATCHERS, fetch, gossip_targets,
+        Digest, FAN_OUT, INTERVAL, Part, QUIET_FAN_OUT, StoreFallback, Table, Versions, WATCHERS,
+        fetch, gossip_targets,
     },
     source::Member,
 };
@@ -43,7 +43,7 @@
 struct Router {
     is_up_to_date: bool,
     is_up: bool,
-    table: PeerTable,
+    table: Table,
     store_fallback: StoreFallback,
     transfer: Option<Transfer>,
     /// When it retries after a busy response.
@@ -90,7 +90,7 @@
         let routers = (0..count).map(|index| Router {
             is_up_to_date: index % (count / WATCHERS) == 0,
             is_up: true,
-            table: PeerTable::default(),
+            table: Table::default(),
             store_fallback: StoreFallback::default(),
             transfer: None,
             retry_at: None,
--- a/crates/gateway/tests/decisions/crashes.rs
+++ b/crates/gateway/tests/decisions/crashes.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gateway::crashes::CrashTracker;
+use gateway::crashes::Tracker;
 use units::{request::Fingerprint, time::Instant};
 
 use crate::world::{START, server};
@@ -11,7 +11,7 @@
 const HARMLESS: Fingerprint = Fingerprint(8);
 
 /// Crashes `count` servers with the request, one per second from `START` on.
-fn crash(tracker: &mut CrashTracker, fingerprint: Fingerprint, count: u64) -> Instant {
+fn crash(tracker: &mut Tracker, fingerprint: Fingerprint, count: u64) -> Instant {
     let mut now = START;
     for index in 0..count {
         let name = server(&format!("s{index}"));
@@ -29,7 +29,7 @@
 /// requests in flight there.
 #[test]
 fn a_request_that_crashed_three_servers_is_refused() {
-    let mut tracker = CrashTracker::default();
+    let mut tracker = Tracker::default();
     let now = crash(&mut tracker, CRASHING, 2);
     assert!(!tracker.is_refused(CRASHING, now));
     let now = crash(&mut tracker, CRASHING, 3);
@@ -40,7 +40,7 @@
 /// Connections may be reset although the server keeps running.
 #[test]
 fn a_reset_connection_is_not_a_crash() {
-    let mut tracker = CrashTracker::default();
+    let mut tracker = Tracker::default();
     for index in 0..10 {
         let now = START + Duration::from_secs(index);
         tracker.record_broken(HARMLESS, &server("s0"), 1, now, now);
@@ -51,7 +51,7 @@
 /// The server crashes long after the connection broke.
 #[test]
 fn an_old_connection_failure_does_not_count() {
-    let mut tracker = CrashTracker::default();
+    let mut tracker = Tracker::default();
     tracker.record_broken(HARMLESS, &server("s0"), 1, START, START);
     assert_eq!(
         tracker.record_death(&server("s0"), 1, START + Duration::from_secs(7)),
@@ -62,7 +62,7 @@
 /// A harmless request was in flight during crashes and then completes elsewhere.
 #[test]
 fn a_request_that_completes_is_cleared() {
-    let mut tracker = CrashTracker::default();
+    let mut tracker = Tracker::default();
     crash(&mut tracker, HARMLESS, 2);
     tracker.record_completed(HARMLESS);
     let now = crash(&mut tracker, HARMLESS, 2);
@@ -73,11 +73,7 @@
 /// than one crash.
 #[test]
 fn strikes_of_all_routers_add_up() {
-    let mut trackers = [
-        CrashTracker::default(),
-        CrashTracker::default(),
-        CrashTracker::default(),
-    ];
+    let mut trackers = [Tracker::default(), Tracker::default(), Tracker::default()];
     let mut now = START;
     for index in 0..3 {
         let name = server(&format!("s{index}"));
--- a/crates/gateway/tests/decisions/events.rs
+++ b/crates/gateway/tests/decisions/events.rs
@@ -28,7 +28,7 @@
     let (forwarded, mut splitter) = split(pieces);
     assert_eq!(forwarded, "id: 1\ndata: x\n\n");
     assert!(splitter.is_partial());
-    assert_eq!(splitter.restart().as_deref(), Some("1"));
+    assert_eq!(splitter.reset().as_deref(), Some("1"));
     assert!(!splitter.is_partial());
 }
 
@@ -42,5 +42,5 @@
 #[test]
 fn a_stream_without_an_event_has_no_restart_id() {
     let (_, mut splitter) = split(&["id: 1\n"]);
-    assert_eq!(splitter.restart(), None);
+    assert_eq!(splitter.reset(), None);
 }
--- a/crates/gateway/tests/decisions/explore.rs
+++ b/crates/gateway/tests/decisions/explore.rs
@@ -9,7 +9,7 @@
 use bytes::Bytes;
 use gateway::{
     replica::Replica,
-    retry_budget::{Allowance, RetryBudget},
+    retry_budget::{Allowance, Budget},
     slow_start::{self, Pacer, RateLimit},
     source::{Batch, Row},
 };
@@ -190,7 +190,7 @@
 #[derive(Clone, Debug)]
 struct Retries {
     step: u32,
-    budgets: [RetryBudget; 2],
+    budgets: [Budget; 2],
     /// First attempts and retries so far.
     arrivals: u32,
     retries: u32,
@@ -211,7 +211,7 @@
 fn two_routers_never_exceed_the_retry_budget() {
     let start = Retries {
         step: 0,
-        budgets: [0, 1].map(|_| RetryBudget::new(ALLOWANCE, 2, START)),
+        budgets: [0, 1].map(|_| Budget::new(ALLOWANCE, 2, START)),
         arrivals: 0,
         retries: 0,
         restarts: 0,
@@ -234,7 +234,7 @@
                     1 => state.retries += u32::from(state.budgets[router].withdraw(2, now)),
                     _ if state.restarts == 0 => {
                         state.restarts = 1;
-                        state.budgets[router] = RetryBudget::new(ALLOWANCE, 2, now);
+                        state.budgets[router] = Budget::new(ALLOWANCE, 2, now);
                     }
                     _ => {}
                 }
--- a/crates/gateway/tests/decisions/peers.rs
+++ b/crates/gateway/tests/decisions/peers.rs
@@ -12,7 +12,7 @@
     load::ReportEncoder,
     outlier::OutcomeCounts,
     peers::{
-        Digest, Directory, Frame, Part, PeerTable, Versions, WATCHERS, Watcher, Watchers,
+        Digest, Directory, Frame, Part, Table, Versions, WATCHERS, Watcher, Watchers,
         gossip_targets, loads as digest_loads,
     },
 };
@@ -47,7 +47,7 @@
 
 /// Selects a peer to fetch from, where no peer is in the same zone.
 fn select_ahead(
-    table: &mut PeerTable,
+    table: &mut Table,
     own: Versions,
     is_watching: bool,
     random: usize,
@@ -61,7 +61,7 @@
 /// other routers but not this one.
 #[test]
 fn a_router_that_is_behind_fetches_from_one_that_is_ahead() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     table.record(&digest("r1", 5), at(1), START, PEER_TIMEOUT);
     assert_eq!(table.newest_configuration(), 5);
     table.record(&digest("r2", 6), at(2), START, PEER_TIMEOUT);
@@ -83,7 +83,7 @@
 /// milliseconds of each other, so being behind for a moment is no reason to fetch.
 #[test]
 fn a_router_that_is_briefly_behind_does_not_fetch() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     table.record(&digest("r1", 6), at(1), START, PEER_TIMEOUT);
     assert_eq!(select_ahead(&mut table, own(5), true, 0, START), None);
     assert_eq!(
@@ -112,7 +112,7 @@
 /// others that hold the update by now.
 #[test]
 fn an_unresponsive_peer_is_not_selected_again() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     table.record(&digest("r1", 6), at(1), START, PEER_TIMEOUT);
     table.record(&digest("r2", 6), at(2), START, PEER_TIMEOUT);
     let first = select_ahead(&mut table, own(5), false, 0, START).expect("a peer that is ahead");
@@ -131,7 +131,7 @@
 /// of them.
 #[test]
 fn fetches_are_spread_over_all_peers_ahead() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     for index in 0..5 {
         table.record(
             &digest(&format!("r{index}"), 6),
@@ -181,7 +181,7 @@
         digest.versions.servers = servers;
         digest
     };
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     let mut selected = Vec::new();
     for step in 0..40 {
         let now = START + Duration::from_millis(25 * step);
@@ -213,7 +213,7 @@
 /// the configuration is fetched with the next batch of server changes.
 #[test]
 fn a_configuration_is_not_batched_with_a_series() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     let mut servers = digest("r1", 5);
     servers.versions.servers = 2;
     table.record(&servers, at(1), START, PEER_TIMEOUT);
@@ -228,7 +228,7 @@
 /// configuration.
 #[test]
 fn the_rest_is_fetched_during_a_configuration_transfer() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     let mut update = digest("r1", 6);
     update.versions.servers = 2;
     table.record(&update, at(1), START, PEER_TIMEOUT);
@@ -241,7 +241,7 @@
 /// version that shows the difference.
 #[test]
 fn a_diverged_peer_is_selected_for_a_full_fetch() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     let ms = Duration::from_millis;
     table.record(
         &digest("r1", 5).with_checksum(7),
@@ -278,7 +278,7 @@
 /// Guards against a dead router whose last requests are counted forever.
 #[test]
 fn a_silent_peer_expires() {
-    let mut table = PeerTable::default();
+    let mut table = Table::default();
     assert!(table.record(&digest("r1", 5), at(1), START, PEER_TIMEOUT));
     assert_eq!(
         table.remove_expired(START + PEER_TIMEOUT - Duration::from_millis(1)),
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -204,7 +204,7 @@
     let mut pool = pool(&entries);
     let first_server = run(&mut pool, 7, 0, START).server;
     for entry in &mut entries {
-        entry.born += u64::from(entry.server == first_server);
+        entry.incarnation += u64::from(entry.server == first_server);
     }
     pool.set_servers(entries.iter().map(|entry| (entry, false)));
     let parts = demand(7, 0).parts;
@@ -273,18 +273,18 @@
 /// they would overload the cold server and fail.
 #[test]
 fn servers_are_treated_as_cold_after_a_process_pause() {
-    let mut pause_watch = pause::Watch::default();
+    let mut pauses = pause::Detector::default();
     let mut pool = pool(&twelve_servers());
-    assert_eq!(pause_watch.look(START), None);
-    assert_eq!(pause_watch.look(START + Duration::from_millis(400)), None);
+    assert_eq!(pauses.check(START), None);
+    assert_eq!(pauses.check(START + Duration::from_millis(400)), None);
     let resumed_at = START + Duration::from_secs(4);
-    let pause = pause_watch.look(resumed_at).expect("a pause");
+    let pause = pauses.check(resumed_at).expect("a pause");
     assert!(pause > Duration::from_secs(3));
     pool.assume_cold_until(resumed_at + Duration::from_millis(600));
     let placed = (0..200).filter(|&own| admit(&mut pool, own, own, resumed_at).is_ok());
     assert_eq!(placed.count(), 12, "one request per server");
     let later_at = resumed_at + Duration::from_millis(700);
-    assert_eq!(pause_watch.look(later_at), None);
+    assert_eq!(pauses.check(later_at), None);
     let placed = (0..60).filter(|&own| admit(&mut pool, own, own, later_at).is_ok());
     assert_eq!(placed.count(), 60);
 }
--- a/crates/gateway/tests/decisions/prefixes.rs
+++ b/crates/gateway/tests/decisions/prefixes.rs
@@ -88,7 +88,7 @@
     let (first, received) = run(&mut pool(&entries), 7, 0);
     local_router.add_peer_prefixes(&received, START);
     for entry in &mut entries {
-        entry.born += u64::from(entry.server == first.server);
+        entry.incarnation += u64::from(entry.server == first.server);
     }
     local_router.set_servers(entries.iter().map(|entry| (entry, false)));
     let parts = demand(7, 1).parts;
@@ -156,7 +156,7 @@
         aggregator: u32::MAX,
         routers: u16::MAX,
         loads: gateway::load::Report::Full(loads.collect()),
-        reads: updates.updates(START),
+        cached_prefixes: updates.updates(START),
         relay_to: vec![u32::MAX; 10],
     };
     let frame = Frame::FleetTotal(total);
@@ -188,7 +188,7 @@
             running: vec![(1 << 17, 5); 105],
             outcomes: Vec::new(),
         },
-        reads: updates.updates(START),
+        cached_prefixes: updates.updates(START),
         relay_to: vec![u32::MAX; 6],
     };
     let bytes = Frame::FleetTotal(total)
@@ -197,7 +197,11 @@
     let Ok(Frame::FleetTotal(received)) = Frame::decode(&bytes) else {
         panic!("unexpected frame");
     };
-    assert!(received.reads.len() >= 50, "{}", received.reads.len());
+    assert!(
+        received.cached_prefixes.len() >= 50,
+        "{}",
+        received.cached_prefixes.len()
+    );
 }
 
 fn settings() -> Settings {
--- a/crates/gateway/tests/decisions/queue.rs
+++ b/crates/gateway/tests/decisions/queue.rs
@@ -4,21 +4,21 @@
 
 use gateway::{
     pool::{Denial, Outcome},
-    queue::{Admission, Dequeued, QueueRequest, ServiceQueue},
+    queue::{Admission, Dequeued, Queue, Request},
 };
 use units::{cost::Cost, request::Attempt, time::Instant};
 
 use crate::world::{START, demand, entry, fleet, pool, workspace};
 
 /// One server with eight slots.
-fn queue() -> ServiceQueue {
+fn queue() -> Queue {
     let mut entry = entry("s0", "a");
     entry.slots = 8;
-    ServiceQueue::new(pool(&[entry]))
+    Queue::new(pool(&[entry]))
 }
 
-fn request(attempt: u64, workspace_name: &str, wait_ms: u64) -> QueueRequest {
-    QueueRequest {
+fn request(attempt: u64, workspace_name: &str, wait_ms: u64) -> Request {
+    Request {
         attempt: Attempt(attempt),
         workspace: workspace(workspace_name),
         cost: Cost(1000),
@@ -28,12 +28,12 @@
     }
 }
 
-fn submit(queue: &mut ServiceQueue, request: QueueRequest, now: Instant) -> Admission {
+fn submit(queue: &mut Queue, request: Request, now: Instant) -> Admission {
     queue.submit(request, &fleet(), now)
 }
 
 /// Submits requests until one is not placed; returns the number of those placed.
-fn fill(queue: &mut ServiceQueue, workspace_name: &str, now: Instant) -> u64 {
+fn fill(queue: &mut Queue, workspace_name: &str, now: Instant) -> u64 {
     (1..)
         .find(|&attempt| {
             !matches!(
@@ -45,7 +45,7 @@
         - 1
 }
 
-fn end(queue: &mut ServiceQueue, workspace_name: &str, now: Instant) -> Vec<Dequeued> {
+fn end(queue: &mut Queue, workspace_name: &str, now: Instant) -> Vec<Dequeued> {
     let server = queue
         .pool()
         .servers()
@@ -237,7 +237,7 @@
 fn a_request_is_queued_during_slow_start() {
     let mut entry = entry("s0", "a");
     entry.cold_until = START + Duration::from_secs(5);
-    let mut queue = ServiceQueue::new(pool(&[entry]));
+    let mut queue = Queue::new(pool(&[entry]));
     assert!(matches!(
         submit(&mut queue, request(1, "team", 5_000), START),
         Admission::Placed(_)
@@ -268,7 +268,7 @@
 #[test]
 fn retry_times_of_an_unreachable_zone_follow_its_next_probe() {
     let entries = ["s1", "s2", "s3"].map(|name| entry(name, "b"));
-    let mut queue = ServiceQueue::new(pool(&entries));
+    let mut queue = Queue::new(pool(&entries));
     for entry in &entries {
         let workspace_name = workspace("team");
         queue.ended(&entry.server, &workspace_name, Outcome::Unreachable, START);
--- a/crates/gateway/tests/decisions/retry_budget.rs
+++ b/crates/gateway/tests/decisions/retry_budget.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use gateway::retry_budget::{Allowance, RetryBudget};
+use gateway::retry_budget::{Allowance, Budget};
 use yare::parameterized;
 
 use crate::world::START;
@@ -18,7 +18,7 @@
 #[parameterized(one = { 1 }, six = { 6 }, eighty_five = { 85 })]
 fn retries_of_all_routers_stay_within_the_allowance(routers: usize) {
     let mut budgets: Vec<_> = (0..routers)
-        .map(|_| RetryBudget::new(ALLOWANCE, routers, START))
+        .map(|_| Budget::new(ALLOWANCE, routers, START))
         .collect();
     // First attempts and retries, by second.
     let mut history: Vec<(u32, u32)> = Vec::new();
--- a/crates/gateway/tests/decisions/roster.rs
+++ b/crates/gateway/tests/decisions/roster.rs
@@ -104,12 +104,12 @@
     assert_eq!(roster.usable().count(), 1);
 }
 
-/// A server that started and was registered at the moment `born`.
-fn started(name: &str, address: u16, born: u64) -> Change {
+/// A server that started and was registered at the moment `incarnation`.
+fn started(name: &str, address: u16, incarnation: u64) -> Change {
     let mut entry = entry(name, "a");
     entry.address = ([127, 0, 0, 1], address).into();
-    entry.born = born;
-    entry.revision = born;
+    entry.incarnation = incarnation;
+    entry.revision = incarnation;
     Change::Present(entry)
 }
 
@@ -127,7 +127,7 @@
     roster.apply(started("other", 2, 5), START);
     roster.apply(started("new", 1, 20), START);
     assert_eq!(usable(&roster), [server("new"), server("other")]);
-    assert_eq!(roster.starts().get(&server("old")), None);
+    assert_eq!(roster.incarnations().get(&server("old")), None);
 }
 
 /// Entries arrive in any order, and all routers have to agree on the servers.
@@ -150,7 +150,7 @@
     let mut foreign = entry("foreign", "a");
     foreign.address = ([127, 0, 0, 1], 1).into();
     foreign.pool = "other".parse().expect("a name");
-    foreign.born = 20;
+    foreign.incarnation = 20;
     foreign.revision = 20;
     roster.apply(Change::Present(foreign), START);
     assert_eq!(usable(&roster).len(), 2);
@@ -164,7 +164,7 @@
     roster.apply(started("old", 1, 20), START);
     let mut entry = entry("new", "a");
     entry.address = ([127, 0, 0, 1], 1).into();
-    entry.born = 10;
+    entry.incarnation = 10;
     entry.revision = 30;
     roster.apply(Change::Present(entry), START);
     assert_eq!(usable(&roster).len(), 2);
--- a/crates/gateway/tests/decisions/versions.rs
+++ b/crates/gateway/tests/decisions/versions.rs
@@ -8,7 +8,7 @@
 };
 use yare::parameterized;
 
-const READ: CachedPrefix = CachedPrefix {
+const CACHED_PREFIX: CachedPrefix = CachedPrefix {
     server: 0x00ab_cdef,
     part: 0x1234_5678,
     tokens: 10_000,
@@ -33,7 +33,7 @@
     };
     let host = "r0".parse().expect("a valid host name");
     let digest = Digest::new(host, versions, true, Vec::new(), Vec::new()).with_checksum(u64::MAX);
-    Frame::Digest(digest.with_loads(Report::Full(vec![load(1, 2)]), vec![READ]))
+    Frame::Digest(digest.with_loads(Report::Full(vec![load(1, 2)]), vec![CACHED_PREFIX]))
 }
 
 fn loads() -> Frame {
@@ -46,7 +46,7 @@
             running: vec![(5, 1), (300, 2)],
             outcomes: vec![(5, failed)],
         },
-        reads: vec![READ],
+        cached_prefixes: vec![CACHED_PREFIX],
     }
 }
 
@@ -55,7 +55,7 @@
         zone: 9,
         routers: 39,
         loads: Report::Full(vec![load(70_000, 3)]),
-        reads: Vec::new(),
+        cached_prefixes: Vec::new(),
     }
 }
 
@@ -67,7 +67,7 @@
             running: vec![(1, 1)],
             outcomes: Vec::new(),
         },
-        reads: vec![READ, READ],
+        cached_prefixes: vec![CACHED_PREFIX, CACHED_PREFIX],
         relay_to: vec![1, 2],
     })
 }
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -66,7 +66,7 @@
         slots: 64,
         is_draining: false,
         cold_until: Instant::ZERO,
-        born: 1,
+        incarnation: 1,
         revision: 1,
     }
 }
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -16,14 +16,14 @@
 /// What a link of 10 Mbit/s carries.
 const LINK_BYTES_PER_S: u64 = 1_250_000;
 /// As much as that link carries in three seconds.
-const LARGE: usize = 3_750_000;
+const LARGE_VALUE_BYTES: usize = 3_750_000;
 
 fn key() -> Key {
     Key::from_bytes([7; 32])
 }
 
 /// Bytes that cannot be made smaller.
-fn noise(length: usize) -> Bytes {
+fn incompressible(length: usize) -> Bytes {
     let mut bytes = vec![0; length];
     SmallRng::seed_from_u64(1).fill(&mut bytes[..]);
     Bytes::from(bytes)
@@ -45,7 +45,7 @@
 }
 
 /// A router that knows one configuration and one server.
-async fn router(value: Bytes) -> SocketAddr {
+async fn start_router(value: Bytes) -> SocketAddr {
     let replicas: Replicas = BTreeMap::from([
         (Topic::Configuration, replica("config", 5, value)),
         (Topic::Servers, replica("s1", 6, Bytes::from_static(b"{}"))),
@@ -62,22 +62,22 @@
 
 /// Guards against rows that are given up while their bytes still come.
 #[tokio::test]
-async fn large_rows_come_over_a_slow_link() {
-    let value = noise(LARGE);
-    let link = Link::start(router(value.clone()).await)
+async fn large_rows_are_received_over_a_slow_link() {
+    let value = incompressible(LARGE_VALUE_BYTES);
+    let link = Link::start(start_router(value.clone()).await)
         .await
         .expect("a port");
     link.limit(LINK_BYTES_PER_S);
-    let answered = fetch::request(link.address(), &key(), Versions::default()).await;
-    let batches = answered.expect("the rows");
+    let result = fetch::request(link.address(), &key(), Versions::default()).await;
+    let batches = result.expect("the rows");
     let (_, batch) = &batches[0];
     assert_eq!(Some(&value[..]), batch.rows[0].value.as_deref());
 }
 
 /// Guards against servers that leave and are heard of only after a large configuration.
 #[tokio::test]
-async fn servers_come_without_the_configuration() {
-    let link = Link::start(router(noise(LARGE)).await)
+async fn servers_are_sent_without_the_configuration() {
+    let link = Link::start(start_router(incompressible(LARGE_VALUE_BYTES)).await)
         .await
         .expect("a port");
     link.limit(LINK_BYTES_PER_S);
@@ -98,17 +98,21 @@
 
 /// Guards against slow links that carry many large answers, none of which is through before the last.
 #[tokio::test]
-async fn a_router_that_gives_large_answers_is_busy_for_more() {
-    let address = router(noise(LARGE)).await;
+async fn concurrent_large_responses_are_limited() {
+    let address = start_router(incompressible(LARGE_VALUE_BYTES)).await;
     let link = Link::start(address).await.expect("a port");
     link.limit(LINK_BYTES_PER_S);
     let all = Versions::default();
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for _ in 0..2 * fetch::MAX_LARGE_RESPONSES {
         let address = link.address();
-        asking.spawn(async move { fetch::request(address, &key(), all).await });
+        requests.spawn(async move { fetch::request(address, &key(), all).await });
     }
-    let first = asking.join_next().await.expect("an end").expect("no panic");
+    let first = requests
+        .join_next()
+        .await
+        .expect("an end")
+        .expect("no panic");
     assert!(matches!(first, Err(fetch::Failure::Busy)), "{first:?}");
     let rest = fetch::request(address, &key(), Part::Rest.of(all)).await;
     rest.expect("what is small comes all the same");
