--- a/crates/gateway/src/peers/aggregation.rs
+++ b/crates/gateway/src/peers/aggregation.rs
@@ -59,7 +59,7 @@
         let frame = Frame::ZoneSum {
             zone: sum.zone,
             routers: sum.routers,
-            loads: self.zone_reporter.next(&sum.loads, now),
+            loads: self.zone_encoder.next(&sum.loads, now),
             cached_prefixes: self.zone_prefixes.updates(now),
         };
         let own_zone = self.inputs.own.zone.clone();
@@ -71,7 +71,7 @@
     }
 
     async fn send_total(&mut self, routers: u16, total: &[Load], now: Instant) {
-        let loads = self.fleet_reporter.next(total, now);
+        let loads = self.fleet_encoder.next(total, now);
         let cached_prefixes = self.fleet_prefixes.updates(now);
         let members = Arc::clone(&self.inputs.members.borrow());
         let own = self.inputs.own.clone();
@@ -101,7 +101,7 @@
             return;
         };
         let hash = sums::hash(member.host.as_str());
-        let loads = self.peer_loads.entry(hash).or_default().apply(report);
+        let loads = self.peer_decoders.entry(hash).or_default().apply(report);
         self.sums
             .record_router(member.host, loads, self.clock.now());
     }
@@ -116,7 +116,7 @@
         for aggregators in self.aggregators.values_mut() {
             aggregators.sum_received(hash, now);
         }
-        let loads = self.peer_loads.entry(hash).or_default().apply(loads);
+        let loads = self.peer_decoders.entry(hash).or_default().apply(loads);
         let sum = ZoneSum {
             zone,
             routers,
@@ -141,7 +141,7 @@
             .sum_received(total.aggregator, now);
         self.relay_total(&total).await;
         self.apply_cached_prefixes(total.cached_prefixes);
-        let loads = self.fleet_loads.apply(total.loads);
+        let loads = self.fleet_decoder.apply(total.loads);
         let (known_routers, expires_at) = self.fleet_routers;
         if now < expires_at && sums::is_partial(total.routers, known_routers) {
             return;
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -52,15 +52,15 @@
     pub(super) aggregators: BTreeMap<availability::Zone, Aggregators>,
     /// The loads last received from each peer, or the zone sum if it is an aggregator of
     /// another zone, by the hash of its host name.
-    pub(super) peer_loads: BTreeMap<u32, ReportDecoder>,
+    pub(super) peer_decoders: BTreeMap<u32, ReportDecoder>,
     /// The fleet total last received from an aggregator of this router's zone.
-    pub(super) fleet_loads: ReportDecoder,
+    pub(super) fleet_decoder: ReportDecoder,
     /// The number of routers that the last accepted total covers, and when that count
     /// expires.
     pub(super) fleet_routers: (u16, Instant),
-    load_reporter: ReportEncoder,
-    pub(super) zone_reporter: ReportEncoder,
-    pub(super) fleet_reporter: ReportEncoder,
+    load_encoder: ReportEncoder,
+    pub(super) zone_encoder: ReportEncoder,
+    pub(super) fleet_encoder: ReportEncoder,
     /// Prompts that servers have read for routers of this zone, to be relayed if this
     /// router is an aggregator.
     pub(super) zone_prefixes: PrefixUpdates,
@@ -111,12 +111,12 @@
             last_digest: None,
             own_loads: Vec::new(),
             aggregators: BTreeMap::new(),
-            peer_loads: BTreeMap::new(),
-            fleet_loads: ReportDecoder::default(),
+            peer_decoders: BTreeMap::new(),
+            fleet_decoder: ReportDecoder::default(),
             fleet_routers: (0, Instant::ZERO),
-            load_reporter: ReportEncoder::default(),
-            zone_reporter: ReportEncoder::default(),
-            fleet_reporter: ReportEncoder::default(),
+            load_encoder: ReportEncoder::default(),
+            zone_encoder: ReportEncoder::default(),
+            fleet_encoder: ReportEncoder::default(),
             zone_prefixes: PrefixUpdates::default(),
             fleet_prefixes: PrefixUpdates::default(),
             watchers: Watchers::new(&inputs.own.host, boot.0),
@@ -157,7 +157,7 @@
         let now = self.clock.now();
         for host in self.table.remove_expired(now) {
             logging::event!(info, "peer_lost", peer = host);
-            self.peer_loads.remove(&sums::hash(host.as_str()));
+            self.peer_decoders.remove(&sums::hash(host.as_str()));
             self.notify_dispatch(dispatch::Message::PeerLost(host));
         }
         self.rounds = self.rounds.wrapping_add(1);
@@ -257,7 +257,7 @@
         let digest = digest.with_checksum(self.checksum());
         self.last_digest = Some(digest.clone());
         self.own_loads = digest::loads(&state.loads);
-        let report = self.load_reporter.next(&self.own_loads, now);
+        let report = self.load_encoder.next(&self.own_loads, now);
         // In a large fleet each pair of routers exchanges a digest only every few seconds.
         // Loads in it would be too old to use and would take most of its bytes.
         let digest = if self.is_large() {
@@ -450,7 +450,7 @@
             return has_update;
         };
         let hash = sums::hash(digest.host.as_str());
-        let loads = self.peer_loads.entry(hash).or_default().apply(report);
+        let loads = self.peer_decoders.entry(hash).or_default().apply(report);
         self.sums
             .record_router(digest.host.clone(), loads.clone(), now);
         self.notify_dispatch(dispatch::Message::Peer(digest.host, loads));
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -24,7 +24,7 @@
     /// The work that it means, in prompt tokens.
     pub cost: Cost,
     /// The event after which a stream is to go on.
-    pub last_event: Option<String>,
+    pub last_event_id: Option<String>,
 }
 
 /// What the head of one attempt says to a backend server.
@@ -39,7 +39,7 @@
     /// How urgent the request is; zero is the most urgent.
     pub rank: u8,
     /// The event after which a stream is to go on.
-    pub last_event: Option<&'a str>,
+    pub last_event_id: Option<&'a str>,
     /// Where the server may copy what it lacks of the prompt from.
     pub source: Option<SocketAddr>,
     /// Whether the service is an engine.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -260,7 +260,7 @@
             copied = placement.is_some_and(|placement| placement.source.is_some()),
             status = self.status,
             ending = ending,
-            sends = self.exchange.sends(),
+            sends = self.exchange.sent_attempts(),
             first_ms = waited.as_millis(),
             total_ms = now.since(plan.arrived).as_millis(),
             gap_ms = self.longest_gap.as_millis(),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -44,7 +44,7 @@
     /// Who is charged for requests without a key.
     pub anonymous: workspace::Id,
     /// Memory for the bodies of requests, in units of [`BODY_UNIT`].
-    pub memory: Arc<Semaphore>,
+    pub body_memory: Arc<Semaphore>,
     /// What is counted.
     pub metrics: Arc<Metrics>,
     /// How old the views are that decide.
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -24,7 +24,7 @@
 };
 
 /// How many servers that cannot be reached a request meets before it is given up.
-const MAX_UNREACHABLE: u32 = 4;
+const MAX_FAILED_CONNECTS: u32 = 4;
 /// A request waits for a place up to this many times its target.
 const QUEUE_TIMEOUT_TARGETS: u32 = 2;
 /// The least such time.
@@ -83,8 +83,8 @@
     context: Arc<Context<P>>,
     plan: Plan,
     verdict: Verdict,
-    sends: u32,
-    unreachable: u32,
+    sent_attempts: u32,
+    failed_connects: u32,
     /// A server's failure, to be passed on if no other server answers.
     failure: Option<Box<Response>>,
     stage: Stage,
@@ -113,8 +113,8 @@
             context,
             plan,
             verdict: Verdict::NotRun,
-            sends: 0,
-            unreachable: 0,
+            sent_attempts: 0,
+            failed_connects: 0,
             failure: None,
             stage: Stage::Pending,
         }
@@ -131,8 +131,8 @@
     }
 
     /// How many servers have had the request.
-    pub fn sends(&self) -> u32 {
-        self.sends
+    pub fn sent_attempts(&self) -> u32 {
+        self.sent_attempts
     }
 
     /// Who is charged for it.
@@ -154,8 +154,8 @@
             route = self.plan.route.name,
             pool = self.plan.pool,
             workspace = self.workspace(),
-            sends = self.sends,
-            unreachable = self.unreachable,
+            sends = self.sent_attempts,
+            unreachable = self.failed_connects,
             waited_ms = waited.as_millis(),
             config = self.plan.version
         );
@@ -165,7 +165,7 @@
 impl<P: Protocol> Exchange<P> {
     /// Whether one more server may have the request if one may have run it.
     pub fn may_retry(&self) -> bool {
-        self.plan.route.kind.is_idempotent() && self.sends < self.plan.route.max_attempts
+        self.plan.route.kind.is_idempotent() && self.sent_attempts < self.plan.route.max_attempts
     }
 
     /// The answer of a server, sought until there is one or none can be had.
@@ -174,20 +174,23 @@
     ///
     /// The refusal for the caller. It says that the request has not run only if
     /// no server may have run it.
-    pub async fn respond(&mut self, last_event: Option<&str>) -> Result<Box<Response>, Refusal> {
-        let result = self.run_attempts(last_event).await;
+    pub async fn respond(&mut self, last_event_id: Option<&str>) -> Result<Box<Response>, Refusal> {
+        let result = self.run_attempts(last_event_id).await;
         self.stage = Stage::Responded;
         result
     }
 
-    async fn run_attempts(&mut self, last_event: Option<&str>) -> Result<Box<Response>, Refusal> {
+    async fn run_attempts(
+        &mut self,
+        last_event_id: Option<&str>,
+    ) -> Result<Box<Response>, Refusal> {
         loop {
             let permit = match self.acquire().await {
                 Ok(permit) => permit,
                 Err(refusal) => return self.failure.take().ok_or(refusal),
             };
             let placement = permit.placement().clone();
-            let end = self.attempt(permit, last_event).await;
+            let end = self.attempt(permit, last_event_id).await;
             self.log_attempt(&placement, &end);
             self.plan.demand.tried.push(placement.server);
             match self.next_step(end) {
@@ -198,7 +201,7 @@
         }
     }
 
-    async fn attempt(&self, permit: Permit, last_event: Option<&str>) -> End {
+    async fn attempt(&self, permit: Permit, last_event_id: Option<&str>) -> End {
         let placement = permit.placement().clone();
         let now = self.context.clock.now();
         let remaining = self.plan.deadline.since(now);
@@ -211,7 +214,7 @@
                 .as_ref()
                 .map(|key_owner| &key_owner.workspace),
             rank: self.rank(),
-            last_event: last_event.or(self.plan.head.last_event.as_deref()),
+            last_event_id: last_event_id.or(self.plan.head.last_event_id.as_deref()),
             source: placement.source,
             is_engine: self.plan.is_engine,
         };
@@ -247,7 +250,7 @@
     /// be repeated goes to the next server while there is time for it.
     fn attempt_deadline(&self, now: Instant) -> Instant {
         let route = &self.plan.route;
-        if !route.kind.is_idempotent() || self.sends + 1 >= route.max_attempts {
+        if !route.kind.is_idempotent() || self.sent_attempts + 1 >= route.max_attempts {
             return self.plan.deadline;
         }
         let timeout = route.target.duration() * ATTEMPT_TIMEOUT_TARGETS;
@@ -269,7 +272,7 @@
             rank: self.rank(),
             latest_start: self.latest_start(now),
             demand: self.plan.demand.clone(),
-            is_retry: self.sends > 0,
+            is_retry: self.sent_attempts > 0,
             fingerprint: self.plan.fingerprint,
         };
         let (reply, response) = oneshot::channel();
@@ -331,27 +334,27 @@
             End::Unsent(_) => self.after_connect_failure(),
             End::Responded(response) => self.after_response(response),
             End::Full => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_rejection("The server is full.")
             }
             End::Moved => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_rejection("The server has left.")
             }
             End::Broken(_) => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_failure(Code::BackendDied, "The server broke off.")
             }
             End::TimedOut => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_failure(Code::Deadline, "The server did not answer in time.")
             }
         }
     }
 
     fn after_connect_failure(&mut self) -> Step {
-        self.unreachable += 1;
-        if self.unreachable < MAX_UNREACHABLE {
+        self.failed_connects += 1;
+        if self.failed_connects < MAX_FAILED_CONNECTS {
             return Step::Retry;
         }
         let now = self.context.clock.now();
@@ -360,7 +363,7 @@
     }
 
     fn after_response(&mut self, mut response: Box<Response>) -> Step {
-        self.sends += 1;
+        self.sent_attempts += 1;
         if response.is_failure && self.may_retry() {
             self.verdict = Verdict::MayHaveRun;
             // Kept with the answer, the place would count as taken while another
@@ -375,7 +378,7 @@
     }
 
     fn after_rejection(&mut self, message: &str) -> Step {
-        if self.sends < self.plan.route.max_attempts {
+        if self.sent_attempts < self.plan.route.max_attempts {
             return Step::Retry;
         }
         let now = self.context.clock.now();
@@ -441,8 +444,8 @@
             workspace = self.workspace(),
             code = refusal.code,
             verdict = refusal.verdict,
-            sends = self.sends,
-            unreachable = self.unreachable,
+            sends = self.sent_attempts,
+            unreachable = self.failed_connects,
             waited_ms = waited.as_millis(),
             servers_age_ms = self.context.ages.servers(now).as_millis(),
             config = self.plan.version,
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -43,7 +43,7 @@
     let table = table.inspect_err(|refusal| log_refusal(&head, &Table::default(), refusal))?;
     let checked = check(&table, &head, parts.uri.path(), &body);
     let (route, key_owner) = checked.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
-    let body = read(body, table.limits.body_bytes, &context.memory).await;
+    let body = read(body, table.limits.body_bytes, &context.body_memory).await;
     let (body, reserved) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     headers::strip(&mut parts.headers);
     parts.headers.remove(hyper::header::CONTENT_LENGTH);
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -191,7 +191,7 @@
             table,
             dispatch: handle.clone(),
             phase: phase_receiver.clone(),
-            memory: Arc::new(Semaphore::new(settings.body_memory / BODY_UNIT)),
+            body_memory: Arc::new(Semaphore::new(settings.body_memory / BODY_UNIT)),
             metrics,
             ages,
             readiness: readiness_receiver,
