--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One request at one backend server.
+//! One attempt to send a request to one backend server.
 
 use std::{io, sync::Arc};
 
@@ -17,41 +17,41 @@
     protocol::{Classification, Protocol},
 };
 
-/// The head of a server's answer, and what is needed to follow it to its end.
+/// The head of a server's response, with the body and the permit of the attempt.
 #[derive(Debug)]
 pub struct Response {
-    /// Its status and headers.
+    /// The status and headers.
     pub head: response::Parts,
-    /// Its body, of which nothing has been read.
+    /// The body, of which nothing has been read.
     pub body: Incoming,
-    /// The place that it takes at the server, until that is given back.
+    /// The slot that the request occupies at the server, until it is released.
     pub permit: Option<Permit>,
-    /// Whether the server failed the request.
+    /// Whether the server failed to process the request.
     pub is_failure: bool,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Debug)]
 pub enum End {
-    /// The server's own answer begins.
+    /// The server sent a response head.
     Responded(Box<Response>),
     /// No byte of the request was sent.
     Unsent(String),
     /// The server is full and has not run the request.
     Full,
-    /// Another server has the address; it has not run the request.
+    /// Another server now listens on the address; it has not run the request.
     Moved,
-    /// The server may have run the request, and there is no answer.
+    /// The connection broke before a response, and the server may have run the request.
     Broken(String),
-    /// The time is up, and the server may have run the request.
+    /// The attempt timed out, and the server may have run the request.
     TimedOut,
 }
 
-/// Sends a request on a new connection and waits for the head of its answer.
+/// Sends a request on a new connection and waits for the response head.
 ///
-/// Each request has its own connection. On one that is used again, a close, a
-/// reset or a second answer to the request before would meet a request that
-/// has been sent already, and nobody could say whether it has run.
+/// Connections are not reused. On a reused connection, a close, a reset or a duplicate
+/// response to the previous request could arrive after the next request was sent, and it
+/// would be unknown whether that request has run.
 pub async fn run<P: Protocol>(
     protocol: &P,
     mut permit: Permit,
@@ -73,16 +73,20 @@
     };
     let now = clock.now();
     permit.connected(now);
-    // After a pause of the process the time may be long over.
+    // If the process was paused while connecting, the deadline may have passed.
     if now >= deadline {
-        return End::Unsent(String::from("the time was up before it was sent"));
+        return End::Unsent(String::from(
+            "the deadline passed before the request was sent",
+        ));
     }
     let sent = time::timeout_at(clock.at(deadline), connection.send(request)).await;
     match sent {
         Err(_) => End::TimedOut,
         Ok(Err(Failure::Unsent(_))) => {
             permit.end(Outcome::Unreachable);
-            End::Unsent(String::from("closed before the request was sent"))
+            End::Unsent(String::from(
+                "the connection was closed before the request was sent",
+            ))
         }
         Ok(Err(Failure::Broken(error))) => {
             permit.end(Outcome::Broken);
@@ -96,7 +100,7 @@
     }
 }
 
-/// What an attempt to connect says of the server.
+/// The outcome that a failed connection attempt counts as.
 fn connect_failure(error: &io::Error) -> Outcome {
     match error.kind() {
         io::ErrorKind::ConnectionRefused => Outcome::Refused,
@@ -127,7 +131,7 @@
         }
         Classification::Foreign => {
             permit.end(Outcome::Failed);
-            End::Broken(String::from("the answer does not belong to the request"))
+            End::Broken(String::from("the response does not belong to the request"))
         }
     }
 }
--- a/crates/gateway/src/protocol.rs
+++ b/crates/gateway/src/protocol.rs
@@ -1,4 +1,5 @@
-//! What a protocol says in the heads of requests and answers.
+//! The protocol of callers and backend servers, as far as the heads of requests and
+//! responses express it.
 
 use std::net::SocketAddr;
 
@@ -8,82 +9,82 @@
 
 use crate::pool::Parts;
 
-/// What a caller's head says.
+/// The content of a request head.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Head {
-    /// What names the request, in answers and logs.
+    /// The request id, which appears in responses and logs.
     pub id: String,
-    /// The host name that it is for.
+    /// The host name to which the request is addressed.
     pub host: String,
-    /// The caller's key.
+    /// The caller's API key.
     pub key: Option<String>,
-    /// How long the caller waits.
+    /// The caller's timeout.
     pub timeout: Option<Millis>,
     /// The prompt; empty for a plain service.
     pub parts: Parts,
-    /// The work that it means, in prompt tokens.
+    /// The estimated work of the request, in prompt tokens.
     pub cost: Cost,
-    /// The event after which a stream is to go on.
+    /// The id of the event after which a stream is resumed.
     pub last_event_id: Option<String>,
 }
 
-/// What the head of one attempt says to a backend server.
+/// The content of the head that is sent to a backend server with one attempt.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Attempt<'a> {
-    /// The server that the request is meant for.
+    /// The server to which the request is addressed.
     pub server: &'a backend::Server,
-    /// How long the caller still waits.
+    /// The time that remains until the deadline.
     pub remaining: Millis,
-    /// The workspace that holds the caller's key.
+    /// The workspace that owns the caller's API key.
     pub workspace: Option<&'a workspace::Id>,
-    /// How urgent the request is; zero is the most urgent.
+    /// The urgency of the request; zero is the most urgent.
     pub rank: u8,
-    /// The event after which a stream is to go on.
+    /// The id of the event after which a stream is resumed.
     pub last_event_id: Option<&'a str>,
-    /// Where the server may copy what it lacks of the prompt from.
+    /// A server from which the missing part of the cached prompt can be copied.
     pub source: Option<SocketAddr>,
     /// Whether the service is an engine.
     pub is_engine: bool,
 }
 
-/// What the head of an answer means.
+/// The classification of a response by its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Classification {
-    /// The server's own answer to this request.
+    /// A valid response to this request.
     Response,
-    /// The server failed the request.
+    /// The server failed to process the request.
     Failure,
     /// The server is full and has not run the request.
     Full,
-    /// Another server has the address, and has not run the request.
+    /// Another server now listens on the address; it has not run the request.
     Moved,
-    /// The server has not run the request, which is at fault itself or too late.
+    /// The server has not run the request, which is invalid or past its deadline.
     NotRun,
-    /// It is not the answer to this request.
+    /// The response does not belong to this request.
     Foreign,
 }
 
-/// How callers and backend servers speak.
+/// A protocol that callers and backend servers speak.
 pub trait Protocol: Clone + Send + Sync + 'static {
-    /// Reads a caller's head.
+    /// Parses the head of a caller's request.
     ///
     /// # Errors
     ///
     /// A refusal when the head is malformed. The request has not run.
     fn read(&self, head: &request::Parts) -> Result<Head, Refusal>;
 
-    /// Sets the headers of an attempt, and takes out what callers may not set.
+    /// Sets the headers of an attempt and removes headers that callers must not set.
     ///
-    /// Headers of one connection are gone already.
+    /// Hop-by-hop headers have been removed already.
     fn compose(&self, headers: &mut HeaderMap, attempt: &Attempt<'_>);
 
-    /// Judges the head of an answer to the request `id`.
+    /// Classifies the head of a response to the request `id`.
     fn classify(&self, id: &str, status: StatusCode, headers: &HeaderMap) -> Classification;
 
-    /// The status of a refusal. One that promises that the request has not run
-    /// is used only for such a refusal.
+    /// The status code of a refusal. A code that promises that the request has not run is
+    /// used only if it has not.
     fn status(&self, refusal: &Refusal) -> StatusCode;
 
-    /// The number of the event that a line of a stream gives, if it gives one.
+    /// The event id in a line of an event stream, if the line contains one.
     fn event_id<'a>(&self, line: &'a str) -> Option<&'a str>;
 }
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -1,4 +1,4 @@
-//! The bytes of an answer, from its server to its caller.
+//! Forwards the body of a response from a backend server to the caller.
 
 mod events;
 
@@ -21,36 +21,36 @@
     route::Kind, serve::Exchange,
 };
 
-/// A stream that can go on elsewhere does so after this many of its longest
-/// pauses without a byte.
+/// The time without a byte after which a resumable stream is continued at another server,
+/// as a multiple of the route's target.
 const STALL_TIMEOUT_TARGETS: u32 = 3;
-/// The least such time.
+/// The lower bound of the stall timeout.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// The answer ends here without being whole.
+/// The response body is truncated.
 ///
-/// The caller's connection is closed in the middle of the answer, so that what
-/// it has got does not look complete.
+/// The caller's connection is closed in the middle of the response, so that a partial
+/// body does not look complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The server broke off.
+    /// The server broke the connection or stalled.
     Server,
-    /// The time was up.
+    /// The deadline of the request passed.
     Deadline,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Server => "the server broke off",
-            Self::Deadline => "the time was up",
+            Self::Server => "the server closed or stalled the response",
+            Self::Deadline => "the deadline of the request passed",
         })
     }
 }
 
 impl error::Error for Error {}
 
-/// What the server sent next.
+/// The next event on the connection to the server.
 enum Next {
     Data(Bytes),
     End,
@@ -62,10 +62,10 @@
 #[derive(Debug)]
 struct Relay<P> {
     exchange: Exchange<P>,
-    /// The rest of the answer; none while the stream is between two servers.
+    /// The rest of the response body; `None` while the stream moves to another server.
     body: Option<Incoming>,
     permit: Option<Permit>,
-    /// Splits the events of a stream that another server can continue.
+    /// Splits a resumable stream into events.
     splitter: Option<Splitter>,
     first_byte_at: Option<Instant>,
     last_byte_at: Option<Instant>,
@@ -76,7 +76,7 @@
     _guard: Guard,
 }
 
-/// The rest of an answer whose head has been passed on.
+/// Streams the body of a response whose head has been forwarded.
 pub fn stream<P: Protocol>(
     exchange: Exchange<P>,
     response: Box<Response>,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Waits for the server's next bytes, to the end of the request's time.
+    /// Waits for the server's next bytes, until the request's deadline at the latest.
     async fn receive(&mut self) -> Next {
         let clock = self.exchange.context().clock;
         let plan = self.exchange.plan();
@@ -163,7 +163,7 @@
         }
     }
 
-    /// What of the bytes can be passed on now.
+    /// Records received bytes and returns those that can be forwarded now.
     fn forward(&mut self, bytes: Bytes) -> Option<Bytes> {
         if bytes.is_empty() {
             return None;
@@ -184,12 +184,12 @@
         (!complete.is_empty()).then_some(complete)
     }
 
-    /// Ends with the last byte of an answer whose length is known, or before any
-    /// byte where there is none.
+    /// Finishes at the last byte of a response whose length is known, or immediately if the
+    /// body is empty.
     ///
-    /// The HTTP library asks for nothing after it, so the end would never be
-    /// seen: the place would count as cancelled and the request would have no
-    /// line in the log, whether its server failed it or not.
+    /// The HTTP library does not poll the stream after the last byte, so its end would not
+    /// be observed: the attempt would count as cancelled and the request would not be
+    /// logged correctly, whether or not the server failed it.
     fn finish_if_complete(&mut self) {
         let is_complete = self.body.as_ref().is_some_and(Body::is_end_stream);
         if is_complete && !self.has_partial_event() {
@@ -201,9 +201,9 @@
         self.splitter.as_ref().is_some_and(Splitter::is_partial)
     }
 
-    /// Continues the stream at another server, after the last whole event.
+    /// Continues the stream at another server, after the last complete event.
     ///
-    /// The connection to the first server is closed before, so that it stops.
+    /// The connection to the first server is closed first, so that it stops generating.
     async fn resume(&mut self, reason: &str) -> bool {
         if !self.exchange.may_retry() {
             return false;
@@ -212,7 +212,7 @@
             return false;
         };
         let last_id = splitter.reset();
-        // This closes the connection.
+        // Dropping the body closes the connection.
         self.body = None;
         if let Some(permit) = self.permit.take() {
             logging::event!(
@@ -280,10 +280,10 @@
 }
 
 impl<P> Drop for Relay<P> {
-    /// The caller left in the middle of the answer.
+    /// Logs responses whose caller disconnected before the end.
     ///
-    /// Nobody asks for the rest then. Without this the request would have no line
-    /// in the log, and nobody could tell a caller that left from a lost one.
+    /// The stream is not polled any more then. Without this, the request would not be
+    /// logged, and a caller that disconnected could not be told from a lost request.
     fn drop(&mut self) {
         if !self.is_finished {
             self.finish(Outcome::Cancelled, "caller left");
--- a/crates/gateway/src/relay/events.rs
+++ b/crates/gateway/src/relay/events.rs
@@ -1,15 +1,15 @@
-//! Whole events of a stream.
+//! Splits a stream of server-sent events.
 
 use bytes::{Bytes, BytesMut};
 
-/// What ends an event.
+/// The terminator of an event.
 const EVENT_END: &[u8] = b"\n\n";
 
-/// Passes on whole events only and remembers the last one.
+/// Yields only complete events and remembers the id of the last one.
 ///
-/// A server may stop in the middle of an event. Had the first half been passed
-/// on, the stream could not go on at another server: the caller would see two
-/// halves that do not belong together.
+/// A server may stop in the middle of an event. If its first half had been forwarded, the
+/// stream could not be continued at another server: the caller would receive two halves
+/// of different events.
 #[derive(Clone, Debug, Default)]
 pub struct Splitter {
     partial: BytesMut,
@@ -17,9 +17,9 @@
 }
 
 impl Splitter {
-    /// Takes in bytes and returns the events that are whole with them.
+    /// Appends bytes and returns the events that they complete.
     ///
-    /// `number` reads the number of an event from one of its lines.
+    /// `event_id` extracts the event id from a line, if the line contains one.
     pub fn push(&mut self, bytes: &[u8], event_id: impl Fn(&str) -> Option<String>) -> Bytes {
         self.partial.extend_from_slice(bytes);
         let Some(end) = self.end() else {
@@ -39,12 +39,12 @@
         Some(start + EVENT_END.len())
     }
 
-    /// Whether a part of an event is held back.
+    /// Whether a part of an event is buffered.
     pub fn is_partial(&self) -> bool {
         !self.partial.is_empty()
     }
 
-    /// Drops what is held back, and returns the number of the last whole event.
+    /// Discards the buffered part and returns the id of the last complete event.
     pub fn reset(&mut self) -> Option<String> {
         self.partial.clear();
         self.last_id.clone()
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,4 +1,4 @@
-//! A request's way from its caller to backend servers and back.
+//! Serves requests of callers: validation, attempts at backend servers, and the response.
 
 mod exchange;
 mod intake;
@@ -28,34 +28,34 @@
     readiness::Readiness, refusal, relay, route::Table, shutdown::Phase,
 };
 
-/// What all requests share.
+/// The state that all requests share.
 #[derive(Debug)]
 pub struct Context<P> {
-    /// How callers and servers speak.
+    /// The protocol of callers and backend servers.
     pub protocol: P,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// The configuration in force, once there is one.
+    /// The configuration in force; `None` until one is received.
     pub table: watch::Receiver<Option<Arc<Table>>>,
-    /// The task that chooses servers.
+    /// The task that selects backend servers.
     pub dispatch: mpsc::UnboundedSender<dispatch::Message>,
-    /// How far the process has come in its life.
+    /// The shutdown phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// Who is charged for requests without a key.
+    /// The workspace charged for requests without an API key.
     pub anonymous: workspace::Id,
-    /// Memory for the bodies of requests, in units of [`BODY_UNIT`].
+    /// The memory for request bodies, in units of [`BODY_UNIT`] bytes.
     pub body_memory: Arc<Semaphore>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
-    /// How old the views are that decide.
+    /// The ages of the replicated views.
     pub ages: Arc<Ages>,
     /// Whether the router can serve.
     pub readiness: watch::Receiver<Readiness>,
-    /// Until when requests wait for that at the start.
+    /// Until when requests wait for readiness after the start of the process.
     pub start_deadline: Instant,
 }
 
-/// The body of an answer: a refusal's text, or a server's bytes.
+/// The body of a response: the text of a refusal, or the bytes of a server.
 pub type Body<S> = Either<Full<Bytes>, StreamBody<S>>;
 
 /// Serves one request.
@@ -105,29 +105,29 @@
     }
 }
 
-/// How long requests that come right after the start wait for the configuration
-/// and the servers: some calls to the store.
+/// How long requests that arrive right after the start wait for the configuration and the
+/// servers: enough for a few store calls.
 ///
-/// After a process was killed, its callers are there before what it has to know.
-/// Refused, they would come back later than it takes to know it. A router that
-/// knows nothing for longer refuses at once.
+/// When a killed process restarts, callers reconnect before its state is loaded. A refused
+/// caller would retry later than the state takes to load. A router that has no state after
+/// this time refuses requests immediately.
 pub const START_TIMEOUT: Duration = Duration::from_millis(400);
-/// When a caller may come back that met a router without configuration.
+/// The retry delay given to a caller when the router has no configuration.
 const RETRY_AFTER_NOT_READY: Duration = Duration::from_millis(200);
 
 impl<P> Context<P> {
-    /// Waits until the router can serve, or its start has taken too long.
+    /// Waits until the router is ready or the start timeout has passed.
     async fn wait_until_ready(&self) {
         if self.clock.now() >= self.start_deadline {
             return;
         }
         let mut readiness = self.readiness.clone();
         let ready = readiness.wait_for(|readiness| *readiness == Readiness::Ready);
-        // If it takes too long the request is refused by what is missing.
+        // After a timeout, later checks refuse the request for whatever is missing.
         drop(time::timeout_at(self.clock.at(self.start_deadline), ready).await);
     }
 
-    /// No configuration is known yet, so nothing can be said of a request.
+    /// Creates the refusal of a request that arrived before any configuration.
     fn not_ready(&self) -> Refusal {
         let refusal = Refusal::not_run(Code::NotReady, "The router has no configuration yet.");
         refusal.retry_at(self.clock.now() + RETRY_AFTER_NOT_READY)
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! A checked request and its attempts.
+//! A validated request and its attempts at backend servers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -23,61 +23,63 @@
     route::{KeyOwner, Route},
 };
 
-/// How many servers that cannot be reached a request meets before it is given up.
+/// The number of failed connection attempts after which a request is refused.
 const MAX_FAILED_CONNECTS: u32 = 4;
-/// A request waits for a place up to this many times its target.
+/// The queue timeout, as a multiple of the route's target time to first byte.
 const QUEUE_TIMEOUT_TARGETS: u32 = 2;
-/// The least such time.
+/// The lower bound of the queue timeout.
 const MIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
-/// When a caller may come back that met a full service: about one short answer later.
+/// The retry delay given to a caller when all servers are full: about the duration of a
+/// short response.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
-/// When a caller may come back that met no server at all: an entry takes about as long to return.
+/// The retry delay given to a caller when no server is available: an entry that lapsed
+/// takes about this long to be registered again.
 const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
-/// Less time than this is not enough for any server.
+/// The minimum time before the deadline for an attempt to be worthwhile.
 const MIN_REMAINING: Duration = Duration::from_millis(5);
-/// A repeatable request goes to the next server after this many times its target without an answer.
+/// The attempt timeout of an idempotent request, as a multiple of the route's target.
 const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
-/// The least such time.
+/// The lower bound of the attempt timeout.
 const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// A request that has passed all checks.
+/// A request that has passed validation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What the caller's head says.
+    /// The head of the caller's request.
     pub head: Head,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its final answer is due.
+    /// The deadline of the response, from the route's timeout and the caller's.
     pub deadline: Instant,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub caller_deadline: Option<Instant>,
-    /// The configuration that it was checked against.
+    /// The version of the configuration that the request was validated against.
     pub version: u64,
-    /// Its route.
+    /// The matched route.
     pub route: Arc<Route>,
-    /// The holder of the caller's key.
+    /// The owner of the caller's API key.
     pub key_owner: Option<Arc<KeyOwner>>,
-    /// The service that runs it.
+    /// The service that processes the request.
     pub pool: pool::Id,
     /// Whether the service is an engine.
     pub is_engine: bool,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers, without those of the caller's connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// The body's share of the memory for all bodies.
+    /// The permit for the body's share of the memory for request bodies.
     pub _memory_permit: Option<Arc<OwnedSemaphorePermit>>,
-    /// What it has in common with its repeats by the caller.
+    /// The fingerprint that the request shares with its retries by the caller.
     pub fingerprint: Fingerprint,
-    /// What placement needs to know, with the servers that had it.
+    /// The input to placement, including the servers that were already tried.
     pub demand: Demand,
 }
 
-/// A request and how far its attempts have come.
+/// A request and the state of its attempts.
 #[derive(Debug)]
 pub struct Exchange<P> {
     context: Arc<Context<P>>,
@@ -85,21 +87,21 @@
     verdict: Verdict,
     sent_attempts: u32,
     failed_connects: u32,
-    /// A server's failure, to be passed on if no other server answers.
+    /// A failure response, forwarded to the caller if no other server responds.
     failure: Option<Box<Response>>,
     stage: Stage,
 }
 
-/// What the caller has got.
+/// How far the response to the caller has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing.
+    /// The caller has received nothing.
     Pending,
-    /// An answer has begun, or it is refused.
+    /// A response has begun, or the request was refused.
     Responded,
 }
 
-/// What follows an attempt.
+/// What to do after an attempt.
 enum Step {
     Done(Box<Response>),
     Retry,
@@ -107,7 +109,7 @@
 }
 
 impl<P> Exchange<P> {
-    /// A request that no server has had.
+    /// Creates the state of a request that has not been sent to any server.
     pub fn new(context: Arc<Context<P>>, plan: Plan) -> Self {
         Self {
             context,
@@ -120,22 +122,22 @@
         }
     }
 
-    /// What is known of the request.
+    /// The validated request.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// What all requests share.
+    /// The state that all requests share.
     pub fn context(&self) -> &Context<P> {
         &self.context
     }
 
-    /// How many servers have had the request.
+    /// The number of attempts that were sent to a server.
     pub fn sent_attempts(&self) -> u32 {
         self.sent_attempts
     }
 
-    /// Who is charged for it.
+    /// The workspace to which the request is charged.
     pub fn workspace(&self) -> workspace::Id {
         match &self.plan.key_owner {
             Some(key_owner) => key_owner.workspace.clone(),
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Logs that the caller left before an answer began.
+    /// Logs that the caller disconnected before a response began.
     fn log_abandoned(&self) {
         let now = self.context.clock.now();
         let waited = now.since(self.plan.arrived);
@@ -163,17 +165,17 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Whether one more server may have the request if one may have run it.
+    /// Whether the request may be retried after a server may have run it.
     pub fn may_retry(&self) -> bool {
         self.plan.route.kind.is_idempotent() && self.sent_attempts < self.plan.route.max_attempts
     }
 
-    /// The answer of a server, sought until there is one or none can be had.
+    /// Sends attempts until a server responds or no further attempt is possible.
     ///
     /// # Errors
     ///
-    /// The refusal for the caller. It says that the request has not run only if
-    /// no server may have run it.
+    /// The refusal for the caller. Its verdict is "not run" only if no server may have run
+    /// the request.
     pub async fn respond(&mut self, last_event_id: Option<&str>) -> Result<Box<Response>, Refusal> {
         let result = self.run_attempts(last_event_id).await;
         self.stage = Stage::Responded;
@@ -244,10 +246,10 @@
         override_rank.unwrap_or(self.plan.route.rank)
     }
 
-    /// Until when one server may stay without an answer.
+    /// The deadline for a server to respond to one attempt.
     ///
-    /// A server that hangs keeps a request to the end of its time. One that may
-    /// be repeated goes to the next server while there is time for it.
+    /// A server that hangs would hold a request until the request's deadline. An idempotent
+    /// request is therefore retried at another server while there is time left.
     fn attempt_deadline(&self, now: Instant) -> Instant {
         let route = &self.plan.route;
         if !route.kind.is_idempotent() || self.sent_attempts + 1 >= route.max_attempts {
@@ -259,7 +261,7 @@
             .min(now + timeout.max(MIN_ATTEMPT_TIMEOUT))
     }
 
-    /// A place at a server, waited for while there is hope.
+    /// Acquires a slot at a server, queueing for it if necessary.
     async fn acquire(&mut self) -> Result<Permit, Refusal> {
         let now = self.context.clock.now();
         if now + MIN_REMAINING >= self.plan.deadline {
@@ -287,10 +289,10 @@
         }
     }
 
-    /// Until when the request may wait for a place.
+    /// The latest instant until which the request may be queued.
     ///
-    /// Later than some times its target the answer is worth little, and a
-    /// refusal has to leave the caller time to come back.
+    /// A response that takes several times the route's target is of little use, and a
+    /// refusal must leave the caller time to retry.
     fn latest_start(&self, now: Instant) -> Instant {
         let targets = self.plan.route.target.duration() * QUEUE_TIMEOUT_TARGETS;
         let half_remaining = self.plan.deadline.since(now) / 2;
@@ -321,7 +323,7 @@
         }
     }
 
-    /// A refusal that says truly whether the request may have run.
+    /// Creates a refusal whose verdict states whether the request may have run.
     fn refusal(&self, code: Code, message: &str) -> Refusal {
         match self.verdict {
             Verdict::NotRun => Refusal::not_run(code, message),
@@ -366,8 +368,8 @@
         self.sent_attempts += 1;
         if response.is_failure && self.may_retry() {
             self.verdict = Verdict::MayHaveRun;
-            // Kept with the answer, the place would count as taken while another
-            // server works, and in the end as cancelled.
+            // If the permit were kept with the response, the slot would count as occupied
+            // while another server works, and the attempt as cancelled in the end.
             if let Some(permit) = response.permit.take() {
                 permit.end(Outcome::Failed);
             }
@@ -455,10 +457,9 @@
 }
 
 impl<P> Drop for Exchange<P> {
-    /// The caller left before an answer began.
+    /// Logs requests whose caller disconnected before a response began.
     ///
-    /// All that the router did for the request is dropped with it. Without this
-    /// the request would have no line in the log.
+    /// The task that serves the request is dropped then, so no other code would log it.
     fn drop(&mut self) {
         if self.stage == Stage::Pending {
             self.log_abandoned();
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -1,4 +1,4 @@
-//! The checks of a request before any server hears of it.
+//! Validation of requests before they are sent to a server.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,14 +21,14 @@
     route::{KeyOwner, Route, Table},
 };
 
-/// How long a caller may stay silent in the middle of a body.
+/// The timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Checks a request and reads its body.
+/// Validates a request and reads its body.
 ///
 /// # Errors
 ///
-/// A refusal; the request has not run.
+/// The refusal of an invalid request, which has not run.
 pub async fn accept<P: Protocol>(
     context: &Arc<Context<P>>,
     request: Request<Incoming>,
@@ -93,20 +93,21 @@
     if key_owner.is_none() && table.needs_key && !route.is_anonymous {
         return Err(Refusal::not_run(Code::BadKey, "The key is not known."));
     }
-    // A length over the limit is refused before its body is waited for.
+    // A request whose declared length exceeds the limit is refused before its body arrives.
     if body.size_hint().lower() > table.limits.body_bytes {
         return Err(too_large());
     }
     Ok((Arc::clone(route), key_owner))
 }
 
-/// A body and its share of the memory for bodies.
+/// A request body and the permit for its share of the memory for bodies.
 type BodyWithPermit = (Bytes, Option<OwnedSemaphorePermit>);
 
-/// Reads a body within the limit of its size and of the memory for all bodies.
+/// Reads a body, limited by the maximum body size and the memory for all bodies.
 ///
-/// Bodies are kept until their answers end. Many large ones at once would take
-/// more memory than the process has, and it would be killed with every request.
+/// Bodies are kept until their responses end. Without the limit, many concurrent large
+/// bodies would exhaust the memory of the process, which would be killed together with
+/// every request in flight.
 async fn read(
     body: Incoming,
     limit: u64,
@@ -145,7 +146,7 @@
     Ok((bytes.freeze(), reserved))
 }
 
-/// Takes as much of the memory for bodies as `length` bytes need.
+/// Extends the memory reservation to cover a body of `length` bytes.
 fn reserve_memory(
     reserved: &mut Option<OwnedSemaphorePermit>,
     length: usize,
@@ -170,14 +171,16 @@
     Ok(())
 }
 
-/// The unit in which memory for bodies is counted, in bytes.
+/// The number of bytes that one permit of the memory for bodies covers.
 pub const BODY_UNIT: usize = 1024;
 
 fn too_large() -> Refusal {
     Refusal::not_run(Code::TooLarge, "The body is over the limit.")
 }
 
-/// A request that crashes servers comes again with the same path, key and body.
+/// Hashes the path, API key and body, which a retry by the caller shares.
+///
+/// A request that crashes servers is recognized by it when the caller sends it again.
 fn fingerprint(path: &str, head: &Head, body: &[u8]) -> Fingerprint {
     let mut hasher = xxh3::Xxh3Default::new();
     hasher.update(path.as_bytes());
@@ -188,7 +191,7 @@
     Fingerprint(hasher.digest())
 }
 
-/// When the final answer is due: the route's time limit, or the caller's if that is sooner.
+/// The deadline of the response: the shorter of the route's and the caller's timeouts.
 fn deadline(arrived: Instant, route: &Route, head: &Head) -> Instant {
     let limit = head
         .timeout
@@ -196,7 +199,7 @@
     arrived + limit.duration()
 }
 
-/// Logs the refusal of a request whose id could not be read.
+/// Logs the refusal of a request whose head is malformed, so that its id is unknown.
 fn log_malformed(refusal: &Refusal) {
     logging::event!(
         info,
