--- a/crates/gateway/src/activity.rs
+++ b/crates/gateway/src/activity.rs
@@ -1,4 +1,5 @@
-//! What happens on one caller's connection: requests, heads that begin, and rest.
+//! Tracks the activity on one caller's connection: requests in flight, partial request
+//! heads and idle time.
 
 use std::{
     io,
@@ -18,10 +19,10 @@
 
 use crate::clock::Clock;
 
-/// Stands for no instant at all.
+/// Represents the absence of an instant.
 const NONE: u64 = u64::MAX;
 
-/// How busy one caller's connection is.
+/// The activity on one caller's connection.
 #[derive(Debug)]
 pub struct Activity {
     clock: Clock,
@@ -32,7 +33,7 @@
 }
 
 impl Activity {
-    /// A connection that was just opened.
+    /// Creates the state of a connection that was just opened.
     pub fn new(clock: Clock) -> Self {
         Self {
             in_flight: AtomicU32::new(0),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Since when nothing has run on the connection; `None` while something does.
+    /// Since when no request has been in flight; `None` while one is.
     pub fn idle_since(&self) -> Option<Instant> {
         if self.in_flight.load(Ordering::Relaxed) > 0 {
             return None;
@@ -52,13 +53,13 @@
         Some(Instant::from_micros(idle_since))
     }
 
-    /// When the first bytes of a head came that is not there yet.
+    /// When the first bytes of an incomplete request head were received.
     pub fn head_since(&self) -> Option<Instant> {
         let since = self.head_since_us.load(Ordering::Relaxed);
         (since != NONE && self.idle_since().is_some()).then_some(Instant::from_micros(since))
     }
 
-    /// Waits until a head begins.
+    /// Waits until the first bytes of a request head are received.
     pub async fn head_started(&self) {
         self.head_started.notified().await;
     }
@@ -73,12 +74,12 @@
     }
 }
 
-/// Keeps a connection from counting as idle while its request is served.
+/// Marks a connection as busy while its request is served.
 #[derive(Debug)]
 pub struct Guard(Arc<Activity>);
 
 impl Guard {
-    /// A request whose head has come.
+    /// Records a request whose head has been received.
     pub fn new(activity: &Arc<Activity>) -> Self {
         activity.in_flight.fetch_add(1, Ordering::Relaxed);
         activity.head_since_us.store(NONE, Ordering::Relaxed);
@@ -94,7 +95,7 @@
     }
 }
 
-/// A connection whose received bytes are noticed.
+/// A stream that records received bytes in an [`Activity`].
 #[derive(Debug)]
 pub struct Tracked<S> {
     stream: S,
@@ -102,12 +103,12 @@
 }
 
 impl<S> Tracked<S> {
-    /// Notes in `activity` when bytes come on `stream`.
+    /// Wraps `stream` so that bytes received on it are recorded in `activity`.
     pub fn new(stream: S, activity: Arc<Activity>) -> Self {
         Self { stream, activity }
     }
 
-    /// The connection alone.
+    /// Returns the wrapped stream.
     pub fn into_inner(self) -> S {
         self.stream
     }
--- a/crates/gateway/src/connection.rs
+++ b/crates/gateway/src/connection.rs
@@ -9,12 +9,12 @@
 use storage::traffic::{Metered, Traffic};
 use tokio::{net::TcpStream, time};
 
-/// How long a connection attempt may take.
+/// The default timeout of a connection attempt.
 pub const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long sent bytes may stay without acknowledgement.
+/// How long sent bytes may remain unacknowledged.
 ///
-/// A path that lost track of a connection swallows bytes in silence; the
-/// kernel gives the connection up after this long.
+/// A network path that has lost the state of a connection drops packets silently. The
+/// kernel closes the connection after this time.
 const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// A connection to a backend server that carries one request at a time.
@@ -33,7 +33,7 @@
         Self::metered(address, Arc::default()).await
     }
 
-    /// The same, with a count of the bytes that it carries.
+    /// Opens a connection whose transferred bytes are counted in `traffic`.
     ///
     /// # Errors
     ///
@@ -42,7 +42,7 @@
         Self::with_timeout(address, traffic, CONNECT_TIMEOUT).await
     }
 
-    /// The same, with a time limit of its own.
+    /// Like [`Connection::metered`], with another timeout than [`CONNECT_TIMEOUT`].
     ///
     /// # Errors
     ///
@@ -59,8 +59,9 @@
         let (sender, driver) = http1::handshake(TokioIo::new(stream))
             .await
             .map_err(io::Error::other)?;
-        // It ends when the sender, or the body of an answer that is not read to
-        // its end, is dropped: servers notice by the close that a caller has left.
+        // The driver ends when the sender is dropped, or the body of a response before its
+        // end. The connection is closed then, which tells the server that the caller has
+        // disconnected.
         tokio::spawn(async move {
             if let Err(error) = driver.await {
                 logging::event!(debug, "backend_connection_ended", reason = error);
@@ -69,16 +70,16 @@
         Ok(Self { sender })
     }
 
-    /// Whether it can take another request.
+    /// Whether the connection can send another request.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the response head.
     ///
     /// # Errors
     ///
-    /// [`Failure::Unsent`] when no byte of the request has left.
+    /// [`Failure::Unsent`] when no byte of the request was sent.
     pub async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
@@ -96,11 +97,11 @@
     }
 }
 
-/// Why there is no answer.
+/// Why there is no response.
 #[derive(Debug)]
 pub enum Failure {
-    /// The connection was closed before any byte of the request left.
+    /// The connection was closed before any byte of the request was sent.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// The connection broke after the request may have left.
+    /// The connection broke after the request may have been sent.
     Broken(hyper::Error),
 }
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -1,4 +1,4 @@
-//! A sealed TCP connection between two routers.
+//! An authenticated TCP connection between two routers.
 
 use std::{error, fmt, io, net, time::Duration};
 
@@ -14,12 +14,12 @@
 };
 use wire::{hop, seal};
 
-/// How long a connection attempt and its handshake may take.
+/// The timeout of a connection attempt, including the handshake.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long one frame may take to be written before the peer counts as stuck.
+/// The timeout for writing one frame, after which the peer counts as unresponsive.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// What stands for the first part of a frame that has none.
+/// Replaces the first part of a frame that has no parts.
 const EMPTY_PART: &[u8] = &[];
 
 /// Why a link broke.
@@ -29,11 +29,11 @@
     Io(io::Error),
     /// The peer closed it.
     Closed,
-    /// The peer has another key, or the bytes were altered.
+    /// The peer has a different key, or the bytes were modified.
     Seal(seal::Error),
-    /// The peer sent what no peer of this version sends.
+    /// The peer sent an invalid frame.
     Frame(wire::Error),
-    /// The peer did not take or send a frame in time.
+    /// The peer did not receive or send a frame in time.
     Timeout,
 }
 
@@ -72,9 +72,9 @@
 /// Both directions of a connection.
 #[derive(Debug)]
 pub struct Link {
-    /// What the peer sends.
+    /// The receiving half.
     pub reader: Reader,
-    /// What is sent to the peer.
+    /// The sending half.
     pub writer: Writer,
 }
 
@@ -94,7 +94,7 @@
             .map_err(|_| Error::Timeout)?
     }
 
-    /// Takes over a connection that a peer opened.
+    /// Performs the handshake on a connection that a peer opened.
     ///
     /// # Errors
     ///
@@ -141,11 +141,11 @@
 }
 
 impl Reader {
-    /// Receives the next frame. Cancelling it loses nothing.
+    /// Receives the next frame. This method is cancel safe.
     ///
     /// # Errors
     ///
-    /// When the link broke; it cannot be used any more.
+    /// When the link broke; it must not be used afterwards.
     pub async fn receive<T: DeserializeOwned>(&mut self) -> Result<hop::Frame<T>, Error> {
         loop {
             if let Some(payload) = self.seal.open(&mut self.buffer)? {
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Receives the next frame, which has to come within `patience`.
+    /// Receives the next frame within `timeout`.
     ///
     /// # Errors
     ///
@@ -184,13 +184,13 @@
     ///
     /// # Errors
     ///
-    /// When the link broke; it cannot be used any more.
+    /// When the link broke; it must not be used afterwards.
     pub async fn send<T: Serialize>(&mut self, message: &T) -> Result<(), Error> {
         let payload = hop::encode(message)?;
         self.write(&[&payload]).await
     }
 
-    /// Sends a piece of data, in as many frames as it needs.
+    /// Sends data in as many frames as necessary.
     ///
     /// # Errors
     ///
@@ -204,8 +204,8 @@
 
     /// Writes one frame.
     ///
-    /// A peer that stopped reading would hold the task for good once the
-    /// socket's buffer is full, so the write has a deadline.
+    /// The write has a timeout: a peer that stops reading would otherwise block the task
+    /// forever once the socket buffer is full.
     async fn write(&mut self, parts: &[&[u8]]) -> Result<(), Error> {
         let head = self.seal.head(parts)?;
         let written = async {
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! The connections of callers.
+//! The listener for callers' connections.
 
 use std::{pin, sync::Arc, time::Duration};
 
@@ -22,19 +22,19 @@
     shutdown::Phase,
 };
 
-/// The least buffer that the HTTP library works with, in bytes.
+/// The minimum buffer size that the HTTP library accepts, in bytes.
 const MIN_BUFFER: usize = 8 * 1024;
-/// How long to wait after a failure to accept, such as too many open files.
+/// The backoff after `accept` failed, for example because of too many open files.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
-/// How long a caller may take to receive a last refusal; it fits every socket's buffer.
+/// The timeout for sending the final refusal, which fits any socket buffer.
 const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
-/// How much longer than its limit an idle connection stays open.
+/// How long an idle connection stays open beyond its idle timeout.
 ///
-/// A caller measures the idle time from its own side; a close at the very
-/// limit would meet requests that were sent just in time.
+/// A caller measures the idle time on its own side. If the connection were closed exactly
+/// at the timeout, requests that were sent just before it would be lost.
 const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// Serves callers until the listener is told to close and all answers are out.
+/// Serves callers until the closing phase is reached and all responses have been sent.
 pub async fn serve<P: Protocol>(
     listener: TcpListener,
     context: Arc<Context<P>>,
@@ -55,8 +55,8 @@
                 continue;
             }
         };
-        // Over the limit the connection is closed at once: its caller tries
-        // another router, while an accepted one would only wait here.
+        // Above the limit, connections are closed immediately, so that the caller tries
+        // another router. If they were accepted, the caller would only wait here.
         let Ok(slot) = Arc::clone(&connections).try_acquire_owned() else {
             logging::event!(warn, "connection_refused", most = max_connections);
             continue;
@@ -70,7 +70,7 @@
     }
     drop(listener);
     let all_slots = u32::try_from(max_connections).unwrap_or(u32::MAX);
-    // The semaphore is never closed, so this waits for the last connection.
+    // The semaphore is never closed, so this waits for the last connection to end.
     drop(connections.acquire_many(all_slots).await);
 }
 
@@ -79,7 +79,7 @@
     context: Arc<Context<P>>,
     mut phase: watch::Receiver<Phase>,
 ) {
-    // Without this, small events of a stream wait for an acknowledgement.
+    // Without TCP_NODELAY, small events of a stream wait for an acknowledgement.
     if let Err(error) = stream.set_nodelay(true) {
         logging::event!(debug, "caller_gone", reason = error);
         return;
@@ -124,9 +124,9 @@
     }
 }
 
-/// Tells a caller that its head took too long, and closes its connection.
+/// Refuses a caller whose request head took too long, and closes the connection.
 ///
-/// No request has begun, so that it may come again.
+/// No request has begun, so the caller may retry.
 async fn refuse_slow_head<P: Protocol>(context: &Context<P>, mut stream: TcpStream) {
     let refused = Refusal::not_run(Code::SlowCaller, "The head took too long to arrive.");
     logging::event!(
@@ -155,15 +155,15 @@
     table.map_or_else(Limits::default, |table| table.limits)
 }
 
-/// Why a connection is closed on which nothing runs.
+/// The timeout that expired on a connection without a request in flight.
 enum Expired {
-    /// Nothing came for too long.
+    /// The idle timeout: no bytes were received.
     Idle,
-    /// A head began and did not end.
+    /// The head timeout: a request head began and was not completed.
     SlowHead,
 }
 
-/// Waits until the connection has rested for the time in force at that moment.
+/// Waits until the idle timeout or the head timeout expires, as configured at that time.
 async fn wait_for_timeout(
     activity: &Activity,
     clock: Clock,
--- a/crates/gateway/src/start.rs
+++ b/crates/gateway/src/start.rs
@@ -1,4 +1,4 @@
-//! The start and the end of a router.
+//! Startup and graceful shutdown of a router.
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -32,36 +32,38 @@
     state::{self, State},
 };
 
-/// How long callers are still taken after the process was told to end.
+/// How long new connections are still accepted after a termination signal.
 ///
-/// The balancer asks once a second and takes a router out after two misses.
+/// The load balancer probes readiness once per second and removes a router after two
+/// failed probes.
 const LEAVE_PERIOD: Duration = Duration::from_millis(3000);
-/// How long before it would be killed the process ends by itself.
+/// How long before the end of the grace period the process exits by itself.
 const KILL_MARGIN: Duration = Duration::from_millis(300);
-/// How long a call that registers a router may take.
+/// The timeout of a store call at startup: a read of the fleet key, or a registration.
 const STORE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The pause after one that failed.
+/// The interval between such calls.
 const STORE_RETRY_INTERVAL: Duration = Duration::from_millis(400);
-/// How long the store alone is asked for the key, and the pause between two rounds of others.
+/// The delay before other routers are asked for the fleet key, and the interval between
+/// rounds of such requests.
 ///
-/// A store that answers does so within some milliseconds; one that is slowed to
-/// sixty times that still answers first.
+/// A store responds within a few milliseconds; even one that is sixty times slower
+/// responds before the first round.
 const INTRODUCTION_INTERVAL: Duration = Duration::from_millis(400);
-/// How often the settings are read again without being told.
+/// The interval at which the settings are reloaded without a signal.
 const RELOAD_INTERVAL: Duration = Duration::from_secs(5);
 
-/// A router that could not start.
+/// Why a router could not start or run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
     /// It could not listen for callers.
     Callers,
-    /// It could not listen for the balancer.
+    /// It could not listen for readiness probes of the load balancer.
     Readiness,
-    /// It could not listen for questions about its metrics.
+    /// It could not listen for metrics requests.
     Metrics,
     /// It could not listen for other routers.
     Peers,
-    /// It cannot be told to end.
+    /// It could not install signal handlers.
     Signals,
 }
 
@@ -69,10 +71,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::Callers => "cannot listen for callers",
-            Self::Readiness => "cannot listen for the balancer",
-            Self::Metrics => "cannot listen for questions about metrics",
+            Self::Readiness => "cannot listen for readiness probes",
+            Self::Metrics => "cannot listen for metrics requests",
             Self::Peers => "cannot listen for other routers",
-            Self::Signals => "cannot receive signals",
+            Self::Signals => "cannot install signal handlers",
         })
     }
 }
@@ -95,7 +97,7 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// When a listener cannot be bound.
     pub async fn start<P: Protocol>(
         mut settings: Settings,
         protocol: P,
@@ -214,13 +216,13 @@
         })
     }
 
-    /// The settings, with the addresses that it listens on.
+    /// The settings, with the addresses that were actually bound.
     pub fn settings(&self) -> &Settings {
         &self.settings
     }
 
-    /// Takes over settings that may change while the process runs: its bounds
-    /// and its grace period. Addresses stay as they are.
+    /// Applies the settings that may change while the process runs: the bounds and the
+    /// grace period. Addresses remain unchanged.
     pub fn reload(&mut self, settings: &Settings) {
         if settings.bounds == self.settings.bounds && settings.grace == self.settings.grace {
             return;
@@ -229,18 +231,18 @@
         self.settings.bounds = settings.bounds;
         self.settings.grace = settings.grace;
         let message = dispatch::Message::Bounds(settings.bounds);
-        // The task ends only with the process.
+        // The receiver lives as long as the process.
         drop(self.dispatch.send(message));
     }
 
-    /// Runs until the process is told to end, then shuts down gracefully.
+    /// Runs until a termination signal, then shuts down gracefully.
     ///
-    /// `read` reads the settings again: when the process is told that they
-    /// have changed, and now and then, since they may change in silence.
+    /// `read` reloads the settings. It is called on SIGHUP, and periodically because they
+    /// may change without a signal.
     ///
     /// # Errors
     ///
-    /// When the process cannot be told to end.
+    /// When a signal handler cannot be installed.
     pub async fn run_until_signalled<F>(mut self, read: F) -> Result<(), Report<Error>>
     where
         F: Fn() -> Option<Settings>,
@@ -263,12 +265,11 @@
         Ok(())
     }
 
-    /// Shuts down without cutting off a request.
+    /// Shuts down without interrupting requests.
     ///
-    /// The balancer takes a while to notice that the router is not ready, and
-    /// sends callers until then. They are still served; only after that the
-    /// listener closes. The process ends with the last answer, or just before
-    /// it would be killed.
+    /// The load balancer takes some time to detect that the router is not ready and sends
+    /// callers until then. They are still served, and the listener closes only afterwards.
+    /// The process exits after the last response, or shortly before it would be killed.
     pub async fn shut_down(self) {
         let started = time::Instant::now();
         logging::event!(info, "leaving", routers = self.members.borrow().len());
@@ -290,7 +291,7 @@
     }
 }
 
-/// All that a router listens on.
+/// The sockets on which a router listens.
 struct Sockets {
     callers: TcpListener,
     readiness: TcpListener,
@@ -299,8 +300,8 @@
 }
 
 impl Sockets {
-    /// Listens on the addresses of the settings, and puts the ports that the
-    /// system chose into them.
+    /// Binds the addresses of the settings and stores the ports that the operating system
+    /// assigned.
     async fn bind(settings: &mut Settings) -> Result<Self, Report<Error>> {
         let callers = listen(&mut settings.callers, Error::Callers).await?;
         let readiness = listen(&mut settings.readiness, Error::Readiness).await?;
@@ -329,7 +330,7 @@
     Ok(listener)
 }
 
-/// Learns the key of the fleet, and talks to the other routers from then on.
+/// Obtains the fleet key, then runs the gossip task.
 async fn run_gossip<S: Source>(
     clock: Clock,
     source: S,
@@ -342,7 +343,7 @@
         secret = read_secret(&source) => secret,
         introduced = request_introduction(&introducers) => {
             for (topic, batch) in introduced.batches {
-                // The task ends only with the process.
+                // The receiver lives as long as the process.
                 drop(outputs.events.send(follow::Event::Relayed(topic, batch)).await);
             }
             introduced.secret
@@ -351,7 +352,7 @@
     peers::run(clock, source, sockets, secret, inputs, outputs).await;
 }
 
-/// Reads the key of the fleet, until it is there.
+/// Reads the fleet key from the store, and retries until it is available.
 async fn read_secret<S: Source>(source: &S) -> Secret {
     loop {
         let deadline = time::Instant::now() + STORE_TIMEOUT;
@@ -363,7 +364,7 @@
     }
 }
 
-/// Asks other routers for the key, and for all that they know, until one answers.
+/// Requests the fleet key and all rows from other routers until one responds.
 async fn request_introduction(introducers: &[SocketAddr]) -> Introduced {
     loop {
         time::sleep(INTRODUCTION_INTERVAL).await;
@@ -381,7 +382,7 @@
     }
 }
 
-/// How many events of the store may wait to be taken in.
+/// The capacity of the channel of store events.
 const EVENT_CHANNEL_CAPACITY: usize = 64;
 
 /// Registers this router until the store lists it, and again whenever it is missing.
@@ -402,18 +403,19 @@
         match register_once(&source, &own).await {
             Ok(batch) => {
                 let event = follow::Event::Batch(Topic::Routers, batch);
-                // The task ends only with the process.
+                // The receiver lives as long as the process.
                 drop(events.send(event).await);
             }
             Err(error) => logging::event!(info, "register_failed", reason = error),
         }
-        // The list is published within a moment; until it is, nothing is missing.
+        // The new list takes a moment to be published. Waiting for it avoids a repeated
+        // registration.
         let listed = time::timeout(STORE_RETRY_INTERVAL, members.changed()).await;
         drop(listed);
     }
 }
 
-/// Registers this router and reads who else is registered.
+/// Registers this router and reads the list of registered routers.
 async fn register_once<S: Source>(source: &S, own: &Member) -> Result<Batch, source::Error> {
     let deadline = time::Instant::now() + STORE_TIMEOUT;
     source.register(own, deadline).await?;
