--- a/crates/gateway/examples/control_bytes.rs
+++ b/crates/gateway/examples/control_bytes.rs
@@ -1,7 +1,7 @@
-//! Measures what routers of fleets of several sizes tell each other, over loopback.
+//! Measures the gossip traffic of fleets of several sizes over the loopback interface.
 //!
-//! The routers are real, but for their requests, which are drawn, and the store,
-//! which holds nothing that changes. Prints a line for each size.
+//! The gossip tasks are real. Requests are simulated at random, and the store is a stub
+//! without changes. Prints one line for each size.
 
 use std::{
     collections::VecDeque,
@@ -28,26 +28,26 @@
 use units::{chat, host, time::Instant};
 use wire::seal::{Boot, Key};
 
-/// How long routers talk before it is counted, and for how long it is.
+/// The duration of gossip before the measurement, and of the measurement.
 const WARM_UP: Duration = Duration::from_secs(15);
 const MEASUREMENT: Duration = Duration::from_secs(10);
-/// How long a request is at its server.
+/// The duration of a request at its server.
 const REQUEST_DURATION: Duration = Duration::from_millis(900);
-/// The share of requests whose prompt their server had not read for any router.
+/// The fraction of requests with a prompt that their server has not cached yet.
 const NEW_PROMPT_RATIO: f64 = 0.1;
 /// The length of such a prompt, in tokens.
 const PROMPT_TOKENS: u32 = 10_000;
 
-/// One fleet.
+/// The size of a fleet.
 struct Size {
     routers: usize,
     zones: usize,
     servers: usize,
-    /// Requests a second at each router.
+    /// Requests per second at each router.
     rate: f64,
 }
 
-/// Today's, the next, and the largest that one process here can play.
+/// The present fleet, the planned one, and the largest that one process can simulate.
 const SIZES: [Size; 3] = [
     Size {
         routers: 6,
@@ -69,7 +69,7 @@
     },
 ];
 
-/// A store that knows nothing and does not change.
+/// An empty store that does not change.
 #[derive(Clone)]
 struct StaticSource;
 
@@ -89,11 +89,15 @@
         until: time::Instant,
     ) -> Result<Batch, source::Error> {
         time::sleep_until(until).await;
-        Err(source::Error::Unavailable(String::from("nothing changes")))
+        Err(source::Error::Unavailable(String::from(
+            "the store does not change",
+        )))
     }
 
     async fn secret(&self, _: time::Instant) -> Result<Secret, source::Error> {
-        Err(source::Error::Unavailable(String::from("it is given")))
+        Err(source::Error::Unavailable(String::from(
+            "the secret is passed to the gossip task",
+        )))
     }
 
     async fn register(&self, _: &Member, _: time::Instant) -> Result<(), source::Error> {
@@ -109,11 +113,11 @@
     }
 
     fn server(&self, _: &source::Row, _: Instant) -> Result<roster::Entry, source::Malformed> {
-        Err(source::Malformed(String::from("there is none")))
+        Err(source::Malformed(String::from("the store is empty")))
     }
 
     fn member(&self, _: &source::Row) -> Result<Member, source::Malformed> {
-        Err(source::Malformed(String::from("there is none")))
+        Err(source::Malformed(String::from("the store is empty")))
     }
 }
 
@@ -121,7 +125,7 @@
     format!("i-{server:010x}")
 }
 
-/// The requests of one router, drawn.
+/// The simulated requests of one router.
 struct Requests {
     random: SmallRng,
     clock: Clock,
@@ -176,7 +180,7 @@
         }
     }
 
-    /// A server has read a prompt that no other has.
+    /// Records that a server has cached a new prompt.
     fn record_cached(&mut self, server: usize, now: Instant) {
         let part = pool::Part {
             key: chat::Key(self.random.random()),
--- a/crates/gateway/src/crashes.rs
+++ b/crates/gateway/src/crashes.rs
@@ -90,7 +90,7 @@
         self.suspects.record_completion(fingerprint);
     }
 
-    /// Records that the incarnation `incarnation` of a server has ended. Returns the number of
+    /// Records that the given incarnation of a server has ended. Returns the number of
     /// requests that get a strike for it.
     pub fn record_death(
         &mut self,
--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,9 +1,9 @@
-//! Headers that concern only one connection.
+//! Hop-by-hop headers.
 
 use hyper::{HeaderMap, header};
 use smallvec::SmallVec;
 
-/// Headers of one connection, whatever its `Connection` header names.
+/// Headers that are hop-by-hop even if the `Connection` header does not list them.
 const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
@@ -16,7 +16,7 @@
     "upgrade",
 ];
 
-/// Takes out the headers that concern only the connection they came on.
+/// Removes all hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: SmallVec<[String; 4]> = headers
         .get_all(header::CONNECTION)
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,11 +1,12 @@
-//! A router that decides where a caller connects, without owners of servers.
+//! A router that places each request locally, without a designated owner for each server.
 //!
-//! Each router places, limits and repeats the requests that reach it. Bounds
-//! that are summed over the fleet are kept by fixed shares of each router, and
-//! what routers learn of each other only makes them use less of a share.
+//! Each router places, limits and retries the requests that it receives. Limits that apply
+//! to the whole fleet are enforced by a fixed share for each router. State received from
+//! other routers can only make a router use less than its share.
 //!
-//! The crate knows no protocol: [`protocol::Protocol`] reads callers' heads and
-//! writes attempts, [`source::Source`] reads and watches what is stored.
+//! The crate is independent of the wire protocol and the store: [`protocol::Protocol`]
+//! parses request heads and writes the heads of attempts, and [`source::Source`] reads and
+//! watches the store.
 
 pub mod activity;
 pub mod ages;
--- a/crates/gateway/src/metrics.rs
+++ b/crates/gateway/src/metrics.rs
@@ -1,7 +1,7 @@
-//! What a router counts, for its metrics address.
+//! The metrics of a router, exported in the Prometheus text format.
 //!
-//! Labels take their values from fixed lists only, so that no caller can make
-//! the number of series grow.
+//! Label values come only from fixed sets, so that callers cannot increase the number of
+//! series.
 
 use std::{sync::atomic::AtomicU64, time::Duration};
 
@@ -16,7 +16,7 @@
 
 use crate::{ages::Ages, pool::Standing, source::Topic};
 
-/// Upper bounds of the buckets for times to the first byte, in seconds.
+/// The upper bounds of the histogram buckets, in seconds.
 const BUCKETS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.15, 0.3, 0.5, 0.8, 2.0, 5.0];
 
 /// The labels of a refusal.
@@ -26,7 +26,7 @@
     verdict: String,
 }
 
-/// The labels of an answer.
+/// The labels of a response.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResponseLabels {
     status: u16,
@@ -44,29 +44,29 @@
     standing: &'static str,
 }
 
-/// The labels of a view.
+/// The labels of a replicated view.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ViewLabels {
     topic: &'static str,
 }
 
-/// The labels of what routers tell each other.
+/// The labels of gossip traffic between routers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct DirectionLabels {
     direction: &'static str,
 }
 
-/// The labels of a call to the store.
+/// The labels of a store call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct CallLabels {
     topic: &'static str,
     result: &'static str,
 }
 
-/// Bytes of the headers of UDP and IP that each datagram has.
+/// The size of the UDP and IP headers of a datagram, in bytes.
 const DATAGRAM_HEADERS: u64 = 28;
 
-/// All metrics.
+/// The metrics of one router.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -190,7 +190,7 @@
 }
 
 impl Metrics {
-    /// A request was refused.
+    /// Counts a final refusal.
     pub fn refused(&self, refusal: &Refusal) {
         let labels = RefusalLabels {
             code: refusal.code.to_string(),
@@ -199,7 +199,7 @@
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// The head of an answer went out after `waited`.
+    /// Records that the head of a response was sent after `waited`.
     pub fn response_started(&self, status: StatusCode, waited: Duration) {
         let labels = ResponseLabels {
             status: status.as_u16(),
@@ -208,29 +208,29 @@
         self.head_seconds.observe(waited.as_secs_f64());
     }
 
-    /// The first byte of a body went out after `waited`.
+    /// Records that the first byte of a response body was sent after `waited`.
     pub fn first_byte(&self, waited: Duration) {
         self.first_byte_seconds.observe(waited.as_secs_f64());
     }
 
-    /// A request got a place at a server, or none, after `waited`.
+    /// Records that a request was placed at a server or refused after `waited`.
     pub fn queue_wait(&self, waited: Duration) {
         self.wait_seconds.observe(waited.as_secs_f64());
     }
 
-    /// An answer ended whose longest pause was `gap`.
+    /// Records the longest gap between two chunks of a response.
     pub fn longest_gap(&self, gap: Duration) {
         self.gap_seconds.observe(gap.as_secs_f64());
     }
 
-    /// An attempt at a server ended.
+    /// Counts an attempt that ended with `outcome`.
     pub fn attempt_ended(&self, outcome: &'static str) {
         self.attempts
             .get_or_create(&AttemptLabels { outcome })
             .inc();
     }
 
-    /// A server stands so from now on.
+    /// Counts a change of a server to `standing`.
     pub fn standing_changed(&self, standing: Standing) {
         let labels = StandingLabels {
             standing: standing.name(),
@@ -238,7 +238,7 @@
         self.standings.get_or_create(&labels).inc();
     }
 
-    /// The views are so old at `now`.
+    /// Sets the ages of the replicated views at `now`.
     pub fn set_ages(&self, ages: &Ages, now: Instant) {
         let views = [
             (Topic::Configuration, ages.configuration(now)),
@@ -252,12 +252,12 @@
         }
     }
 
-    /// A datagram of `length` bytes went to another router.
+    /// Counts a datagram of `length` bytes sent to another router.
     pub fn datagram_sent(&self, length: usize) {
         self.add_control_bytes("sent", length);
     }
 
-    /// A datagram of `length` bytes came from another router.
+    /// Counts a datagram of `length` bytes received from another router.
     pub fn datagram_received(&self, length: usize) {
         self.add_control_bytes("received", length);
     }
@@ -268,7 +268,7 @@
         self.control_bytes.get_or_create(&labels).inc_by(bytes);
     }
 
-    /// Bytes of datagrams sent to and received from other routers so far.
+    /// The bytes of datagrams sent to and received from other routers so far.
     pub fn control_bytes(&self) -> (u64, u64) {
         let total = |direction| {
             let labels = DirectionLabels { direction };
@@ -277,29 +277,29 @@
         (total("sent"), total("received"))
     }
 
-    /// A call to the store ended.
+    /// Counts a store call that ended with `result`.
     pub fn store_called(&self, topic: &'static str, result: &'static str) {
         let labels = CallLabels { topic, result };
         self.calls.get_or_create(&labels).inc();
     }
 
-    /// The configuration in force is this version, of so many bytes.
+    /// Sets the version and size of the configuration in force.
     pub fn set_config(&self, version: u64, bytes: usize) {
         self.config.set(i64::try_from(version).unwrap_or(i64::MAX));
         self.config_bytes
             .set(i64::try_from(bytes).unwrap_or(i64::MAX));
     }
 
-    /// So many servers and routers are registered.
+    /// Sets the numbers of registered servers and routers.
     pub fn set_sizes(&self, servers: usize, members: usize) {
         self.servers.set(i64::try_from(servers).unwrap_or(i64::MAX));
         self.members.set(i64::try_from(members).unwrap_or(i64::MAX));
     }
 
-    /// All metrics as text.
+    /// Encodes all metrics as text.
     pub fn text(&self) -> String {
         let mut buffer = String::new();
-        // Writing into a string cannot fail.
+        // Writing to a string cannot fail.
         let _ = text::encode(&mut buffer, &self.registry);
         buffer
     }
--- a/crates/gateway/src/observer.rs
+++ b/crates/gateway/src/observer.rs
@@ -1,4 +1,4 @@
-//! Short questions about the router: whether it is ready, its metrics, and what it believes.
+//! The HTTP endpoints for readiness probes, metrics and the status page.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -17,26 +17,26 @@
     status,
 };
 
-/// What the answers are taken from.
+/// The data that the endpoints report.
 #[derive(Clone, Debug)]
 pub struct Sources {
-    /// What the router knows so far.
+    /// Whether the router can serve requests.
     pub readiness: watch::Receiver<Readiness>,
-    /// How far the process has come in its life.
+    /// The shutdown phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
     /// This router.
     pub host: host::Id,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// How old the views are.
+    /// The ages of the replicated views.
     pub ages: Arc<Ages>,
-    /// The task that knows the servers.
+    /// The dispatch task.
     pub dispatch: mpsc::UnboundedSender<dispatch::Message>,
 }
 
-/// Answers questions until the process ends.
+/// Serves the endpoints until the process ends.
 pub async fn serve(listener: TcpListener, sources: Sources) {
     loop {
         let stream = match listener.accept().await {
--- a/crates/gateway/src/pause.rs
+++ b/crates/gateway/src/pause.rs
@@ -1,28 +1,28 @@
-//! Notices that the process did not run for a while.
+//! Detects that the process was paused.
 
 use std::time::Duration;
 
 use units::time::Instant;
 
-/// How often the process looks at the clock while it has nothing to do.
+/// The interval at which an idle process checks the clock.
 pub const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// A longer gap between two looks is a pause: four looks missed.
+/// The minimum gap between two checks that counts as a pause: four missed checks.
 ///
-/// A machine at its quota stands still for a tenth of a second at most.
+/// CPU throttling stops a process for a tenth of a second at most.
 const MIN_PAUSE: Duration = Duration::from_secs(1);
 
-/// When the process last ran.
+/// Detects pauses by gaps between checks of the clock.
 ///
-/// A machine that was suspended or frozen goes on as if nothing had happened.
-/// What it knows is as old as the pause: servers have left, or started again
-/// and are cold, and it would send them all that waits in its sockets at once.
+/// A process that was suspended or frozen resumes without noticing. Its state is as old as
+/// the pause: servers may have left, or restarted and be cold, and it would immediately
+/// send them all requests that are buffered in its sockets.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Detector {
     checked_at: Option<Instant>,
 }
 
 impl Detector {
-    /// Notes that the process runs. Returns the pause, if there was one.
+    /// Records a check. Returns the length of the pause before it, if there was one.
     pub fn check(&mut self, now: Instant) -> Option<Duration> {
         let gap = self
             .checked_at
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -67,9 +67,9 @@
     pub watchers: Vec<Watcher>,
     /// Its requests at the servers, in fleets small enough to exchange them in digests.
     pub loads: Option<Report>,
-    /// Requests that servers recently died of.
+    /// Requests that are suspected of having crashed servers recently.
     pub strikes: Vec<recovery::Strike>,
-    /// Prompts that servers have just read.
+    /// Prompt prefixes that servers have cached recently.
     pub cached_prefixes: Vec<CachedPrefix>,
 }
 
@@ -82,7 +82,7 @@
     Loads {
         /// The loads.
         loads: Report,
-        /// Prompts that servers have just read for the sender.
+        /// Prompt prefixes that servers have cached recently for the sender.
         cached_prefixes: Vec<CachedPrefix>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
@@ -93,7 +93,7 @@
         routers: u16,
         /// The summed loads.
         loads: Report,
-        /// Prompts that servers have just read for these routers.
+        /// Prompt prefixes that servers have cached recently for these routers.
         cached_prefixes: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
@@ -109,7 +109,7 @@
     pub routers: u16,
     /// The summed loads.
     pub loads: Report,
-    /// Prompts that servers have just read, anywhere in the fleet.
+    /// Prompt prefixes that servers have cached recently, for any router of the fleet.
     pub cached_prefixes: Vec<CachedPrefix>,
     /// The hashes of the routers to which the receiver relays the total.
     pub relay_to: Vec<u32>,
@@ -145,7 +145,7 @@
         Self { checksum, ..self }
     }
 
-    /// Adds the loads and the prompts that servers have read.
+    /// Adds the loads and the cached prefixes.
     pub fn with_loads(self, loads: Report, cached_prefixes: Vec<CachedPrefix>) -> Self {
         Self {
             loads: Some(loads),
@@ -166,11 +166,11 @@
 }
 
 impl Frame {
-    /// Encodes the frame and drops prompt reads from the end until it fits one datagram.
+    /// Encodes the frame, dropping cached prefixes from the end until it fits one datagram.
     ///
     /// # Errors
     ///
-    /// When it does not fit without any prompt reads either.
+    /// When it does not fit even without cached prefixes.
     pub fn encode_truncated(mut self) -> Result<Vec<u8>, Malformed> {
         loop {
             let encoded = self.encode();
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -50,10 +50,10 @@
     pub(super) own_loads: Vec<Load>,
     /// The aggregators of each zone.
     pub(super) aggregators: BTreeMap<availability::Zone, Aggregators>,
-    /// The loads last received from each peer, or the zone sum if it is an aggregator of
-    /// another zone, by the hash of its host name.
+    /// Decodes the loads of each peer, or the zone sums if it is an aggregator of another
+    /// zone, by the hash of its host name.
     pub(super) peer_decoders: BTreeMap<u32, ReportDecoder>,
-    /// The fleet total last received from an aggregator of this router's zone.
+    /// Decodes the fleet totals from the aggregators of this router's zone.
     pub(super) fleet_decoder: ReportDecoder,
     /// The number of routers that the last accepted total covers, and when that count
     /// expires.
@@ -61,10 +61,11 @@
     load_encoder: ReportEncoder,
     pub(super) zone_encoder: ReportEncoder,
     pub(super) fleet_encoder: ReportEncoder,
-    /// Prompts that servers have read for routers of this zone, to be relayed if this
-    /// router is an aggregator.
+    /// Prompt prefixes that servers have cached for routers of this zone, to be forwarded if
+    /// this router is an aggregator.
     pub(super) zone_prefixes: PrefixUpdates,
-    /// Prompts that servers have read for any router of the fleet, to be relayed likewise.
+    /// Prompt prefixes that servers have cached for any router of the fleet, to be forwarded
+    /// likewise.
     pub(super) fleet_prefixes: PrefixUpdates,
     watchers: Watchers,
     socket: UdpSocket,
--- a/crates/gateway/src/readiness.rs
+++ b/crates/gateway/src/readiness.rs
@@ -1,16 +1,16 @@
-//! Whether a router can serve.
+//! The readiness of a router.
 
 use std::fmt;
 
-/// What a router still misses to serve requests.
+/// Whether a router can serve requests, and if not, what is missing.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Readiness {
-    /// It knows no configuration.
+    /// The router has no configuration.
     #[default]
     NoConfiguration,
-    /// It knows no backend server.
+    /// The router knows no backend server.
     NoServers,
-    /// It can serve.
+    /// The router can serve requests.
     Ready,
 }
 
--- a/crates/gateway/src/refusal.rs
+++ b/crates/gateway/src/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers of the router's own.
+//! Responses for refused requests.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::protocol::Protocol;
 
-/// Writes a refusal as an answer.
+/// Creates the response for a refusal.
 ///
-/// The time to come back is given in seconds with a fraction, so that a short
-/// wait is not rounded up to a whole second.
+/// The `Retry-After` value is a decimal fraction of seconds, so that a short delay is not
+/// rounded up to a whole second.
 pub fn response<P: Protocol>(protocol: &P, refusal: &Refusal, now: Instant) -> Response<Bytes> {
     let body = format!("{}\n", refusal.message);
     let mut response = Response::new(Bytes::from(body));
@@ -26,10 +26,10 @@
     response
 }
 
-/// The bytes of an answer after which the connection is closed.
+/// Encodes a response after which the connection is closed.
 ///
-/// For callers whose request never became one, which the HTTP library answers
-/// by a close alone.
+/// It is used for incomplete requests, for which the HTTP library would only close the
+/// connection.
 pub fn closing_response(response: Response<Bytes>) -> Vec<u8> {
     let (head, body) = response.into_parts();
     let mut bytes = format!("HTTP/1.1 {}\r\n", head.status).into_bytes();
--- a/crates/gateway/src/roster.rs
+++ b/crates/gateway/src/roster.rs
@@ -228,7 +228,7 @@
         all.filter_map(|(entry, is_leaving)| (!is_leaving).then_some(entry))
     }
 
-    /// The start (`incarnation`) of each registered server that is not superseded.
+    /// The incarnation of each registered server that is not superseded.
     pub fn incarnations(&self) -> HashMap<&backend::Server, u64> {
         let all = self.all();
         all.map(|(entry, _)| (&entry.server, entry.incarnation))
--- a/crates/gateway/src/settings.rs
+++ b/crates/gateway/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a router without owners.
+//! The settings of a router.
 
 use std::net::SocketAddr;
 
@@ -9,44 +9,48 @@
 /// The settings of one router.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// The name of its host.
+    /// The name of the host that the router runs on.
     pub host: host::Id,
-    /// Its availability zone.
+    /// The availability zone of the router.
     pub zone: availability::Zone,
-    /// Where callers reach it.
+    /// The address on which callers connect.
     pub callers: SocketAddr,
-    /// Where the balancer asks whether it is ready.
+    /// The address on which the load balancer probes readiness.
     pub readiness: SocketAddr,
-    /// Where other routers reach it, by UDP and TCP.
+    /// The address on which other routers connect, by UDP and TCP.
     pub peers: SocketAddr,
-    /// Where routers that know nothing ask it for the key of the fleet.
+    /// The address on which routers without any state request the fleet key.
     pub introductions: SocketAddr,
-    /// Where this router asks for the key while the store is silent.
+    /// The addresses from which this router requests the fleet key while the store is
+    /// unavailable.
     pub introducers: Vec<SocketAddr>,
-    /// Where its metrics are read.
+    /// The address on which metrics are served.
     pub metrics: SocketAddr,
-    /// Who is charged for requests without a key.
+    /// The workspace charged for requests without an API key.
     pub anonymous: workspace::Id,
-    /// Bounds that are summed over all routers.
+    /// The limits that apply to all routers together.
     pub bounds: Bounds,
-    /// The most connections of callers. Each may need another one to a server.
+    /// The maximum number of callers' connections. Each may require a second connection, to
+    /// a server.
     pub connections: usize,
-    /// Memory for the bodies of requests, in bytes.
+    /// The memory for request bodies, in bytes.
     pub body_memory: usize,
-    /// How long a stopped process has until it is killed.
+    /// The grace period between the termination signal and the kill signal.
     pub grace: Millis,
 }
 
-/// Bounds of the deployment.
+/// The limits of the deployment, each over all routers together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// The most load of one server, as a multiple of its service's mean, plus three requests.
+    /// The maximum load of a server, as a multiple of the mean over its service, plus three
+    /// requests.
     pub load_multiple: f64,
-    /// What a cold server may get in one second, as a multiple of what it bears.
+    /// The maximum number of requests to a cold server per second, as a multiple of the
+    /// rate that it can handle.
     pub cold_multiple: f64,
-    /// Requests that a cold server may get in one second besides.
+    /// Additional requests that a cold server may receive per second.
     pub cold_extra: f64,
-    /// What may be repeated at one service.
+    /// The retries that one service may receive.
     pub retries: retry_budget::Allowance,
 }
 
--- a/crates/gateway/src/shutdown.rs
+++ b/crates/gateway/src/shutdown.rs
@@ -2,14 +2,15 @@
 
 use tokio::sync::watch;
 
-/// How far the process has come in its life.
+/// The shutdown phase of the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
-    /// It serves.
+    /// The process serves requests.
     Serving,
-    /// It says that it is not ready, and still serves: the balancer needs time to notice.
+    /// The process reports that it is not ready but still serves requests, since the load
+    /// balancer needs time to detect it.
     Leaving,
-    /// It takes no new connections and finishes what runs.
+    /// The process accepts no new connections and finishes the requests in flight.
     Closing,
 }
 
@@ -21,7 +22,7 @@
             .await
             .is_err();
         if is_lost {
-            // The sender is gone only at the process's end.
+            // The sender is dropped only at the end of the process.
             std::future::pending::<()>().await;
         }
     }
--- a/crates/gateway/src/status.rs
+++ b/crates/gateway/src/status.rs
@@ -1,4 +1,4 @@
-//! What a router believes, as a page for people on call.
+//! The status page: a router's current view of the fleet, for operators.
 
 use std::fmt;
 
@@ -11,33 +11,33 @@
     shutdown::Phase,
 };
 
-/// What a router believes of one backend server.
+/// A router's view of one backend server.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Row {
     /// The server.
     pub server: backend::Server,
-    /// Its service.
+    /// The service that it belongs to.
     pub pool: pool::Id,
     /// Its availability zone.
     pub zone: availability::Zone,
     /// Requests of this router in flight.
     pub running: u32,
-    /// Requests of all routers in flight, as far as known.
+    /// Requests of all routers in flight, as far as known from gossip.
     pub load: u32,
-    /// The most requests that it may hold now.
+    /// The maximum number of requests in flight that it may have now.
     pub bound: f64,
-    /// Whether it takes requests.
+    /// Whether it is eligible for requests.
     pub standing: Standing,
-    /// Whether it is cold, or may have started anew.
+    /// Whether it is cold, or may have restarted.
     pub is_cold: bool,
-    /// Whether it gets nothing new: it drains, or its zone is out.
+    /// Whether it receives no new requests because it is draining or its zone is evacuated.
     pub is_leaving: bool,
-    /// How much longer than its load explains it lately took, in milliseconds.
+    /// The recent response time in excess of what the load explains, in milliseconds.
     pub lag_ms: u64,
 }
 
 impl Row {
-    /// The row of `server` at `now`.
+    /// Creates the row of `server` at `now`.
     pub fn new(
         pool: &pool::Id,
         server: &Server,
@@ -80,35 +80,35 @@
     }
 }
 
-/// What the task that knows the servers believes.
+/// The state of the dispatch task.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     /// The servers, by service and name.
     pub servers: Vec<Row>,
-    /// Requests that wait, by service.
+    /// The number of queued requests by service.
     pub queued: Vec<(pool::Id, usize)>,
-    /// How many routers share bounds.
+    /// The number of routers that share the bounds.
     pub members: usize,
-    /// How many other routers told of their requests in flight.
+    /// The number of other routers that report their requests in flight.
     pub reporting_peers: usize,
 }
 
-/// What the first line of the page says.
+/// The first line of the page.
 #[derive(Debug)]
 pub struct Header<'a> {
     /// This router.
     pub host: &'a host::Id,
-    /// What it misses to serve requests.
+    /// Whether the router can serve requests, and if not, what is missing.
     pub readiness: Readiness,
-    /// How far its process has come in its life.
+    /// The shutdown phase of the process.
     pub phase: Phase,
-    /// How old its views are.
+    /// The ages of the replicated views.
     pub ages: &'a Ages,
     /// The present instant.
     pub now: Instant,
 }
 
-/// Writes the page.
+/// Renders the page.
 pub fn page(header: &Header<'_>, report: &Report) -> String {
     let mut lines = vec![format!(
         "router={} readiness=\"{}\" phase={:?} config_age_ms={} servers_age_ms={} members={} \
--- a/crates/gateway/src/value.rs
+++ b/crates/gateway/src/value.rs
@@ -1,4 +1,4 @@
-//! Values of rows, and how routers pass large ones on.
+//! Values of rows, and their compressed form for the transfer between routers.
 
 use std::{
     error, fmt,
@@ -10,18 +10,20 @@
 use bytes::Bytes;
 use flate2::{Compression, read::DeflateDecoder, write::DeflateEncoder};
 
-/// The smallest value that is packed, in bytes: one that fits few packets gains little.
+/// The minimum size of a value that is packed (compressed), in bytes. A value that fits a
+/// few network packets gains little.
 const MIN_PACKED_BYTES: usize = 4 * 1024;
 
 /// The value of a row.
 ///
-/// A configuration repeats itself in each of its routes and is a tenth as long
-/// when packed. It is packed once, by the router that read it from the store;
-/// those that it is passed on to keep the packed form and pass that on.
+/// The routes of a configuration are similar to one another, and its packed form is a tenth
+/// of its size. It is packed once, by the router that read it from the store. The routers
+/// that receive it keep the packed form and relay that.
 #[derive(Clone, Debug, Default)]
 pub struct Value {
     bytes: Bytes,
-    /// `None` inside if it could not be packed; it then goes as it is.
+    /// The packed form, computed on first use. Contains `None` if packing failed; the value
+    /// is sent unpacked then.
     packed: Arc<OnceLock<Option<Bytes>>>,
 }
 
@@ -42,7 +44,7 @@
     ///
     /// # Errors
     ///
-    /// When it has another length, or is no packed value.
+    /// When the bytes are not a packed value, or the value has another length.
     pub fn unpack(packed: Bytes, length: usize) -> Result<Self, Corrupt> {
         let mut bytes = Vec::with_capacity(length);
         let max_length = u64::try_from(length).unwrap_or(u64::MAX).saturating_add(1);
@@ -57,7 +59,7 @@
         })
     }
 
-    /// The packed form; `None` for a value that is too short to gain by it.
+    /// The packed form; `None` if the value is too small to benefit or could not be packed.
     pub fn packed(&self) -> Option<&Bytes> {
         if self.bytes.len() < MIN_PACKED_BYTES {
             return None;
--- a/crates/gateway/tests/decisions/roster.rs
+++ b/crates/gateway/tests/decisions/roster.rs
@@ -104,7 +104,7 @@
     assert_eq!(roster.usable().count(), 1);
 }
 
-/// A server that started and was registered at the moment `incarnation`.
+/// A change that registers a server with the given incarnation, which is also its revision.
 fn started(name: &str, address: u16, incarnation: u64) -> Change {
     let mut entry = entry(name, "a");
     entry.address = ([127, 0, 0, 1], address).into();
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -1,4 +1,4 @@
-//! Rows that one router asks of another.
+//! Tests of the transfer of rows between routers.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -13,16 +13,16 @@
 use tokio::{net::TcpListener, sync::watch, task::JoinSet};
 use wire::seal::Key;
 
-/// What a link of 10 Mbit/s carries.
+/// The capacity of a link of 10 Mbit/s.
 const LINK_BYTES_PER_S: u64 = 1_250_000;
-/// As much as that link carries in three seconds.
+/// The number of bytes that such a link carries in three seconds.
 const LARGE_VALUE_BYTES: usize = 3_750_000;
 
 fn key() -> Key {
     Key::from_bytes([7; 32])
 }
 
-/// Bytes that cannot be made smaller.
+/// Random bytes, which cannot be compressed.
 fn incompressible(length: usize) -> Bytes {
     let mut bytes = vec![0; length];
     SmallRng::seed_from_u64(1).fill(&mut bytes[..]);
@@ -44,7 +44,7 @@
     replica
 }
 
-/// A router that knows one configuration and one server.
+/// Starts a router that serves one configuration with `value` and one server.
 async fn start_router(value: Bytes) -> SocketAddr {
     let replicas: Replicas = BTreeMap::from([
         (Topic::Configuration, replica("config", 5, value)),
@@ -60,7 +60,7 @@
     address
 }
 
-/// Guards against rows that are given up while their bytes still come.
+/// Guards against a transfer that times out although it still makes progress.
 #[tokio::test]
 async fn large_rows_are_received_over_a_slow_link() {
     let value = incompressible(LARGE_VALUE_BYTES);
@@ -74,7 +74,7 @@
     assert_eq!(Some(&value[..]), batch.rows[0].value.as_deref());
 }
 
-/// Guards against servers that leave and are heard of only after a large configuration.
+/// Guards against changes of servers that arrive only after a large configuration.
 #[tokio::test]
 async fn servers_are_sent_without_the_configuration() {
     let link = Link::start(start_router(incompressible(LARGE_VALUE_BYTES)).await)
@@ -88,7 +88,7 @@
     assert_eq!(
         topics,
         [Topic::Servers],
-        "what was not asked for is not told"
+        "only the requested topics are sent"
     );
     let batches = batches.into_iter();
     let rows: Vec<_> = batches.flat_map(|(_, batch)| batch.rows).collect();
@@ -96,7 +96,8 @@
     assert_eq!(keys, ["s1"]);
 }
 
-/// Guards against slow links that carry many large answers, none of which is through before the last.
+/// Guards against many concurrent large responses over a slow link, all of which would
+/// complete late.
 #[tokio::test]
 async fn concurrent_large_responses_are_limited() {
     let address = start_router(incompressible(LARGE_VALUE_BYTES)).await;
@@ -115,5 +116,5 @@
         .expect("no panic");
     assert!(matches!(first, Err(fetch::Failure::Busy)), "{first:?}");
     let rest = fetch::request(address, &key(), Part::Rest.of(all)).await;
-    rest.expect("what is small comes all the same");
+    rest.expect("small responses are not limited");
 }
--- a/crates/gateway/tests/network/main.rs
+++ b/crates/gateway/tests/network/main.rs
@@ -1,3 +1,3 @@
-//! What routers ask each other, over real connections.
+//! Tests of requests between routers over real connections.
 
 mod fetch;
