--- a/crates/gateway/src/peers/table.rs
+++ b/crates/gateway/src/peers/table.rs
@@ -1,4 +1,4 @@
-//! The peers heard from recently, and which of them hold newer rows.
+//! The peers that recently sent a datagram, and which of them hold newer rows.
 
 use std::{collections::BTreeMap, fmt, net::SocketAddr, time::Duration};
 
@@ -84,7 +84,7 @@
     expires_at: Instant,
 }
 
-/// The peers heard from recently.
+/// The peers that recently sent a datagram.
 #[derive(Clone, Debug, Default)]
 pub struct Table {
     records: BTreeMap<host::Id, Record>,
@@ -220,17 +220,17 @@
         }
     }
 
-    /// Whether a peer was heard from recently.
+    /// Whether a peer sent a datagram recently.
     pub fn contains(&self, host: &host::Id) -> bool {
         self.records.contains_key(host)
     }
 
-    /// The number of peers heard from recently.
+    /// The number of peers that recently sent a datagram.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether no peer was heard from recently.
+    /// Whether no peer sent a datagram recently.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
--- a/crates/gateway/src/peers/task.rs
+++ b/crates/gateway/src/peers/task.rs
@@ -395,15 +395,14 @@
         }
     }
 
-    /// Queues prompts read for routers of this zone, to be relayed to the zone and the
-    /// fleet.
+    /// Queues prefixes that were cached for routers of this zone, to be forwarded to the zone
+    /// and the fleet.
     fn queue_cached_prefixes(&mut self, cached_prefixes: &[CachedPrefix], now: Instant) {
         self.zone_prefixes.forward(cached_prefixes, now);
         self.fleet_prefixes.forward(cached_prefixes, now);
     }
 
-    /// Passes prompts that servers read for other routers on to the task that selects
-    /// servers.
+    /// Passes prefixes that servers cached for other routers to the dispatch task.
     pub(super) fn apply_cached_prefixes(&self, cached_prefixes: Vec<CachedPrefix>) {
         if !cached_prefixes.is_empty() {
             self.notify_dispatch(dispatch::Message::CachedPrefixes(cached_prefixes));
