--- a/crates/gateway/benches/place.rs
+++ b/crates/gateway/benches/place.rs
@@ -83,7 +83,7 @@
             bencher.iter(|| {
                 number += 1;
                 let demand = demand(number);
-                let placement = pool.admit(&demand, &fleet, NOW).expect("a place");
+                let placement = pool.admit(&demand, &fleet, NOW).expect("a placement");
                 if let Some(server) = pool.server_mut(&placement.server) {
                     server.end_prefill(placement.uncached);
                     server.record_cached(&demand.parts, NOW);
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -32,8 +32,8 @@
 /// The retry delay given to a caller when all servers are full: about the duration of a
 /// short response.
 const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
-/// The retry delay given to a caller when no server is available: an entry that lapsed
-/// takes about this long to be registered again.
+/// The retry delay given to a caller when no server is available: about the time in which
+/// the entry of a server returns.
 const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
 /// The minimum time before the deadline for an attempt to be worthwhile.
 const MIN_REMAINING: Duration = Duration::from_millis(5);
--- a/crates/gateway/tests/decisions/connect.rs
+++ b/crates/gateway/tests/decisions/connect.rs
@@ -88,7 +88,9 @@
 fn each_zone_has_its_own_timeout() {
     let mut pool = pool(&[entry("near", "a"), entry("far", "b")]);
     let timeout = |pool: &mut gateway::pool::Pool| {
-        let placement = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
+        let placement = pool
+            .admit(&demand(1, 1), &fleet(), START)
+            .expect("a placement");
         pool.ended(&placement.server, Outcome::Completed, START);
         (
             placement.server.clone(),
--- a/crates/gateway/tests/decisions/copies.rs
+++ b/crates/gateway/tests/decisions/copies.rs
@@ -18,7 +18,7 @@
         entry.is_draining = entry.server == former_first.server;
     }
     pool.set_servers(entries.iter().map(|entry| (entry, entry.is_draining)));
-    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    let placement = admit(&mut pool, 7, 1, START).expect("a placement");
     assert_ne!(placement.server, former_first.server);
     assert_eq!(placement.source, Some(former_first.address));
 }
@@ -48,7 +48,7 @@
     for topic in other_topics.take(4) {
         run(&mut pool, topic, topic, START);
     }
-    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    let placement = admit(&mut pool, 7, 1, START).expect("a placement");
     assert_eq!(placement.server, first);
     assert_eq!(placement.source, Some(former_first.address));
 }
@@ -68,7 +68,7 @@
     let mut pool = pool(&entries);
     pool.set_peer_load(|name| if ranked[..2].contains(name) { 20 } else { 1 });
     let now = START + Duration::from_secs(2);
-    let placement = admit(&mut pool, 7, 0, now).expect("a place");
+    let placement = admit(&mut pool, 7, 0, now).expect("a placement");
     assert_eq!(placement.server, ranked[2]);
     let before = entries.iter().find(|entry| entry.server == ranked[1]);
     assert_eq!(placement.source, before.map(|entry| entry.address));
@@ -84,7 +84,7 @@
     for entry in &mut entries {
         entry.is_draining = entry.server == former_first.server;
     }
-    let placement = admit(&mut pool(&entries), 7, 1, START).expect("a place");
+    let placement = admit(&mut pool(&entries), 7, 1, START).expect("a placement");
     assert_eq!(placement.source, Some(former_first.address));
 }
 
@@ -112,7 +112,7 @@
     }
     let mut copied = 0;
     for topic in 0..40 {
-        let placement = admit(&mut pool, topic, topic, START).expect("a place");
+        let placement = admit(&mut pool, topic, topic, START).expect("a placement");
         pool.ended(&placement.server, Outcome::Completed, START);
         if let Some(source) = placement.source {
             copied += 1;
--- a/crates/gateway/tests/decisions/outlier.rs
+++ b/crates/gateway/tests/decisions/outlier.rs
@@ -53,7 +53,7 @@
     assert_eq!(pool.standing(&server("s5"), START), Standing::Ejected);
     for own in 0..40 {
         let placement = pool.admit(&demand(own, own), &fleet(), START);
-        assert_ne!(placement.expect("a place").server, server("s5"));
+        assert_ne!(placement.expect("a placement").server, server("s5"));
     }
 }
 
@@ -107,7 +107,9 @@
 #[test]
 fn own_and_peer_failures_add_up() {
     let mut pool = twelve_servers();
-    let placement = pool.admit(&demand(1, 1), &fleet(), START).expect("a place");
+    let placement = pool
+        .admit(&demand(1, 1), &fleet(), START)
+        .expect("a placement");
     pool.ended(&placement.server, Outcome::Failed, START);
     let failing = detected_outliers(&mut pool, |index| {
         let is_failing = placement.server == server(&format!("s{index}"));
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -60,7 +60,7 @@
         for expected in ranked_servers(1_000 + topic, &entries).into_iter().take(3) {
             let mut pool = pool(&entries);
             pool.set_peer_load(|name| if full.contains(name) { 20 } else { 1 });
-            let placement = admit(&mut pool, topic, topic, START).expect("a place");
+            let placement = admit(&mut pool, topic, topic, START).expect("a placement");
             assert_eq!(placement.server, expected, "topic {topic}, full {full:?}");
             full.push(expected);
         }
@@ -148,7 +148,7 @@
     let first_server = run(&mut pool, 7, 0, START).server;
     pool.ended(&first_server, Outcome::Completed, START);
     pool.set_peer_load(|name| if *name == first_server { 20 } else { 1 });
-    let placement = admit(&mut pool, 7, 1, START).expect("a place");
+    let placement = admit(&mut pool, 7, 1, START).expect("a placement");
     assert_ne!(placement.server, first_server);
 }
 
@@ -178,7 +178,7 @@
     let first_server = run(&mut pool, 7, 0, START).server;
     pool.ended(&first_server, Outcome::Unreachable, START);
     let soon = START + Duration::from_millis(300);
-    let placement = admit(&mut pool, 7, 1, soon).expect("a place");
+    let placement = admit(&mut pool, 7, 1, soon).expect("a placement");
     assert_ne!(placement.server, first_server);
 }
 
@@ -223,7 +223,7 @@
     for own in 0..10 {
         // The server is treated as cold, so requests are spaced out.
         let now = START + Duration::from_millis(600 * own);
-        let placement = admit(&mut pool, 7, own, now).expect("a place");
+        let placement = admit(&mut pool, 7, own, now).expect("a placement");
         pool.ended(&placement.server, Outcome::Unreachable, now);
     }
 }
@@ -258,12 +258,12 @@
         slow_server.record_first_byte(Duration::from_secs(2), Duration::from_millis(50), START);
     }
     assert_ne!(
-        admit(&mut pool, 7, 1, START).expect("a place").server,
+        admit(&mut pool, 7, 1, START).expect("a placement").server,
         first_server
     );
     let later = START + Duration::from_secs(30);
     assert_eq!(
-        admit(&mut pool, 7, 2, later).expect("a place").server,
+        admit(&mut pool, 7, 2, later).expect("a placement").server,
         first_server
     );
 }
@@ -298,7 +298,7 @@
     let mut timeouts = 0;
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let placement = admit(&mut pool, own, own, now).expect("a placement");
         let is_unreachable = ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str());
         timeouts += u32::from(is_unreachable);
         let outcome = if is_unreachable {
@@ -321,7 +321,7 @@
     let mut pool = pool(&twelve_servers());
     for own in 0..200 {
         let now = START + Duration::from_millis(10 * own);
-        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let placement = admit(&mut pool, own, own, now).expect("a placement");
         let has_failed = ["s2", "s5"].contains(&placement.server.as_str());
         let outcome = if has_failed {
             Outcome::Unreachable
@@ -386,7 +386,7 @@
         while let Some((_, server)) = pending_connections.pop_front_if(|(at, _)| *at <= now) {
             pool.ended(&server, Outcome::Unreachable, now);
         }
-        let placement = admit(&mut pool, own, own, now).expect("a place");
+        let placement = admit(&mut pool, own, own, now).expect("a placement");
         if ["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()) {
             probes += 1;
             pending_connections.push_back((now + Duration::from_millis(300), placement.server));
@@ -414,7 +414,7 @@
     let mut probed = 0;
     let mut placements = Vec::new();
     for own in 0..60 {
-        let placement = admit(&mut pool, own, own, later).expect("a place");
+        let placement = admit(&mut pool, own, own, later).expect("a placement");
         probed += usize::from(["s2", "s5", "s8", "s11"].contains(&placement.server.as_str()));
         placements.push(placement);
     }
--- a/crates/gateway/tests/decisions/prefixes.rs
+++ b/crates/gateway/tests/decisions/prefixes.rs
@@ -27,7 +27,7 @@
 
 fn admit(pool: &mut Pool, topic: u64, own: u64) -> Placement {
     let placement = pool.admit(&demand(topic, own), &fleet(), START);
-    placement.expect("a place")
+    placement.expect("a placement")
 }
 
 /// Places a request, and returns the updates its router would send after the first
@@ -250,7 +250,7 @@
     let (reply, mut answer) = oneshot::channel();
     task.handle_message(Message::Acquire(request, reply));
     let answer = answer.try_recv().expect("an immediate reply");
-    answer.expect("a place")
+    answer.expect("a placement")
 }
 
 /// The prefix updates that a router sends right after the first byte of a request.
--- a/crates/gateway/tests/decisions/world.rs
+++ b/crates/gateway/tests/decisions/world.rs
@@ -128,7 +128,7 @@
 
 /// Places a request and records its first byte.
 pub fn run(pool: &mut Pool, topic: u64, own: u64, now: Instant) -> Placement {
-    let placement = admit(pool, topic, own, now).expect("a place");
+    let placement = admit(pool, topic, own, now).expect("a placement");
     let server = pool.server_mut(&placement.server).expect("the server");
     server.end_prefill(placement.uncached);
     server.record_cached(&demand(topic, own).parts, now);
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -50,8 +50,10 @@
         (Topic::Configuration, replica("config", 5, value)),
         (Topic::Servers, replica("s1", 6, Bytes::from_static(b"{}"))),
     ]);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a listening socket");
+    let address = listener.local_addr().expect("a bound address");
     let (sender, receiver) = watch::channel(Arc::new(replicas));
     tokio::spawn(async move {
         let _keep = sender;
@@ -66,10 +68,10 @@
     let value = incompressible(LARGE_VALUE_BYTES);
     let link = Link::start(start_router(value.clone()).await)
         .await
-        .expect("a port");
+        .expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
     let result = fetch::request(link.address(), &key(), Versions::default()).await;
-    let batches = result.expect("the rows");
+    let batches = result.expect("rows");
     let (_, batch) = &batches[0];
     assert_eq!(Some(&value[..]), batch.rows[0].value.as_deref());
 }
@@ -79,11 +81,11 @@
 async fn servers_are_sent_without_the_configuration() {
     let link = Link::start(start_router(incompressible(LARGE_VALUE_BYTES)).await)
         .await
-        .expect("a port");
+        .expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
     let known = Part::Rest.of(Versions::default());
     let batches = fetch::request(link.address(), &key(), known).await;
-    let batches = batches.expect("the rows");
+    let batches = batches.expect("rows");
     let topics: Vec<_> = batches.iter().map(|(topic, _)| *topic).collect();
     assert_eq!(
         topics,
@@ -101,7 +103,7 @@
 #[tokio::test]
 async fn concurrent_large_responses_are_limited() {
     let address = start_router(incompressible(LARGE_VALUE_BYTES)).await;
-    let link = Link::start(address).await.expect("a port");
+    let link = Link::start(address).await.expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
     let all = Versions::default();
     let mut requests = JoinSet::new();
@@ -112,7 +114,7 @@
     let first = requests
         .join_next()
         .await
-        .expect("an end")
+        .expect("a completed request")
         .expect("no panic");
     assert!(matches!(first, Err(fetch::Failure::Busy)), "{first:?}");
     let rest = fetch::request(address, &key(), Part::Rest.of(all)).await;
