--- a/crates/gateway/tests/decisions/events.rs
+++ b/crates/gateway/tests/decisions/events.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_stream_without_an_event_has_no_restart_id() {
+fn a_stream_without_an_event_has_no_last_event_id() {
     let (_, mut splitter) = split(&["id: 1\n"]);
     assert_eq!(splitter.reset(), None);
 }
--- a/crates/gateway/tests/decisions/placing.rs
+++ b/crates/gateway/tests/decisions/placing.rs
@@ -25,9 +25,12 @@
     let mut first_router = pool(&twelve_servers());
     let mut second_router = pool(&twelve_servers());
     for topic in 0..50 {
-        let first_place = run(&mut first_router, topic, topic, START);
-        let second_place = run(&mut second_router, topic, topic + 1_000, START);
-        assert_eq!(first_place.server, second_place.server, "topic {topic}");
+        let first_placement = run(&mut first_router, topic, topic, START);
+        let second_placement = run(&mut second_router, topic, topic + 1_000, START);
+        assert_eq!(
+            first_placement.server, second_placement.server,
+            "topic {topic}"
+        );
     }
 }
 
