--- a/crates/gateway/src/headers.rs
+++ b/crates/gateway/src/headers.rs
@@ -1,10 +1,10 @@
-//! Headers that concern only one connection.
+//! Hop-by-hop headers.
 
 use hyper::{HeaderMap, header};
 use smallvec::SmallVec;
 
-/// Headers of one connection, whatever its `Connection` header names.
-const HOP: [&str; 9] = [
+/// Headers that are hop-by-hop even if the `Connection` header does not list them.
+const HOP_BY_HOP: [&str; 9] = [
     "connection",
     "keep-alive",
     "proxy-authenticate",
@@ -16,7 +16,7 @@
     "upgrade",
 ];
 
-/// Takes out the headers that concern only the connection they came on.
+/// Removes all hop-by-hop headers.
 pub fn strip(headers: &mut HeaderMap) {
     let named: SmallVec<[String; 4]> = headers
         .get_all(header::CONNECTION)
@@ -25,7 +25,7 @@
         .flat_map(|value| value.split(','))
         .map(|name| name.trim().to_ascii_lowercase())
         .collect();
-    for name in HOP {
+    for name in HOP_BY_HOP {
         headers.remove(name);
     }
     for name in named {
--- a/crates/gateway/src/listener.rs
+++ b/crates/gateway/src/listener.rs
@@ -1,4 +1,4 @@
-//! The connections of callers.
+//! The listener for callers' connections.
 
 use std::{pin, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 use verdict::{Code, Refusal};
 
 use crate::{
-    activity::{Activity, Busy, Heard},
+    activity::{Activity, Guard, Tracked},
     clock::Clock,
     protocol::Protocol,
     refusal,
@@ -22,26 +22,26 @@
     shutdown::Phase,
 };
 
-/// The least buffer that the HTTP library works with, in bytes.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// How long to wait after a failure to accept, such as too many open files.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
-/// How long a caller may take to receive a last refusal; it fits every socket's buffer.
-const REFUSAL_LIMIT: Duration = Duration::from_millis(500);
-/// How much longer than its limit an idle connection stays open.
+/// The minimum buffer size that the HTTP library accepts, in bytes.
+const MIN_BUFFER: usize = 8 * 1024;
+/// The backoff after `accept` failed, for example because of too many open files.
+const ACCEPT_BACKOFF: Duration = Duration::from_millis(50);
+/// The timeout for sending the final refusal, which fits any socket buffer.
+const REFUSAL_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long an idle connection stays open beyond its idle timeout.
 ///
-/// A caller measures the idle time from its own side; a close at the very
-/// limit would meet requests that were sent just in time.
-const IDLE_SLACK: Duration = Duration::from_secs(1);
+/// A caller measures the idle time on its own side. If the connection were closed exactly
+/// at the timeout, requests that were sent just before it would be lost.
+const IDLE_GRACE: Duration = Duration::from_secs(1);
 
-/// Serves callers until the listener is told to close and all answers are out.
+/// Serves callers until the closing phase is reached and all responses have been sent.
 pub async fn serve<P: Protocol>(
     listener: TcpListener,
     context: Arc<Context<P>>,
-    most: usize,
+    max_connections: usize,
     mut phase: watch::Receiver<Phase>,
 ) {
-    let connections = Arc::new(Semaphore::new(most));
+    let connections = Arc::new(Semaphore::new(max_connections));
     loop {
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
@@ -51,35 +51,35 @@
             Ok((stream, _)) => stream,
             Err(error) => {
                 logging::event!(warn, "accept_failed", reason = error);
-                time::sleep(ACCEPT_PAUSE).await;
+                time::sleep(ACCEPT_BACKOFF).await;
                 continue;
             }
         };
-        // Over the limit the connection is closed at once: its caller tries
-        // another router, while an accepted one would only wait here.
+        // Above the limit, connections are closed immediately, so that the caller tries
+        // another router. If they were accepted, the caller would only wait here.
         let Ok(slot) = Arc::clone(&connections).try_acquire_owned() else {
-            logging::event!(warn, "connection_refused", most = most);
+            logging::event!(warn, "connection_refused", most = max_connections);
             continue;
         };
         let context = Arc::clone(&context);
         let phase = phase.clone();
         tokio::spawn(async move {
-            connection(stream, context, phase).await;
+            serve_connection(stream, context, phase).await;
             drop(slot);
         });
     }
     drop(listener);
-    let all = u32::try_from(most).unwrap_or(u32::MAX);
-    // The semaphore is never closed, so this waits for the last connection.
-    drop(connections.acquire_many(all).await);
+    let all_slots = u32::try_from(max_connections).unwrap_or(u32::MAX);
+    // The semaphore is never closed, so this waits for the last connection to end.
+    drop(connections.acquire_many(all_slots).await);
 }
 
-async fn connection<P: Protocol>(
+async fn serve_connection<P: Protocol>(
     stream: TcpStream,
     context: Arc<Context<P>>,
     mut phase: watch::Receiver<Phase>,
 ) {
-    // Without this, small events of a stream wait for an acknowledgement.
+    // Without TCP_NODELAY, small events of a stream wait for an acknowledgement.
     if let Err(error) = stream.set_nodelay(true) {
         logging::event!(debug, "caller_gone", reason = error);
         return;
@@ -88,29 +88,29 @@
     let clock = context.clock;
     let table = context.table.clone();
     let activity = Arc::new(Activity::new(clock));
-    let watched = Arc::clone(&activity);
-    let stream = Heard::new(stream, Arc::clone(&activity));
-    let own = Arc::clone(&context);
+    let watched_activity = Arc::clone(&activity);
+    let stream = Tracked::new(stream, Arc::clone(&activity));
+    let shared_context = Arc::clone(&context);
     let service = service::service_fn(move |request: Request<Incoming>| {
         let context = Arc::clone(&context);
-        let busy = Busy::new(&activity);
-        async move { Ok::<_, std::convert::Infallible>(serve::serve(context, request, busy).await) }
+        let guard = Guard::new(&activity);
+        async move { Ok::<_, std::convert::Infallible>(serve::serve(context, request, guard).await) }
     });
     let mut connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(None)
-        .max_buf_size(limits.head_bytes.max(LEAST_BUFFER))
+        .max_buf_size(limits.head_bytes.max(MIN_BUFFER))
         .serve_connection(TokioIo::new(stream), service);
     let result = tokio::select! {
         result = &mut connection => result,
-        rest = rested_too_long(&watched, clock, &table) => match rest {
-            Rest::Idle => {
+        expired = wait_for_timeout(&watched_activity, clock, &table) => match expired {
+            Expired::Idle => {
                 pin::Pin::new(&mut connection).graceful_shutdown();
                 connection.await
             }
-            Rest::SlowHead => {
+            Expired::SlowHead => {
                 let stream = connection.into_parts().io.into_inner().into_inner();
-                refuse_slow_head(&own, stream).await;
+                refuse_slow_head(&shared_context, stream).await;
                 return;
             }
         },
@@ -124,9 +124,9 @@
     }
 }
 
-/// Tells a caller that its head took too long, and closes its connection.
+/// Refuses a caller whose request head took too long, and closes the connection.
 ///
-/// No request has begun, so that it may come again.
+/// No request has begun, so the caller may retry.
 async fn refuse_slow_head<P: Protocol>(context: &Context<P>, mut stream: TcpStream) {
     let refused = Refusal::not_run(Code::SlowCaller, "The head took too long to arrive.");
     logging::event!(
@@ -139,12 +139,12 @@
     );
     context.metrics.refused(&refused);
     let response = refusal::response(&context.protocol, &refused, context.clock.now());
-    let bytes = refusal::last(response);
+    let bytes = refusal::closing_response(response);
     let sent = async {
         stream.write_all(&bytes).await?;
         stream.shutdown().await
     };
-    match time::timeout(REFUSAL_LIMIT, sent).await {
+    match time::timeout(REFUSAL_TIMEOUT, sent).await {
         Ok(Ok(())) => {}
         Ok(Err(error)) => logging::event!(debug, "caller_gone", reason = error),
         Err(error) => logging::event!(debug, "caller_gone", reason = error),
@@ -155,36 +155,36 @@
     table.map_or_else(Limits::default, |table| table.limits)
 }
 
-/// Why a connection is closed on which nothing runs.
-enum Rest {
-    /// Nothing came for too long.
+/// The timeout that expired on a connection without a request in flight.
+enum Expired {
+    /// The idle timeout: no bytes were received.
     Idle,
-    /// A head began and did not end.
+    /// The head timeout: a request head began and was not completed.
     SlowHead,
 }
 
-/// Waits until the connection has rested for the time in force at that moment.
-async fn rested_too_long(
+/// Waits until the idle timeout or the head timeout expires, as configured at that time.
+async fn wait_for_timeout(
     activity: &Activity,
     clock: Clock,
     table: &watch::Receiver<Option<Arc<Table>>>,
-) -> Rest {
+) -> Expired {
     loop {
         let limits = limits(table.borrow().as_deref());
         let now = clock.now();
-        let (until, rest) = match (activity.head_since(), activity.idle_since()) {
-            (Some(since), _) => (since + limits.head_timeout.duration(), Rest::SlowHead),
+        let (deadline, expired) = match (activity.head_since(), activity.idle_since()) {
+            (Some(since), _) => (since + limits.head_timeout.duration(), Expired::SlowHead),
             (None, since) => {
-                let limit = limits.idle_timeout.duration() + IDLE_SLACK;
-                (since.unwrap_or(now) + limit, Rest::Idle)
+                let limit = limits.idle_timeout.duration() + IDLE_GRACE;
+                (since.unwrap_or(now) + limit, Expired::Idle)
             }
         };
-        if until <= now {
-            return rest;
+        if deadline <= now {
+            return expired;
         }
         tokio::select! {
-            () = time::sleep_until(clock.at(until)) => {}
-            () = activity.head_began() => {}
+            () = time::sleep_until(clock.at(deadline)) => {}
+            () = activity.head_started() => {}
         }
     }
 }
--- a/crates/gateway/src/observer.rs
+++ b/crates/gateway/src/observer.rs
@@ -1,4 +1,4 @@
-//! Short questions about the router: whether it is ready, its metrics, and what it believes.
+//! The HTTP endpoints for readiness probes, metrics and the status page.
 
 use std::{convert::Infallible, sync::Arc};
 
@@ -17,26 +17,26 @@
     status,
 };
 
-/// What the answers are taken from.
+/// The data that the endpoints report.
 #[derive(Clone, Debug)]
 pub struct Sources {
-    /// What the router knows so far.
+    /// Whether the router can serve requests.
     pub readiness: watch::Receiver<Readiness>,
-    /// How far the process has come in its life.
+    /// The shutdown phase of the process.
     pub phase: watch::Receiver<Phase>,
-    /// What is counted.
+    /// The metrics.
     pub metrics: Arc<Metrics>,
     /// This router.
     pub host: host::Id,
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
-    /// How old the views are.
+    /// The ages of the replicated views.
     pub ages: Arc<Ages>,
-    /// The task that knows the servers.
+    /// The dispatch task.
     pub dispatch: mpsc::UnboundedSender<dispatch::Message>,
 }
 
-/// Answers questions until the process ends.
+/// Serves the endpoints until the process ends.
 pub async fn serve(listener: TcpListener, sources: Sources) {
     loop {
         let stream = match listener.accept().await {
@@ -50,7 +50,7 @@
         let sources = sources.clone();
         tokio::spawn(async move {
             let service = service::service_fn(async |request| {
-                Ok::<_, Infallible>(answer(&request, &sources).await)
+                Ok::<_, Infallible>(respond(&request, &sources).await)
             });
             let connection = http1::Builder::new()
                 .timer(TokioTimer::new())
@@ -63,7 +63,7 @@
     }
 }
 
-async fn answer(request: &Request<Incoming>, sources: &Sources) -> Response<Full<Bytes>> {
+async fn respond(request: &Request<Incoming>, sources: &Sources) -> Response<Full<Bytes>> {
     let (status, text) = match request.uri().path() {
         "/readyz" => readiness(sources),
         "/metrics" => (StatusCode::OK, metrics(sources)),
@@ -82,19 +82,19 @@
 }
 
 async fn status(sources: &Sources) -> (StatusCode, String) {
-    let (reply, answer) = oneshot::channel();
-    let asked = sources.dispatch.send(dispatch::Message::Status(reply));
-    let (Ok(()), Ok(report)) = (asked, answer.await) else {
+    let (reply, report) = oneshot::channel();
+    let sent = sources.dispatch.send(dispatch::Message::Status(reply));
+    let (Ok(()), Ok(report)) = (sent, report.await) else {
         return (StatusCode::SERVICE_UNAVAILABLE, String::from("ending\n"));
     };
-    let own = status::Own {
+    let header = status::Header {
         host: &sources.host,
         readiness: *sources.readiness.borrow(),
         phase: *sources.phase.borrow(),
         ages: &sources.ages,
         now: sources.clock.now(),
     };
-    (StatusCode::OK, status::page(&own, &report))
+    (StatusCode::OK, status::page(&header, &report))
 }
 
 fn readiness(sources: &Sources) -> (StatusCode, String) {
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -67,10 +67,10 @@
     pub watchers: Vec<Watcher>,
     /// Its requests at the servers, in fleets small enough to exchange them in digests.
     pub loads: Option<Report>,
-    /// Requests that servers recently died of.
+    /// Requests that are suspected of having crashed servers recently.
     pub strikes: Vec<recovery::Strike>,
-    /// Prompts that servers have just read.
-    pub reads: Vec<CachedPrefix>,
+    /// Prompt prefixes that servers have cached recently.
+    pub cached_prefixes: Vec<CachedPrefix>,
 }
 
 /// The content of a datagram.
@@ -82,8 +82,8 @@
     Loads {
         /// The loads.
         loads: Report,
-        /// Prompts that servers have just read for the sender.
-        reads: Vec<CachedPrefix>,
+        /// Prompt prefixes that servers have cached recently for the sender.
+        cached_prefixes: Vec<CachedPrefix>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
     ZoneSum {
@@ -93,8 +93,8 @@
         routers: u16,
         /// The summed loads.
         loads: Report,
-        /// Prompts that servers have just read for these routers.
-        reads: Vec<CachedPrefix>,
+        /// Prompt prefixes that servers have cached recently for these routers.
+        cached_prefixes: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
     FleetTotal(FleetTotal),
@@ -109,8 +109,8 @@
     pub routers: u16,
     /// The summed loads.
     pub loads: Report,
-    /// Prompts that servers have just read, anywhere in the fleet.
-    pub reads: Vec<CachedPrefix>,
+    /// Prompt prefixes that servers have cached recently, for any router of the fleet.
+    pub cached_prefixes: Vec<CachedPrefix>,
     /// The hashes of the routers to which the receiver relays the total.
     pub relay_to: Vec<u32>,
 }
@@ -136,7 +136,7 @@
             watchers,
             loads: None,
             strikes,
-            reads: Vec::new(),
+            cached_prefixes: Vec::new(),
         }
     }
 
@@ -145,11 +145,11 @@
         Self { checksum, ..self }
     }
 
-    /// Adds the loads and the prompts that servers have read.
-    pub fn with_loads(self, loads: Report, reads: Vec<CachedPrefix>) -> Self {
+    /// Adds the loads and the cached prefixes.
+    pub fn with_loads(self, loads: Report, cached_prefixes: Vec<CachedPrefix>) -> Self {
         Self {
             loads: Some(loads),
-            reads,
+            cached_prefixes,
             ..self
         }
     }
@@ -166,28 +166,36 @@
 }
 
 impl Frame {
-    /// Encodes the frame and drops prompt reads from the end until it fits one datagram.
+    /// Encodes the frame, dropping cached prefixes from the end until it fits one datagram.
     ///
     /// # Errors
     ///
-    /// When it does not fit without any prompt reads either.
+    /// When it does not fit even without cached prefixes.
     pub fn encode_truncated(mut self) -> Result<Vec<u8>, Malformed> {
         loop {
             let encoded = self.encode();
-            let reads = self.reads_mut();
-            if encoded.is_ok() || reads.is_empty() {
+            let cached_prefixes = self.cached_prefixes_mut();
+            if encoded.is_ok() || cached_prefixes.is_empty() {
                 return encoded;
             }
-            reads.truncate(reads.len() * 3 / 4);
+            cached_prefixes.truncate(cached_prefixes.len() * 3 / 4);
         }
     }
 
-    fn reads_mut(&mut self) -> &mut Vec<CachedPrefix> {
+    fn cached_prefixes_mut(&mut self) -> &mut Vec<CachedPrefix> {
         match self {
-            Self::Digest(Digest { reads, .. })
-            | Self::Loads { reads, .. }
-            | Self::ZoneSum { reads, .. }
-            | Self::FleetTotal(FleetTotal { reads, .. }) => reads,
+            Self::Digest(Digest {
+                cached_prefixes, ..
+            })
+            | Self::Loads {
+                cached_prefixes, ..
+            }
+            | Self::ZoneSum {
+                cached_prefixes, ..
+            }
+            | Self::FleetTotal(FleetTotal {
+                cached_prefixes, ..
+            }) => cached_prefixes,
         }
     }
 
--- a/crates/gateway/src/serve/exchange.rs
+++ b/crates/gateway/src/serve/exchange.rs
@@ -1,4 +1,4 @@
-//! A checked request and its attempts.
+//! A validated request and its attempts at backend servers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,134 +16,136 @@
 
 use super::Context;
 use crate::{
-    attempt::{self, Answer, End},
+    attempt::{self, End, Response},
     dispatch::{self, AcquireRequest, Message, Permit},
     pool::{Demand, Denial, Outcome, Placement},
     protocol::{Attempt, Head, Protocol},
     route::{KeyOwner, Route},
 };
 
-/// How many servers that cannot be reached a request meets before it is given up.
-const MAX_UNREACHABLE: u32 = 4;
-/// A request waits for a place up to this many times its target.
-const WAIT_TARGETS: u32 = 2;
-/// The least such time.
-const LEAST_WAIT: Duration = Duration::from_millis(200);
-/// When a caller may come back that met a full service: about one short answer later.
-const RETRY_FULL: Duration = Duration::from_millis(150);
-/// When a caller may come back that met no server at all: an entry takes about as long to return.
-const RETRY_EMPTY: Duration = Duration::from_millis(400);
-/// Less time than this is not enough for any server.
-const LEAST_TIME: Duration = Duration::from_millis(5);
-/// A repeatable request goes to the next server after this many times its target without an answer.
-const SILENCE_TARGETS: u32 = 3;
-/// The least such time.
-const LEAST_SILENCE: Duration = Duration::from_millis(400);
-
-/// A request that has passed all checks.
+/// The number of failed connection attempts after which a request is refused.
+const MAX_FAILED_CONNECTS: u32 = 4;
+/// The queue timeout, as a multiple of the route's target time to first byte.
+const QUEUE_TIMEOUT_TARGETS: u32 = 2;
+/// The lower bound of the queue timeout.
+const MIN_QUEUE_TIMEOUT: Duration = Duration::from_millis(200);
+/// The retry delay given to a caller when all servers are full: about the duration of a
+/// short response.
+const RETRY_AFTER_FULL: Duration = Duration::from_millis(150);
+/// The retry delay given to a caller when no server is available: about the time in which
+/// the entry of a server returns.
+const RETRY_AFTER_NO_SERVER: Duration = Duration::from_millis(400);
+/// The minimum time before the deadline for an attempt to be worthwhile.
+const MIN_REMAINING: Duration = Duration::from_millis(5);
+/// The attempt timeout of an idempotent request, as a multiple of the route's target.
+const ATTEMPT_TIMEOUT_TARGETS: u32 = 3;
+/// The lower bound of the attempt timeout.
+const MIN_ATTEMPT_TIMEOUT: Duration = Duration::from_millis(400);
+
+/// A request that has passed validation.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    /// What the caller's head says.
+    /// The head of the caller's request.
     pub head: Head,
-    /// When it arrived.
+    /// When the request arrived.
     pub arrived: Instant,
-    /// When its final answer is due.
+    /// The deadline of the response, from the route's timeout and the caller's.
     pub deadline: Instant,
-    /// When its caller stops waiting.
+    /// When the caller stops waiting.
     pub caller_deadline: Option<Instant>,
-    /// The configuration that it was checked against.
+    /// The version of the configuration that the request was validated against.
     pub version: u64,
-    /// Its route.
+    /// The matched route.
     pub route: Arc<Route>,
-    /// The holder of the caller's key.
+    /// The owner of the caller's API key.
     pub key_owner: Option<Arc<KeyOwner>>,
-    /// The service that runs it.
+    /// The service that processes the request.
     pub pool: pool::Id,
     /// Whether the service is an engine.
     pub is_engine: bool,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers, without those of the caller's connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// The body's share of the memory for all bodies.
-    pub _held: Option<Arc<OwnedSemaphorePermit>>,
-    /// What it has in common with its repeats by the caller.
+    /// The permit for the body's share of the memory for request bodies.
+    pub _memory_permit: Option<Arc<OwnedSemaphorePermit>>,
+    /// The fingerprint that the request shares with its retries by the caller.
     pub fingerprint: Fingerprint,
-    /// What placement needs to know, with the servers that had it.
+    /// The input to placement, including the servers that were already tried.
     pub demand: Demand,
 }
 
-/// A request and how far its attempts have come.
+/// A request and the state of its attempts.
 #[derive(Debug)]
 pub struct Exchange<P> {
     context: Arc<Context<P>>,
     plan: Plan,
     verdict: Verdict,
-    sends: u32,
-    unreachable: u32,
-    /// A server's failure, to be passed on if no other server answers.
-    failure: Option<Box<Answer>>,
+    sent_attempts: u32,
+    failed_connects: u32,
+    /// A failure response, forwarded to the caller if no other server responds.
+    failure: Option<Box<Response>>,
     stage: Stage,
 }
 
-/// What the caller has got.
+/// How far the response to the caller has progressed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// Nothing.
-    Asking,
-    /// An answer has begun, or it is refused.
-    Answered,
+    /// The caller has received nothing.
+    Pending,
+    /// A response has begun, or the request was refused.
+    Responded,
 }
 
-/// What follows an attempt.
+/// What to do after an attempt.
 enum Step {
-    Done(Box<Answer>),
-    Again,
+    Done(Box<Response>),
+    Retry,
     Refuse(Refusal),
 }
 
 impl<P> Exchange<P> {
-    /// A request that no server has had.
+    /// Creates the state of a request that has not been sent to any server.
     pub fn new(context: Arc<Context<P>>, plan: Plan) -> Self {
         Self {
             context,
             plan,
             verdict: Verdict::NotRun,
-            sends: 0,
-            unreachable: 0,
+            sent_attempts: 0,
+            failed_connects: 0,
             failure: None,
-            stage: Stage::Asking,
+            stage: Stage::Pending,
         }
     }
 
-    /// What is known of the request.
+    /// The validated request.
     pub fn plan(&self) -> &Plan {
         &self.plan
     }
 
-    /// What all requests share.
+    /// The state that all requests share.
     pub fn context(&self) -> &Context<P> {
         &self.context
     }
 
-    /// How many servers have had the request.
-    pub fn sends(&self) -> u32 {
-        self.sends
+    /// The number of attempts that were sent to a server.
+    pub fn sent_attempts(&self) -> u32 {
+        self.sent_attempts
     }
 
-    /// Who is charged for it.
+    /// The workspace to which the request is charged.
     pub fn workspace(&self) -> workspace::Id {
         match &self.plan.key_owner {
-            Some(holder) => holder.workspace.clone(),
+            Some(key_owner) => key_owner.workspace.clone(),
             None => self.context.anonymous.clone(),
         }
     }
 
-    /// Logs that the caller left before an answer began.
+    /// Logs that the caller disconnected before a response began.
     fn log_abandoned(&self) {
         let now = self.context.clock.now();
         let waited = now.since(self.plan.arrived);
@@ -154,8 +156,8 @@
             route = self.plan.route.name,
             pool = self.plan.pool,
             workspace = self.workspace(),
-            sends = self.sends,
-            unreachable = self.unreachable,
+            sends = self.sent_attempts,
+            unreachable = self.failed_connects,
             waited_ms = waited.as_millis(),
             config = self.plan.version
         );
@@ -163,52 +165,59 @@
 }
 
 impl<P: Protocol> Exchange<P> {
-    /// Whether one more server may have the request if one may have run it.
-    pub fn may_repeat(&self) -> bool {
-        self.plan.route.kind.is_idempotent() && self.sends < self.plan.route.max_attempts
+    /// Whether the request may be retried after a server may have run it.
+    pub fn may_retry(&self) -> bool {
+        self.plan.route.kind.is_idempotent() && self.sent_attempts < self.plan.route.max_attempts
     }
 
-    /// The answer of a server, sought until there is one or none can be had.
+    /// Sends attempts until a server responds or no further attempt is possible.
     ///
     /// # Errors
     ///
-    /// The refusal for the caller. It says that the request has not run only if
-    /// no server may have run it.
-    pub async fn answer(&mut self, last_event: Option<&str>) -> Result<Box<Answer>, Refusal> {
-        let result = self.seek(last_event).await;
-        self.stage = Stage::Answered;
+    /// The refusal for the caller. Its verdict is "not run" only if no server may have run
+    /// the request.
+    pub async fn respond(&mut self, last_event_id: Option<&str>) -> Result<Box<Response>, Refusal> {
+        let result = self.run_attempts(last_event_id).await;
+        self.stage = Stage::Responded;
         result
     }
 
-    async fn seek(&mut self, last_event: Option<&str>) -> Result<Box<Answer>, Refusal> {
+    async fn run_attempts(
+        &mut self,
+        last_event_id: Option<&str>,
+    ) -> Result<Box<Response>, Refusal> {
         loop {
             let permit = match self.acquire().await {
                 Ok(permit) => permit,
                 Err(refusal) => return self.failure.take().ok_or(refusal),
             };
-            let place = permit.placement().clone();
-            let end = self.attempt(permit, last_event).await;
-            self.log_attempt(&place, &end);
-            self.plan.demand.tried.push(place.server);
-            match self.weigh(end) {
-                Step::Done(answer) => return Ok(answer),
-                Step::Again => {}
+            let placement = permit.placement().clone();
+            let end = self.attempt(permit, last_event_id).await;
+            self.log_attempt(&placement, &end);
+            self.plan.demand.tried.push(placement.server);
+            match self.next_step(end) {
+                Step::Done(response) => return Ok(response),
+                Step::Retry => {}
                 Step::Refuse(refusal) => return self.failure.take().ok_or(refusal),
             }
         }
     }
 
-    async fn attempt(&self, permit: Permit, last_event: Option<&str>) -> End {
-        let place = permit.placement().clone();
+    async fn attempt(&self, permit: Permit, last_event_id: Option<&str>) -> End {
+        let placement = permit.placement().clone();
         let now = self.context.clock.now();
         let remaining = self.plan.deadline.since(now);
         let attempt = Attempt {
-            server: &place.server,
+            server: &placement.server,
             remaining: Millis(u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX)),
-            workspace: self.plan.key_owner.as_ref().map(|holder| &holder.workspace),
+            workspace: self
+                .plan
+                .key_owner
+                .as_ref()
+                .map(|key_owner| &key_owner.workspace),
             rank: self.rank(),
-            last_event: last_event.or(self.plan.head.last_event.as_deref()),
-            source: place.source,
+            last_event_id: last_event_id.or(self.plan.head.last_event_id.as_deref()),
+            source: placement.source,
             is_engine: self.plan.is_engine,
         };
         let mut headers = self.plan.headers.clone();
@@ -223,79 +232,85 @@
             request,
             &self.plan.head.id,
             self.context.clock,
-            self.patience(now),
+            self.attempt_deadline(now),
         )
         .await
     }
 
     fn rank(&self) -> u8 {
-        let own = self.plan.key_owner.as_ref().and_then(|holder| holder.rank);
-        own.unwrap_or(self.plan.route.rank)
+        let override_rank = self
+            .plan
+            .key_owner
+            .as_ref()
+            .and_then(|key_owner| key_owner.rank);
+        override_rank.unwrap_or(self.plan.route.rank)
     }
 
-    /// Until when one server may stay without an answer.
+    /// The deadline for a server to respond to one attempt.
     ///
-    /// A server that hangs keeps a request to the end of its time. One that may
-    /// be repeated goes to the next server while there is time for it.
-    fn patience(&self, now: Instant) -> Instant {
+    /// A server that hangs would hold a request until the request's deadline. An idempotent
+    /// request is therefore retried at another server while there is time left.
+    fn attempt_deadline(&self, now: Instant) -> Instant {
         let route = &self.plan.route;
-        if !route.kind.is_idempotent() || self.sends + 1 >= route.max_attempts {
+        if !route.kind.is_idempotent() || self.sent_attempts + 1 >= route.max_attempts {
             return self.plan.deadline;
         }
-        let silence = route.target.duration() * SILENCE_TARGETS;
-        self.plan.deadline.min(now + silence.max(LEAST_SILENCE))
+        let timeout = route.target.duration() * ATTEMPT_TIMEOUT_TARGETS;
+        self.plan
+            .deadline
+            .min(now + timeout.max(MIN_ATTEMPT_TIMEOUT))
     }
 
-    /// A place at a server, waited for while there is hope.
+    /// Acquires a slot at a server, queueing for it if necessary.
     async fn acquire(&mut self) -> Result<Permit, Refusal> {
         let now = self.context.clock.now();
-        if now + LEAST_TIME >= self.plan.deadline {
+        if now + MIN_REMAINING >= self.plan.deadline {
             return Err(self.refusal(Code::Deadline, "The time was up."));
         }
-        let order = AcquireRequest {
+        let request = AcquireRequest {
             pool: self.plan.pool.clone(),
             workspace: self.workspace(),
             cost: self.plan.head.cost,
             rank: self.rank(),
             latest_start: self.latest_start(now),
             demand: self.plan.demand.clone(),
-            is_retry: self.sends > 0,
+            is_retry: self.sent_attempts > 0,
             fingerprint: self.plan.fingerprint,
         };
-        let (reply, answer) = oneshot::channel();
-        let asked = self.context.dispatch.send(Message::Acquire(order, reply));
-        let answer = answer.await;
+        let (reply, response) = oneshot::channel();
+        let sent = self.context.dispatch.send(Message::Acquire(request, reply));
+        let response = response.await;
         let waited = self.context.clock.now().since(now);
-        self.context.metrics.placed(waited);
-        match (asked, answer) {
+        self.context.metrics.queue_wait(waited);
+        match (sent, response) {
             (Ok(()), Ok(Ok(permit))) => Ok(permit),
-            (Ok(()), Ok(Err(refused))) => Err(self.denied(refused)),
+            (Ok(()), Ok(Err(refusal))) => Err(self.refusal_for(refusal)),
             _ => Err(self.refusal(Code::Internal, "The router is ending.")),
         }
     }
 
-    /// Until when the request may wait for a place.
+    /// The latest instant until which the request may be queued.
     ///
-    /// Later than some times its target the answer is worth little, and a
-    /// refusal has to leave the caller time to come back.
+    /// A response that takes several times the route's target is of little use, and a
+    /// refusal must leave the caller time to retry.
     fn latest_start(&self, now: Instant) -> Instant {
-        let targets = self.plan.route.target.duration() * WAIT_TARGETS;
-        let half = self.plan.deadline.since(now) / 2;
-        now + half.min(targets.max(LEAST_WAIT))
+        let targets = self.plan.route.target.duration() * QUEUE_TIMEOUT_TARGETS;
+        let half_remaining = self.plan.deadline.since(now) / 2;
+        now + half_remaining.min(targets.max(MIN_QUEUE_TIMEOUT))
     }
 
-    fn denied(&self, refused: dispatch::Refusal) -> Refusal {
+    fn refusal_for(&self, refusal: dispatch::Refusal) -> Refusal {
         let now = self.context.clock.now();
-        match refused {
+        match refusal {
             dispatch::Refusal::RetryBudget => self
                 .refusal(Code::RetryBudget, "The repeats of the service are used up.")
-                .retry_at(now + RETRY_FULL),
+                .retry_at(now + RETRY_AFTER_FULL),
             dispatch::Refusal::Suspect => {
                 self.refusal(Code::Suspect, "Servers died while they ran this request.")
             }
             dispatch::Refusal::Unknown => self
                 .refusal(Code::NoServer, "No server of the service is known.")
-                .retry_at(now + RETRY_EMPTY),
+                .retry_at(now + RETRY_AFTER_NO_SERVER),
             dispatch::Refusal::Denied(refusal) => {
                 let (code, message) = match refusal.denial {
                     Denial::NoServer => (Code::NoServer, "No server takes the request."),
@@ -308,7 +323,7 @@
         }
     }
 
-    /// A refusal that says truly whether the request may have run.
+    /// Creates a refusal whose verdict states whether the request may have run.
     fn refusal(&self, code: Code, message: &str) -> Refusal {
         match self.verdict {
             Verdict::NotRun => Refusal::not_run(code, message),
@@ -316,85 +331,87 @@
         }
     }
 
-    fn weigh(&mut self, end: End) -> Step {
+    fn next_step(&mut self, end: End) -> Step {
         match end {
-            End::Unsent(_) => self.after_unsent(),
-            End::Answered(answer) => self.after_answer(answer),
+            End::Unsent(_) => self.after_connect_failure(),
+            End::Responded(response) => self.after_response(response),
             End::Full => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_rejection("The server is full.")
             }
             End::Moved => {
-                self.sends += 1;
+                self.sent_attempts += 1;
                 self.after_rejection("The server has left.")
             }
             End::Broken(_) => {
-                self.sends += 1;
-                self.after_break(Code::BackendDied, "The server broke off.")
+                self.sent_attempts += 1;
+                self.after_failure(Code::BackendDied, "The server broke off.")
             }
-            End::Late => {
-                self.sends += 1;
-                self.after_break(Code::Deadline, "The server did not answer in time.")
+            End::TimedOut => {
+                self.sent_attempts += 1;
+                self.after_failure(Code::Deadline, "The server did not answer in time.")
             }
         }
     }
 
-    fn after_unsent(&mut self) -> Step {
-        self.unreachable += 1;
-        if self.unreachable < MAX_UNREACHABLE {
-            return Step::Again;
+    fn after_connect_failure(&mut self) -> Step {
+        self.failed_connects += 1;
+        if self.failed_connects < MAX_FAILED_CONNECTS {
+            return Step::Retry;
         }
         let now = self.context.clock.now();
         let refusal = self.refusal(Code::NoServer, "No server could be reached.");
-        Step::Refuse(refusal.retry_at(now + RETRY_EMPTY))
+        Step::Refuse(refusal.retry_at(now + RETRY_AFTER_NO_SERVER))
     }
 
-    fn after_answer(&mut self, mut answer: Box<Answer>) -> Step {
-        self.sends += 1;
-        if answer.is_failure && self.may_repeat() {
+    fn after_response(&mut self, mut response: Box<Response>) -> Step {
+        self.sent_attempts += 1;
+        if response.is_failure && self.may_retry() {
             self.verdict = Verdict::MayHaveRun;
-            // Kept with the answer, the place would count as taken while another
-            // server works, and in the end as cancelled.
-            if let Some(permit) = answer.permit.take() {
+            // If the permit were kept with the response, the slot would count as occupied
+            // while another server works, and the attempt as cancelled in the end.
+            if let Some(permit) = response.permit.take() {
                 permit.end(Outcome::Failed);
             }
-            self.failure = Some(answer);
-            return Step::Again;
+            self.failure = Some(response);
+            return Step::Retry;
         }
-        Step::Done(answer)
+        Step::Done(response)
     }
 
     fn after_rejection(&mut self, message: &str) -> Step {
-        if self.sends < self.plan.route.max_attempts {
-            return Step::Again;
+        if self.sent_attempts < self.plan.route.max_attempts {
+            return Step::Retry;
         }
         let now = self.context.clock.now();
         let refusal = self.refusal(Code::Busy, message);
-        Step::Refuse(refusal.retry_at(now + RETRY_FULL))
+        Step::Refuse(refusal.retry_at(now + RETRY_AFTER_FULL))
     }
 
-    fn after_break(&mut self, code: Code, message: &str) -> Step {
+    fn after_failure(&mut self, code: Code, message: &str) -> Step {
         self.verdict = Verdict::MayHaveRun;
-        if self.may_repeat() {
-            return Step::Again;
+        if self.may_retry() {
+            return Step::Retry;
         }
         Step::Refuse(self.refusal(code, message))
     }
 
-    fn log_attempt(&self, place: &Placement, end: &End) {
+    fn log_attempt(&self, placement: &Placement, end: &End) {
         let (outcome, reason) = match end {
-            End::Answered(answer) if answer.is_failure => ("failed", answer.head.status.as_str()),
-            End::Answered(_) => {
-                self.context.metrics.attempted("answered");
+            End::Responded(response) if response.is_failure => {
+                ("failed", response.head.status.as_str())
+            }
+            End::Responded(_) => {
+                self.context.metrics.attempt_ended("answered");
                 return;
             }
             End::Unsent(reason) => ("unsent", reason.as_str()),
             End::Full => ("full", ""),
             End::Moved => ("moved", ""),
             End::Broken(reason) => ("broken", reason.as_str()),
-            End::Late => ("late", ""),
+            End::TimedOut => ("late", ""),
         };
-        self.context.metrics.attempted(outcome);
+        self.context.metrics.attempt_ended(outcome);
         let now = self.context.clock.now();
         let waited = now.since(self.plan.arrived);
         logging::event!(
@@ -404,10 +421,10 @@
             route = self.plan.route.name,
             pool = self.plan.pool,
             workspace = self.workspace(),
-            server = place.server,
-            zone = place.zone,
-            load = place.load,
-            bound = format!("{:.1}", place.bound),
+            server = placement.server,
+            zone = placement.zone,
+            load = placement.load,
+            bound = format!("{:.1}", placement.bound),
             outcome = outcome,
             reason = reason,
             waited_ms = waited.as_millis(),
@@ -429,8 +446,8 @@
             workspace = self.workspace(),
             code = refusal.code,
             verdict = refusal.verdict,
-            sends = self.sends,
-            unreachable = self.unreachable,
+            sends = self.sent_attempts,
+            unreachable = self.failed_connects,
             waited_ms = waited.as_millis(),
             servers_age_ms = self.context.ages.servers(now).as_millis(),
             config = self.plan.version,
@@ -440,12 +457,11 @@
 }
 
 impl<P> Drop for Exchange<P> {
-    /// The caller left before an answer began.
+    /// Logs requests whose caller disconnected before a response began.
     ///
-    /// All that the router did for the request is dropped with it. Without this
-    /// the request would have no line in the log.
+    /// The task that serves the request is dropped then, so no other code would log it.
     fn drop(&mut self) {
-        if self.stage == Stage::Asking {
+        if self.stage == Stage::Pending {
             self.log_abandoned();
         }
     }
--- a/crates/gateway/src/serve/intake.rs
+++ b/crates/gateway/src/serve/intake.rs
@@ -1,4 +1,4 @@
-//! The checks of a request before any server hears of it.
+//! Validation of requests before they are sent to a server.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,30 +21,30 @@
     route::{KeyOwner, Route, Table},
 };
 
-/// How long a caller may stay silent in the middle of a body.
+/// The timeout for receiving a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Checks a request and reads its body.
+/// Validates a request and reads its body.
 ///
 /// # Errors
 ///
-/// A refusal; the request has not run.
-pub async fn take<P: Protocol>(
+/// The refusal of an invalid request, which has not run.
+pub async fn accept<P: Protocol>(
     context: &Arc<Context<P>>,
     request: Request<Incoming>,
 ) -> Result<Exchange<P>, Refusal> {
     let arrived = context.clock.now();
     let (mut parts, body) = request.into_parts();
     let head = context.protocol.read(&parts);
-    let head = head.inspect_err(log_unread)?;
-    context.started().await;
+    let head = head.inspect_err(log_malformed)?;
+    context.wait_until_ready().await;
     let table = context.table.borrow().clone();
     let table = table.ok_or_else(|| context.not_ready());
     let table = table.inspect_err(|refusal| log_refusal(&head, &Table::default(), refusal))?;
     let checked = check(&table, &head, parts.uri.path(), &body);
     let (route, key_owner) = checked.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
-    let body = read(body, table.limits.body_bytes, &context.memory).await;
-    let (body, held) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
+    let body = read(body, table.limits.body_bytes, &context.body_memory).await;
+    let (body, reserved) = body.inspect_err(|refusal| log_refusal(&head, &table, refusal))?;
     headers::strip(&mut parts.headers);
     parts.headers.remove(hyper::header::CONTENT_LENGTH);
     let hash = xxh3::xxh3_64(head.id.as_bytes());
@@ -58,7 +58,7 @@
         Arc::clone(context),
         exchange::Plan {
             deadline: deadline(arrived, &route, &head),
-            caller_deadline: head.patience.map(|wait| arrived + wait.duration()),
+            caller_deadline: head.timeout.map(|wait| arrived + wait.duration()),
             arrived,
             version: table.version,
             is_engine,
@@ -70,7 +70,7 @@
             uri: parts.uri,
             headers: parts.headers,
             body,
-            _held: held.map(Arc::new),
+            _memory_permit: reserved.map(Arc::new),
             demand: Demand {
                 parts: head.parts.clone(),
                 ..Demand::default()
@@ -87,27 +87,32 @@
         .find(&head.host, path)
         .ok_or_else(|| Refusal::not_run(Code::UnknownRoute, "No route matches."))?;
     let key_owner = match &head.key {
-        Some(key) => table.holder(key).cloned(),
+        Some(key) => table.key_owner(key).cloned(),
         None => None,
     };
     if key_owner.is_none() && table.needs_key && !route.is_anonymous {
         return Err(Refusal::not_run(Code::BadKey, "The key is not known."));
     }
-    // A length over the limit is refused before its body is waited for.
+    // A request whose declared length exceeds the limit is refused before its body arrives.
     if body.size_hint().lower() > table.limits.body_bytes {
         return Err(too_large());
     }
     Ok((Arc::clone(route), key_owner))
 }
 
-/// A body and its share of the memory for bodies.
-type Held = (Bytes, Option<OwnedSemaphorePermit>);
+/// A request body and the permit for its share of the memory for bodies.
+type BodyWithPermit = (Bytes, Option<OwnedSemaphorePermit>);
 
-/// Reads a body within the limit of its size and of the memory for all bodies.
+/// Reads a body, limited by the maximum body size and the memory for all bodies.
 ///
-/// Bodies are kept until their answers end. Many large ones at once would take
-/// more memory than the process has, and it would be killed with every request.
-async fn read(body: Incoming, limit: u64, memory: &Arc<Semaphore>) -> Result<Held, Refusal> {
+/// Bodies are kept until their responses end. Without the limit, many concurrent large
+/// bodies would exhaust the memory of the process, which would be killed together with
+/// every request in flight.
+async fn read(
+    body: Incoming,
+    limit: u64,
+    memory: &Arc<Semaphore>,
+) -> Result<BodyWithPermit, Refusal> {
     match time::timeout(BODY_TIMEOUT, collect(body, limit, memory)).await {
         Ok(collected) => collected,
         Err(_) => Err(Refusal::not_run(
@@ -117,10 +122,14 @@
     }
 }
 
-async fn collect(mut body: Incoming, limit: u64, memory: &Arc<Semaphore>) -> Result<Held, Refusal> {
+async fn collect(
+    mut body: Incoming,
+    limit: u64,
+    memory: &Arc<Semaphore>,
+) -> Result<BodyWithPermit, Refusal> {
     let expected = body.size_hint().lower().min(limit);
     let mut bytes = BytesMut::with_capacity(usize::try_from(expected).unwrap_or(0));
-    let mut held: Option<OwnedSemaphorePermit> = None;
+    let mut reserved: Option<OwnedSemaphorePermit> = None;
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| {
             Refusal::not_run(
@@ -132,42 +141,46 @@
         if bytes.len() as u64 > limit {
             return Err(too_large());
         }
-        hold(&mut held, bytes.len(), memory)?;
+        reserve_memory(&mut reserved, bytes.len(), memory)?;
     }
-    Ok((bytes.freeze(), held))
+    Ok((bytes.freeze(), reserved))
 }
 
-/// Takes as much of the memory for bodies as `length` bytes need.
-fn hold(
-    held: &mut Option<OwnedSemaphorePermit>,
+/// Extends the memory reservation to cover a body of `length` bytes.
+fn reserve_memory(
+    reserved: &mut Option<OwnedSemaphorePermit>,
     length: usize,
     memory: &Arc<Semaphore>,
 ) -> Result<(), Refusal> {
-    let needed = length.div_ceil(BODY_UNIT);
-    let has = held.as_ref().map_or(0, OwnedSemaphorePermit::num_permits);
-    let more = u32::try_from(needed.saturating_sub(has)).unwrap_or(u32::MAX);
-    if more == 0 {
+    let needed_units = length.div_ceil(BODY_UNIT);
+    let held_units = reserved
+        .as_ref()
+        .map_or(0, OwnedSemaphorePermit::num_permits);
+    let missing_units = u32::try_from(needed_units.saturating_sub(held_units)).unwrap_or(u32::MAX);
+    if missing_units == 0 {
         return Ok(());
     }
-    let Ok(permit) = Arc::clone(memory).try_acquire_many_owned(more) else {
+    let Ok(permit) = Arc::clone(memory).try_acquire_many_owned(missing_units) else {
         let message = "There is no memory for the body now.";
         return Err(Refusal::not_run(Code::Busy, message));
     };
-    match held {
-        Some(held) => held.merge(permit),
-        None => *held = Some(permit),
+    match reserved {
+        Some(reserved) => reserved.merge(permit),
+        None => *reserved = Some(permit),
     }
     Ok(())
 }
 
-/// The unit in which memory for bodies is counted, in bytes.
+/// The number of bytes that one permit of the memory for bodies covers.
 pub const BODY_UNIT: usize = 1024;
 
 fn too_large() -> Refusal {
     Refusal::not_run(Code::TooLarge, "The body is over the limit.")
 }
 
-/// A request that crashes servers comes again with the same path, key and body.
+/// Hashes the path, API key and body, which a retry by the caller shares.
+///
+/// A request that crashes servers is recognized by it when the caller sends it again.
 fn fingerprint(path: &str, head: &Head, body: &[u8]) -> Fingerprint {
     let mut hasher = xxh3::Xxh3Default::new();
     hasher.update(path.as_bytes());
@@ -178,16 +191,16 @@
     Fingerprint(hasher.digest())
 }
 
-/// When the final answer is due: the route's time limit, or the caller's if that is sooner.
+/// The deadline of the response: the shorter of the route's and the caller's timeouts.
 fn deadline(arrived: Instant, route: &Route, head: &Head) -> Instant {
     let limit = head
-        .patience
+        .timeout
         .map_or(route.timeout, |wait| wait.min(route.timeout));
     arrived + limit.duration()
 }
 
-/// Logs the refusal of a request whose id could not be read.
-fn log_unread(refusal: &Refusal) {
+/// Logs the refusal of a request whose head is malformed, so that its id is unknown.
+fn log_malformed(refusal: &Refusal) {
     logging::event!(
         info,
         "request_rejected",
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -1,4 +1,4 @@
-//! Rows that one router asks of another.
+//! Tests of the transfer of rows between routers.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -13,17 +13,17 @@
 use tokio::{net::TcpListener, sync::watch, task::JoinSet};
 use wire::seal::Key;
 
-/// What a link of 10 Mbit/s carries.
+/// The capacity of a link of 10 Mbit/s.
 const LINK_BYTES_PER_S: u64 = 1_250_000;
-/// As much as that link carries in three seconds.
-const LARGE: usize = 3_750_000;
+/// The number of bytes that such a link carries in three seconds.
+const LARGE_VALUE_BYTES: usize = 3_750_000;
 
 fn key() -> Key {
     Key::from_bytes([7; 32])
 }
 
-/// Bytes that cannot be made smaller.
-fn noise(length: usize) -> Bytes {
+/// Random bytes, which cannot be compressed.
+fn incompressible(length: usize) -> Bytes {
     let mut bytes = vec![0; length];
     SmallRng::seed_from_u64(1).fill(&mut bytes[..]);
     Bytes::from(bytes)
@@ -44,14 +44,16 @@
     replica
 }
 
-/// A router that knows one configuration and one server.
-async fn router(value: Bytes) -> SocketAddr {
+/// Starts a router that serves one configuration with `value` and one server.
+async fn start_router(value: Bytes) -> SocketAddr {
     let replicas: Replicas = BTreeMap::from([
         (Topic::Configuration, replica("config", 5, value)),
         (Topic::Servers, replica("s1", 6, Bytes::from_static(b"{}"))),
     ]);
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
-    let address = listener.local_addr().expect("its address");
+    let listener = TcpListener::bind("127.0.0.1:0")
+        .await
+        .expect("a listening socket");
+    let address = listener.local_addr().expect("a bound address");
     let (sender, receiver) = watch::channel(Arc::new(replicas));
     tokio::spawn(async move {
         let _keep = sender;
@@ -60,35 +62,35 @@
     address
 }
 
-/// Guards against rows that are given up while their bytes still come.
+/// Guards against a transfer that times out although it still makes progress.
 #[tokio::test]
-async fn large_rows_come_over_a_slow_link() {
-    let value = noise(LARGE);
-    let link = Link::start(router(value.clone()).await)
+async fn large_rows_are_received_over_a_slow_link() {
+    let value = incompressible(LARGE_VALUE_BYTES);
+    let link = Link::start(start_router(value.clone()).await)
         .await
-        .expect("a port");
+        .expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
-    let answered = fetch::request(link.address(), &key(), Versions::default()).await;
-    let batches = answered.expect("the rows");
+    let result = fetch::request(link.address(), &key(), Versions::default()).await;
+    let batches = result.expect("rows");
     let (_, batch) = &batches[0];
     assert_eq!(Some(&value[..]), batch.rows[0].value.as_deref());
 }
 
-/// Guards against servers that leave and are heard of only after a large configuration.
+/// Guards against changes of servers that arrive only after a large configuration.
 #[tokio::test]
-async fn servers_come_without_the_configuration() {
-    let link = Link::start(router(noise(LARGE)).await)
+async fn servers_are_sent_without_the_configuration() {
+    let link = Link::start(start_router(incompressible(LARGE_VALUE_BYTES)).await)
         .await
-        .expect("a port");
+        .expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
     let known = Part::Rest.of(Versions::default());
     let batches = fetch::request(link.address(), &key(), known).await;
-    let batches = batches.expect("the rows");
+    let batches = batches.expect("rows");
     let topics: Vec<_> = batches.iter().map(|(topic, _)| *topic).collect();
     assert_eq!(
         topics,
         [Topic::Servers],
-        "what was not asked for is not told"
+        "only the requested topics are sent"
     );
     let batches = batches.into_iter();
     let rows: Vec<_> = batches.flat_map(|(_, batch)| batch.rows).collect();
@@ -96,20 +98,25 @@
     assert_eq!(keys, ["s1"]);
 }
 
-/// Guards against slow links that carry many large answers, none of which is through before the last.
+/// Guards against many concurrent large responses over a slow link, all of which would
+/// complete late.
 #[tokio::test]
-async fn a_router_that_gives_large_answers_is_busy_for_more() {
-    let address = router(noise(LARGE)).await;
-    let link = Link::start(address).await.expect("a port");
+async fn concurrent_large_responses_are_limited() {
+    let address = start_router(incompressible(LARGE_VALUE_BYTES)).await;
+    let link = Link::start(address).await.expect("a listening socket");
     link.limit(LINK_BYTES_PER_S);
     let all = Versions::default();
-    let mut asking = JoinSet::new();
+    let mut requests = JoinSet::new();
     for _ in 0..2 * fetch::MAX_LARGE_RESPONSES {
         let address = link.address();
-        asking.spawn(async move { fetch::request(address, &key(), all).await });
+        requests.spawn(async move { fetch::request(address, &key(), all).await });
     }
-    let first = asking.join_next().await.expect("an end").expect("no panic");
+    let first = requests
+        .join_next()
+        .await
+        .expect("a completed request")
+        .expect("no panic");
     assert!(matches!(first, Err(fetch::Failure::Busy)), "{first:?}");
     let rest = fetch::request(address, &key(), Part::Rest.of(all)).await;
-    rest.expect("what is small comes all the same");
+    rest.expect("small responses are not limited");
 }
