--- a/crates/admin/src/access.rs
+++ b/crates/admin/src/access.rs
@@ -6,10 +6,10 @@
 use units::operator;
 
 /// The name under which changes stand when no operators are set.
-const LOCAL: &str = "local";
+const LOCAL_OPERATOR: &str = "local";
 
 /// The fewest bytes of a token that is worth guessing at.
-pub const MIN_TOKEN: usize = 16;
+pub const MIN_TOKEN_BYTES: usize = 16;
 
 /// What an operator may do.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -85,9 +85,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The token is missing or unknown.
-    Unknown,
+    Unauthenticated,
     /// The operator's role does not allow it.
-    Role,
+    PermissionDenied,
 }
 
 impl Operators {
@@ -95,29 +95,29 @@
     ///
     /// Without operators anybody who reaches the port may change everything,
     /// so the port must be reachable from its own host only.
-    pub fn allow(&self, address: net::SocketAddr) -> bool {
+    pub fn may_listen_on(&self, address: net::SocketAddr) -> bool {
         !self.list.is_empty() || address.ip().is_loopback()
     }
 
-    /// The operator with `token`, if its role reaches `needed`.
+    /// The operator with `token`, if its role reaches `required`.
     ///
     /// # Errors
     ///
     /// [`Denial`].
-    pub fn admit(&self, token: Option<&str>, needed: Role) -> Result<operator::Id, Denial> {
+    pub fn authorize(&self, token: Option<&str>, required: Role) -> Result<operator::Id, Denial> {
         if self.list.is_empty() {
-            return LOCAL.parse().map_err(|_| Denial::Unknown);
+            return LOCAL_OPERATOR.parse().map_err(|_| Denial::Unauthenticated);
         }
-        let operator = self.find(token.ok_or(Denial::Unknown)?)?;
-        if operator.role < needed {
-            return Err(Denial::Role);
+        let operator = self.authenticate(token.ok_or(Denial::Unauthenticated)?)?;
+        if operator.role < required {
+            return Err(Denial::PermissionDenied);
         }
         Ok(operator.name.clone())
     }
 
     /// Compares with every hash in a time that does not depend on the token,
     /// so that the time of an answer does not help to guess one.
-    fn find(&self, token: &str) -> Result<&Operator, Denial> {
+    fn authenticate(&self, token: &str) -> Result<&Operator, Denial> {
         let hash = blake3::hash(token.as_bytes());
         let mut found = None;
         for operator in &self.list {
@@ -125,6 +125,6 @@
                 found = Some(operator);
             }
         }
-        found.ok_or(Denial::Unknown)
+        found.ok_or(Denial::Unauthenticated)
     }
 }
--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -1,7 +1,7 @@
 //! The HTTP interface of the administration.
 
+mod auth;
 mod failure;
-mod gate;
 mod order;
 mod propose;
 mod read;
@@ -17,29 +17,29 @@
     metrics::Metrics,
     store::Store,
 };
-use gate::Gate;
-pub(crate) use order::Desk;
-use order::Give;
+use auth::Guard;
+pub(crate) use order::Dispatcher;
+use order::Submit;
 use propose::Propose;
-use read::{Changes, Measures, Ready, Resource, Resources, Settled, Status, healthz};
+use read::{Change, Changes, Ready, Resource, Resources, Scrape, Status, healthz};
 
 /// The paths of the administration over `store`.
 pub(crate) fn router<T: Table + 'static, O: Objects + 'static>(
     store: Arc<Store<T>>,
     objects: Arc<O>,
     fleet: Arc<Fleet>,
-    desk: Desk,
+    dispatcher: Dispatcher,
     operators: Operators,
 ) -> Router {
     let operators = Arc::new(operators);
     let metrics = Arc::new(Metrics::default());
-    let reads = Gate {
+    let reads = Guard {
         operators: Arc::clone(&operators),
-        needed: Role::Read,
+        required: Role::Read,
     };
-    let writes = Gate {
+    let writes = Guard {
         operators,
-        needed: Role::Write,
+        required: Role::Write,
     };
     let changes = Router::with_path("v1/changes")
         .push(
@@ -64,17 +64,17 @@
         .get(Status(Arc::clone(&store), Arc::clone(&fleet)));
     let orders = Router::with_path("v1/orders")
         .hoop(writes)
-        .post(Give(Arc::clone(&store), desk));
-    let settled = Router::with_path("v1/changes/{id}")
+        .post(Submit(Arc::clone(&store), dispatcher));
+    let change = Router::with_path("v1/changes/{id}")
         .hoop(reads)
-        .get(Settled(Arc::clone(&store)));
+        .get(Change(Arc::clone(&store)));
     Router::new()
-        .push(settled)
+        .push(change)
         .push(orders)
         .push(status)
         .push(changes)
         .push(resources)
         .push(Router::with_path("healthz").get(healthz))
-        .push(Router::with_path("metrics").get(Measures(Arc::clone(&store), fleet, metrics)))
+        .push(Router::with_path("metrics").get(Scrape(Arc::clone(&store), fleet, metrics)))
         .push(Router::with_path("readyz").get(Ready(store)))
 }
--- a/crates/admin/src/api/gate.rs
+++ b/crates/admin/src/api/auth.rs
@@ -14,9 +14,9 @@
 
 /// Lets operators through whose role reaches the needed one.
 #[derive(Clone)]
-pub(super) struct Gate {
+pub(super) struct Guard {
     pub(super) operators: Arc<Operators>,
-    pub(super) needed: Role,
+    pub(super) required: Role,
 }
 
 /// The operator whom the gate let through.
@@ -24,7 +24,7 @@
 pub(super) struct Caller(pub(super) operator::Id);
 
 #[handler]
-impl Gate {
+impl Guard {
     async fn handle(
         &self,
         request: &mut Request,
@@ -37,7 +37,7 @@
             .get(header::AUTHORIZATION)
             .and_then(|value| value.to_str().ok())
             .and_then(|value| value.strip_prefix("Bearer "));
-        match self.operators.admit(token, self.needed) {
+        match self.operators.authorize(token, self.required) {
             Ok(operator) => {
                 depot.insert_typed(Caller(operator));
             }
@@ -53,12 +53,12 @@
 
 pub(super) fn deny(response: &mut Response, denial: Denial) {
     match denial {
-        Denial::Unknown => fail(
+        Denial::Unauthenticated => fail(
             response,
             StatusCode::UNAUTHORIZED,
             Error::not_run(Code::Unauthorized, "a known operator's token is needed"),
         ),
-        Denial::Role => fail(
+        Denial::PermissionDenied => fail(
             response,
             StatusCode::FORBIDDEN,
             Error::not_run(Code::Forbidden, "the operator's role does not allow it"),
--- a/crates/admin/src/api/failure.rs
+++ b/crates/admin/src/api/failure.rs
@@ -13,7 +13,7 @@
 use crate::store;
 
 /// When a caller may come back after the platform was down, in seconds.
-const RETRY_AFTER: u64 = 1;
+const RETRY_AFTER_S: u64 = 1;
 
 pub(super) fn invalid(faults: Vec<check::Fault>) -> Error {
     Error {
@@ -22,7 +22,7 @@
     }
 }
 
-pub(super) fn refuse(response: &mut Response, failure: store::Failure) {
+pub(super) fn fail_change(response: &mut Response, failure: store::Failure) {
     match failure {
         store::Failure::Refused(proposal::Refusal::Invalid(faults)) => {
             fail(response, StatusCode::UNPROCESSABLE_ENTITY, invalid(faults));
@@ -38,7 +38,7 @@
         store::Failure::Unknown(reason) => {
             let error = Error {
                 verdict: Verdict::MayHaveRun,
-                retry_after: Some(RETRY_AFTER),
+                retry_after: Some(RETRY_AFTER_S),
                 ..Error::not_run(
                     Code::OutcomeUnknown,
                     format!(
@@ -53,7 +53,7 @@
 
 pub(super) fn unavailable(response: &mut Response, reason: &str) {
     let error = Error {
-        retry_after: Some(RETRY_AFTER),
+        retry_after: Some(RETRY_AFTER_S),
         ..Error::not_run(Code::PlatformDown, format!("platform: {reason}"))
     };
     fail(response, StatusCode::SERVICE_UNAVAILABLE, error);
@@ -73,6 +73,6 @@
     fail(response, StatusCode::NOT_FOUND, error);
 }
 
-pub(super) fn unread(response: &mut Response) {
+pub(super) fn not_loaded(response: &mut Response) {
     unavailable(response, "no answer so far, and nothing is held");
 }
--- a/crates/admin/src/api/order.rs
+++ b/crates/admin/src/api/order.rs
@@ -19,25 +19,25 @@
 use units::{backend, operator};
 
 use super::{
+    auth::{Caller, deny},
     failure::{fail, invalid, not_found, unavailable},
-    gate::{Caller, deny},
     propose::body,
 };
 use crate::{
     access::Denial,
-    orders::{self as giving, Failure, Order, Orders, Target},
+    orders::{self as engine_orders, Failure, Order, Orders, Target},
     store::Store,
 };
 
 /// How long an order may take, the wait for another holder's lease included.
-const TIMEOUT: time::Duration = time::Duration::from_secs(45);
+const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(45);
 
 /// When to come back after another administration held the lease, in seconds.
-const RETRY_AFTER: u64 = 10;
+const RETRY_AFTER_S: u64 = 10;
 
 /// What it takes to give orders.
 #[derive(Clone, Debug)]
-pub(crate) struct Desk {
+pub(crate) struct Dispatcher {
     /// The task that holds the lease.
     pub(crate) orders: Orders,
     /// Where engines that no pool declares are found.
@@ -47,50 +47,50 @@
 /// The body of `POST /v1/orders`.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Asked {
+struct Payload {
     server: backend::Server,
     order: Order,
 }
 
 /// `POST /v1/orders`.
-pub(super) struct Give<T>(pub(super) Arc<Store<T>>, pub(super) Desk);
+pub(super) struct Submit<T>(pub(super) Arc<Store<T>>, pub(super) Dispatcher);
 
 #[handler]
-impl<T: Table + 'static> Give<T> {
+impl<T: Table + 'static> Submit<T> {
     async fn handle(&self, request: &mut Request, depot: &mut Depot, response: &mut Response) {
         let Ok(Caller(who)) = depot.get_typed::<Caller>().cloned() else {
-            return deny(response, Denial::Unknown);
+            return deny(response, Denial::Unauthenticated);
         };
-        let asked: Asked = match body(request).await {
-            Ok(asked) => asked,
+        let payload: Payload = match body(request).await {
+            Ok(payload) => payload,
             Err(error) => return fail(response, StatusCode::BAD_REQUEST, error),
         };
-        if let Some(fault) = fault(&asked.order) {
+        if let Some(fault) = missing_field(&payload.order) {
             return fail(
                 response,
                 StatusCode::UNPROCESSABLE_ENTITY,
                 invalid(vec![fault]),
             );
         }
-        match self.target(&asked.server).await {
-            Ok(Some(target)) => self.give(asked, target, &who, response).await,
-            Ok(None) => not_found(response, &format!("no engine is called {}", asked.server)),
+        match self.resolve(&payload.server).await {
+            Ok(Some(target)) => self.submit(payload, target, &who, response).await,
+            Ok(None) => not_found(response, &format!("no engine is called {}", payload.server)),
             Err(error) => unavailable(response, &error.to_string()),
         }
     }
 }
 
-impl<T: Table + 'static> Give<T> {
-    async fn give(
+impl<T: Table + 'static> Submit<T> {
+    async fn submit(
         &self,
-        asked: Asked,
+        payload: Payload,
         target: Target,
         who: &operator::Id,
         response: &mut Response,
     ) {
-        let deadline = Instant::now() + TIMEOUT;
-        let (server, kind) = (asked.server, asked.order.kind);
-        match self.1.orders.give(target, asked.order, deadline).await {
+        let deadline = Instant::now() + ORDER_TIMEOUT;
+        let (server, kind) = (payload.server, payload.order.kind);
+        match self.1.orders.submit(target, payload.order, deadline).await {
             Ok(fence) => {
                 logging::event!(
                     info,
@@ -113,15 +113,15 @@
                     operator = who,
                     reason = failure
                 );
-                refuse(response, failure);
+                fail_order(response, failure);
             }
         }
     }
 
     /// Where the engine called `server` is, from its pool or the host list.
-    async fn target(&self, server: &backend::Server) -> Result<Option<Target>, storage::Error> {
+    async fn resolve(&self, server: &backend::Server) -> Result<Option<Target>, storage::Error> {
         let version = self.0.view().version;
-        if let Some(target) = declared(&version.snapshot, server) {
+        if let Some(target) = declared_target(&version.snapshot, server) {
             return Ok(Some(target));
         }
         let deadline = Instant::now() + self.0.settings().read_timeout;
@@ -130,16 +130,16 @@
         let host = hosts.find(|host| host.name == server.as_str());
         Ok(host.and_then(|host| {
             let pool = version.snapshot.pool(host.pool.as_ref()?)?;
-            engine(pool, host.address)
+            engine_target(pool, host.address)
         }))
     }
 }
 
 /// What is missing from an order.
-fn fault(order: &Order) -> Option<Fault> {
+fn missing_field(order: &Order) -> Option<Fault> {
     let (field, value) = match order.kind {
-        giving::Kind::Load | giving::Kind::Unload => ("order.model", &order.model),
-        giving::Kind::Role => ("order.role", &order.role),
+        engine_orders::Kind::Load | engine_orders::Kind::Unload => ("order.model", &order.model),
+        engine_orders::Kind::Role => ("order.role", &order.role),
     };
     value.is_none().then(|| Fault {
         path: String::from(field),
@@ -147,14 +147,14 @@
     })
 }
 
-fn declared(snapshot: &Snapshot, name: &backend::Server) -> Option<Target> {
+fn declared_target(snapshot: &Snapshot, name: &backend::Server) -> Option<Target> {
     snapshot.pools().find_map(|pool| {
         let server = pool.servers.iter().find(|server| server.name == *name)?;
-        engine(pool, server.address)
+        engine_target(pool, server.address)
     })
 }
 
-fn engine(pool: &Pool, address: std::net::SocketAddr) -> Option<Target> {
+fn engine_target(pool: &Pool, address: std::net::SocketAddr) -> Option<Target> {
     let fencing = match pool.checks_fencing {
         true => Fencing::Checked,
         false => Fencing::Ignored,
@@ -162,13 +162,13 @@
     (pool.kind == Kind::Engine).then_some(Target { address, fencing })
 }
 
-fn refuse(response: &mut Response, failure: Failure) {
+fn fail_order(response: &mut Response, failure: Failure) {
     let message = failure.to_string();
     let (status, error) = match failure {
         Failure::Unavailable(_) => return unavailable(response, &message),
         Failure::NotHeld(_) => {
             let error = Error {
-                retry_after: Some(RETRY_AFTER),
+                retry_after: Some(RETRY_AFTER_S),
                 ..Error::not_run(Code::LeaseHeld, message)
             };
             (StatusCode::SERVICE_UNAVAILABLE, error)
--- a/crates/admin/src/api/propose.rs
+++ b/crates/admin/src/api/propose.rs
@@ -15,8 +15,8 @@
 use units::{change, operator};
 
 use super::{
-    failure::{fail, invalid, refuse},
-    gate::{Caller, deny},
+    auth::{Caller, deny},
+    failure::{fail, fail_change, invalid},
 };
 use crate::{
     access::Denial,
@@ -37,7 +37,7 @@
 impl<T: Table + 'static> Propose<T> {
     async fn handle(&self, request: &mut Request, depot: &mut Depot, response: &mut Response) {
         let Ok(Caller(who)) = depot.get_typed::<Caller>().cloned() else {
-            return deny(response, Denial::Unknown);
+            return deny(response, Denial::Unauthenticated);
         };
         match read(request).await {
             Ok(proposal) => self.submit(proposal, who, response).await,
@@ -61,22 +61,22 @@
             when: unix_millis(),
         };
         let deadline = Instant::now() + self.0.settings().write_timeout;
-        let done = self.0.submit(&proposal, &author, deadline).await;
-        if let Err(store::Failure::Refused(refusal)) = &done {
-            self.note(&proposal, refusal, &author).await;
+        let result = self.0.submit(&proposal, &author, deadline).await;
+        if let Err(store::Failure::Refused(refusal)) = &result {
+            self.record_refusal(&proposal, refusal, &author).await;
         }
-        self.1.ended(&done);
-        log(&proposal.id, &author.who, &done);
-        match done {
+        self.1.count_outcome(&result);
+        log_outcome(&proposal.id, &author.who, &result);
+        match result {
             Ok(outcome) => response.render(Json(accepted(proposal.id, outcome))),
-            Err(failure) => refuse(response, failure),
+            Err(failure) => fail_change(response, failure),
         }
     }
 }
 
 impl<T: Table + 'static> Propose<T> {
     /// Leaves a line in the audit trail, if the platform takes it.
-    async fn note(
+    async fn record_refusal(
         &self,
         proposal: &proposal::Proposal,
         refusal: &proposal::Refusal,
@@ -122,12 +122,12 @@
     }
 }
 
-pub(super) fn log(
+pub(super) fn log_outcome(
     id: &change::Id,
     who: &operator::Id,
-    done: &Result<store::Outcome, store::Failure>,
+    result: &Result<store::Outcome, store::Failure>,
 ) {
-    match done {
+    match result {
         Ok(store::Outcome::Accepted(revision)) => {
             logging::event!(
                 info,
@@ -169,8 +169,8 @@
 }
 
 pub(super) fn unix_millis() -> u64 {
-    let since = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
-    since.map_or(0, |since| {
-        u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
+    let elapsed = time::SystemTime::now().duration_since(time::UNIX_EPOCH);
+    elapsed.map_or(0, |elapsed| {
+        u64::try_from(elapsed.as_millis()).unwrap_or(u64::MAX)
     })
 }
--- a/crates/admin/src/api/read.rs
+++ b/crates/admin/src/api/read.rs
@@ -14,13 +14,13 @@
 use units::{change, revision};
 
 use super::{
-    failure::{not_found, unavailable, unread},
+    failure::{not_found, not_loaded, unavailable},
     propose::accepted,
 };
 use crate::{
     fleet::Fleet,
     metrics::Metrics,
-    show,
+    responses,
     store::{self, Store},
 };
 
@@ -33,9 +33,9 @@
 #[handler]
 impl<T: Table + 'static> Resources<T> {
     async fn handle(&self, response: &mut Response) {
-        match show::list(&self.0.view(), &self.1.view()) {
+        match responses::list(&self.0.view(), &self.1.view()) {
             Some(list) => response.render(Json(list)),
-            None => unread(response),
+            None => not_loaded(response),
         }
     }
 }
@@ -48,8 +48,8 @@
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let kind: String = request.param("kind").unwrap_or_default();
         let name: String = request.param("name").unwrap_or_default();
-        let Some(mut list) = show::list(&self.0.view(), &self.1.view()) else {
-            return unread(response);
+        let Some(mut list) = responses::list(&self.0.view(), &self.1.view()) else {
+            return not_loaded(response);
         };
         let key = key::Key::from_str(&format!("{kind}/{name}")).ok();
         list.resources
@@ -70,9 +70,9 @@
 impl<T: Table + 'static> Status<T> {
     async fn handle(&self, response: &mut Response) {
         let survey = self.1.survey(self.0.settings().read_timeout).await;
-        match show::status(&self.0.view(), &self.1.view(), survey) {
+        match responses::status(&self.0.view(), &self.1.view(), survey) {
             Some(status) => response.render(Json(status)),
-            None => unread(response),
+            None => not_loaded(response),
         }
     }
 }
@@ -86,9 +86,9 @@
         let limit = request.query("limit").unwrap_or(MAX_CHANGES);
         let limit = limit.min(MAX_CHANGES);
         let from = request.query("from").map(revision::Id);
-        let held = self.0.view().version.snapshot.revision();
-        let newest = revision::Id((held.0 + 1).saturating_sub(limit).max(1));
-        let first = from.unwrap_or(newest);
+        let current = self.0.view().version.snapshot.revision();
+        let newest_page = revision::Id((current.0 + 1).saturating_sub(limit).max(1));
+        let first = from.unwrap_or(newest_page);
         match self.history(first, limit, from.is_none()).await {
             Ok(history) => response.render(Json(history)),
             Err(error) => unavailable(response, &error.to_string()),
@@ -97,21 +97,21 @@
 }
 
 impl<T: Table + 'static, O: Objects + 'static> Changes<T, O> {
-    /// The trail from the revision `first` on; its refused changes if it is the `latest` part.
+    /// The trail from the revision `first` on; its refused changes if it is the `is_latest` part.
     async fn history(
         &self,
         first: revision::Id,
         limit: u64,
-        latest: bool,
+        is_latest: bool,
     ) -> Result<History, reader::Error> {
         let table = self.0.table();
         let deadline = Instant::now() + self.0.settings().read_timeout;
         let changes = archive::history(table, &*self.1, first, limit, deadline).await?;
         let mut refused = Vec::new();
-        if latest {
+        if is_latest {
             // Refused changes before the first accepted one belong to it as well.
-            let begin = changes.first().filter(|change| change.from.0 > 0);
-            let since = begin.map_or(0, |change| change.when);
+            let oldest = changes.first().filter(|change| change.from.0 > 0);
+            let since = oldest.map_or(0, |change| change.when);
             refused = refusals::since(table, since, deadline).await?;
         }
         Ok(History { changes, refused })
@@ -119,10 +119,10 @@
 }
 
 /// `GET /v1/changes/ID`.
-pub(super) struct Settled<T>(pub(super) Arc<Store<T>>);
+pub(super) struct Change<T>(pub(super) Arc<Store<T>>);
 
 #[handler]
-impl<T: Table + 'static> Settled<T> {
+impl<T: Table + 'static> Change<T> {
     async fn handle(&self, request: &mut Request, response: &mut Response) {
         let id: String = request.param("id").unwrap_or_default();
         let Ok(id) = id.parse::<change::Id>() else {
@@ -157,22 +157,22 @@
 #[handler]
 impl<T: Table + 'static> Ready<T> {
     async fn handle(&self, response: &mut Response) {
-        if self.0.view().confirmed.is_none() {
-            return unread(response);
+        if self.0.view().confirmed_at.is_none() {
+            return not_loaded(response);
         }
         response.render(Json(Check { ok: true }));
     }
 }
 
 /// `GET /metrics`.
-pub(super) struct Measures<T>(
+pub(super) struct Scrape<T>(
     pub(super) Arc<Store<T>>,
     pub(super) Arc<Fleet>,
     pub(super) Arc<Metrics>,
 );
 
 #[handler]
-impl<T: Table + 'static> Measures<T> {
+impl<T: Table + 'static> Scrape<T> {
     async fn handle(&self, response: &mut Response) {
         let text = self.2.encode(&self.0.view(), &self.1.view());
         response.render(Text::Plain(text));
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -21,23 +21,23 @@
 use units::{availability, host, revision};
 
 /// The page of a router at which it tells of its state.
-const PATH: &str = "/weir/status";
+const STATUS_PATH: &str = "/weir/status";
 
 /// The most routers that are asked for their own backend servers at once.
 ///
 /// At the size of a thousand nodes asking all would cost too much; the others
 /// are known by what these tell of them.
-const MAX_SURVEY: usize = 16;
+const MAX_POLLED: usize = 16;
 
 /// The most that looks at the fleet may cost each router that is asked, in bytes a second.
 ///
 /// The answer grows with the fleet; asked each second for a thousand routers,
 /// it would cost the router many times what it may spend on control traffic.
-const BUDGET: u64 = 1_000;
+const BUDGET_BYTES_PER_S: u64 = 1_000;
 
 /// What one router tells.
 #[derive(Clone, Debug, Deserialize)]
-pub struct Page {
+pub struct Report {
     /// Its host.
     pub host: host::Id,
     /// Its availability zone.
@@ -57,7 +57,7 @@
     pub refusals: Vec<Refusals>,
 }
 
-impl Page {
+impl Report {
     /// The routers that it knows of and itself.
     fn routers(&self) -> Vec<Router> {
         let mut routers = self.members.clone();
@@ -79,9 +79,9 @@
     /// The routers.
     pub routers: Arc<Vec<Router>>,
     /// When a router told of them. `None`: never.
-    pub told: Option<time::Instant>,
+    pub updated_at: Option<time::Instant>,
     /// The size of the longest answer in bytes.
-    size: u64,
+    response_bytes: u64,
 }
 
 /// What some routers answered to one question.
@@ -104,7 +104,7 @@
     /// The zones of the routers as far as they answered when asked last.
     zones: Mutex<Vec<Option<availability::Zone>>>,
     /// Counts the looks.
-    turn: AtomicUsize,
+    round: AtomicUsize,
     view: watch::Sender<View>,
 }
 
@@ -116,7 +116,7 @@
         Self {
             clients: clients.map(Arc::new).collect(),
             zones: Mutex::new(vec![None; addresses.len()]),
-            turn: AtomicUsize::new(0),
+            round: AtomicUsize::new(0),
             view,
         }
     }
@@ -130,26 +130,29 @@
     ///
     /// Routers know well what those of their own zone have applied, and late
     /// what the others have, so each zone is to be asked.
-    pub async fn look(&self, timeout: time::Duration) {
-        let turn = self.turn.fetch_add(1, Ordering::Relaxed);
-        let chosen = choose(&self.zones(), turn);
-        self.ask(&chosen, timeout).await;
+    pub async fn poll(&self, timeout: time::Duration) {
+        let round = self.round.fetch_add(1, Ordering::Relaxed);
+        let selected = select_routers(&self.zones(), round);
+        self.query(&selected, timeout).await;
     }
 
     /// How long to wait between two looks, so that they stay within the budget.
-    pub fn pause(&self) -> time::Duration {
-        pause(self.view().size, &self.zones())
+    pub fn min_poll_interval(&self) -> time::Duration {
+        min_poll_interval(self.view().response_bytes, &self.zones())
     }
 
     /// Asks the first 16 routers at once.
     pub async fn survey(&self, timeout: time::Duration) -> Survey {
-        let all: Vec<usize> = (0..self.clients.len().min(MAX_SURVEY)).collect();
-        let pages = self.ask(&all, timeout).await;
+        let all: Vec<usize> = (0..self.clients.len().min(MAX_POLLED)).collect();
+        let reports = self.query(&all, timeout).await;
         Survey {
             asked: all.len(),
-            answered: pages.len(),
-            engines: pages.iter().flat_map(|page| page.engines.clone()).collect(),
-            refusals: add_up(&pages),
+            answered: reports.len(),
+            engines: reports
+                .iter()
+                .flat_map(|report| report.engines.clone())
+                .collect(),
+            refusals: sum_refusals(&reports),
         }
     }
 
@@ -157,35 +160,38 @@
     ///
     /// Where they disagree about another router, the higher revision is the
     /// later news, and a router's own word goes before that of others.
-    async fn ask(&self, numbers: &[usize], timeout: time::Duration) -> Vec<Page> {
+    async fn query(&self, indices: &[usize], timeout: time::Duration) -> Vec<Report> {
         let deadline = time::Instant::now() + timeout;
-        let mut asked = task::JoinSet::new();
-        for &number in numbers {
-            let client = Arc::clone(&self.clients[number]);
-            asked.spawn(async move { (number, ask(&client, deadline).await) });
+        let mut requests = task::JoinSet::new();
+        for &index in indices {
+            let client = Arc::clone(&self.clients[index]);
+            requests.spawn(async move { (index, fetch(&client, deadline).await) });
         }
-        let mut pages = Vec::new();
-        let mut size = 0;
-        while let Some(Ok((number, answer))) = asked.join_next().await {
-            self.note_zone(number, answer.as_ref().map(|(page, _)| page.zone.clone()));
-            if let Some((page, bytes)) = answer {
-                size = size.max(bytes);
-                pages.push(page);
+        let mut reports = Vec::new();
+        let mut response_bytes = 0;
+        while let Some(Ok((index, response))) = requests.join_next().await {
+            self.set_zone(
+                index,
+                response.as_ref().map(|(report, _)| report.zone.clone()),
+            );
+            if let Some((report, bytes)) = response {
+                response_bytes = response_bytes.max(bytes);
+                reports.push(report);
             }
         }
         // Answers come in any order; the view must not depend on it.
-        pages.sort_by(|a: &Page, b: &Page| a.host.cmp(&b.host));
-        if !pages.is_empty() {
-            self.hold(merge(&pages), size);
+        reports.sort_by(|a: &Report, b: &Report| a.host.cmp(&b.host));
+        if !reports.is_empty() {
+            self.update(merge_routers(&reports), response_bytes);
         }
-        pages
+        reports
     }
 
-    fn hold(&self, routers: Vec<Router>, size: u64) {
+    fn update(&self, routers: Vec<Router>, response_bytes: u64) {
         self.view.send_replace(View {
             routers: Arc::new(routers),
-            told: Some(time::Instant::now()),
-            size,
+            updated_at: Some(time::Instant::now()),
+            response_bytes,
         });
     }
 
@@ -193,8 +199,8 @@
         self.lock_zones().clone()
     }
 
-    fn note_zone(&self, number: usize, zone: Option<availability::Zone>) {
-        self.lock_zones()[number] = zone;
+    fn set_zone(&self, index: usize, zone: Option<availability::Zone>) {
+        self.lock_zones()[index] = zone;
     }
 
     fn lock_zones(&self) -> MutexGuard<'_, Vec<Option<availability::Zone>>> {
@@ -204,56 +210,65 @@
 
 /// The numbers of the routers to ask: one of each zone in turn, and those whose
 /// zone is not known, since they have not answered.
-fn choose(zones: &[Option<availability::Zone>], turn: usize) -> Vec<usize> {
-    let mut known: BTreeMap<&availability::Zone, Vec<usize>> = BTreeMap::new();
-    let mut chosen = Vec::new();
-    for (number, zone) in zones.iter().enumerate() {
+fn select_routers(zones: &[Option<availability::Zone>], round: usize) -> Vec<usize> {
+    let mut by_zone: BTreeMap<&availability::Zone, Vec<usize>> = BTreeMap::new();
+    let mut selected = Vec::new();
+    for (index, zone) in zones.iter().enumerate() {
         match zone {
-            Some(zone) => known.entry(zone).or_default().push(number),
-            None => chosen.push(number),
+            Some(zone) => by_zone.entry(zone).or_default().push(index),
+            None => selected.push(index),
         }
     }
-    chosen.extend(known.values().map(|numbers| numbers[turn % numbers.len()]));
-    chosen.truncate(MAX_SURVEY);
-    chosen
+    selected.extend(
+        by_zone
+            .values()
+            .map(|indices| indices[round % indices.len()]),
+    );
+    selected.truncate(MAX_POLLED);
+    selected
 }
 
-/// The time between two looks whose answers have `size` bytes, so that the
+/// The time between two looks whose answers have `response_bytes` bytes, so that the
 /// router that is asked most often stays within the budget.
-pub fn pause(size: u64, zones: &[Option<availability::Zone>]) -> time::Duration {
+pub fn min_poll_interval(
+    response_bytes: u64,
+    zones: &[Option<availability::Zone>],
+) -> time::Duration {
     let mut counts: BTreeMap<&availability::Zone, u64> = BTreeMap::new();
     for zone in zones.iter().flatten() {
         *counts.entry(zone).or_default() += 1;
     }
-    let fewest = counts.into_values().min().unwrap_or(1);
-    time::Duration::from_millis(size.saturating_mul(1_000) / BUDGET.saturating_mul(fewest))
+    let min_routers = counts.into_values().min().unwrap_or(1);
+    time::Duration::from_millis(
+        response_bytes.saturating_mul(1_000) / BUDGET_BYTES_PER_S.saturating_mul(min_routers),
+    )
 }
 
 /// What a router tells, and the size of its answer in bytes.
-async fn ask(client: &http::Client, deadline: time::Instant) -> Option<(Page, u64)> {
-    let request = http::request(Method::GET, PATH, Bytes::new()).ok()?;
-    let answer = client.call(request, deadline).await.ok()?;
-    let page = http::parse(&answer).ok()?;
-    Some((page, answer.body.len() as u64))
+async fn fetch(client: &http::Client, deadline: time::Instant) -> Option<(Report, u64)> {
+    let request = http::request(Method::GET, STATUS_PATH, Bytes::new()).ok()?;
+    let response = client.call(request, deadline).await.ok()?;
+    let report = http::parse(&response).ok()?;
+    Some((report, response.body.len() as u64))
 }
 
-fn merge(pages: &[Page]) -> Vec<Router> {
+fn merge_routers(reports: &[Report]) -> Vec<Router> {
     let mut routers: BTreeMap<host::Id, Router> = BTreeMap::new();
-    for router in pages.iter().flat_map(Page::routers) {
+    for router in reports.iter().flat_map(Report::routers) {
         match routers.get(&router.host) {
-            Some(known) if known.revision >= router.revision => {}
+            Some(existing) if existing.revision >= router.revision => {}
             _ => drop(routers.insert(router.host.clone(), router)),
         }
     }
-    for router in pages.iter().filter_map(|page| page.routers().pop()) {
+    for router in reports.iter().filter_map(|report| report.routers().pop()) {
         routers.insert(router.host.clone(), router);
     }
     routers.into_values().collect()
 }
 
-fn add_up(pages: &[Page]) -> Vec<Refusals> {
+fn sum_refusals(reports: &[Report]) -> Vec<Refusals> {
     let mut counts: BTreeMap<(String, String), u64> = BTreeMap::new();
-    for refusals in pages.iter().flat_map(|page| &page.refusals) {
+    for refusals in reports.iter().flat_map(|report| &report.refusals) {
         let kind = (refusals.code.clone(), refusals.verdict.clone());
         *counts.entry(kind).or_default() += refusals.count;
     }
--- a/crates/admin/src/lib.rs
+++ b/crates/admin/src/lib.rs
@@ -6,6 +6,6 @@
 pub mod metrics;
 pub mod orders;
 pub mod process;
+pub mod responses;
 pub mod settings;
-pub mod show;
 pub mod store;
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -15,7 +15,7 @@
 given in the environment variable WEIR_OPERATORS, as NAME:ROLE:HASH,...";
 
 /// What was given, unchecked.
-struct Given {
+struct Arguments {
     listen: settings::Raw,
     platform: settings::Raw,
     routers: settings::Raw,
@@ -26,30 +26,30 @@
 
 /// The administration could not be started.
 #[derive(Debug)]
-struct Failed;
+struct StartError;
 
-impl std::fmt::Display for Failed {
+impl std::fmt::Display for StartError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str("weir-admin could not start")
     }
 }
 
-impl std::error::Error for Failed {}
+impl std::error::Error for StartError {}
 
 #[tokio::main]
-async fn main() -> Result<(), Report<Failed>> {
-    let settings = settings::load(ABOUT, given(), check);
+async fn main() -> Result<(), Report<StartError>> {
+    let settings = settings::load(ABOUT, arguments(), validate);
     logging::init("weir-admin");
-    let process = process::start(&settings).await.change_context(Failed)?;
-    announce(process.address()).change_context(Failed)?;
-    terminated().await.change_context(Failed)?;
+    let process = process::start(&settings).await.change_context(StartError)?;
+    print_address(process.address()).change_context(StartError)?;
+    wait_for_signal().await.change_context(StartError)?;
     process.stop().await;
     logging::event!(info, "stopped");
     Ok(())
 }
 
 /// Tells scripts the bound address, as one line on standard output.
-fn announce(address: net::SocketAddr) -> io::Result<()> {
+fn print_address(address: net::SocketAddr) -> io::Result<()> {
     let mut output = io::stdout().lock();
     writeln!(output, "listening={address}")?;
     output.flush()?;
@@ -58,7 +58,7 @@
 }
 
 /// Waits for a signal that asks the process to end.
-async fn terminated() -> io::Result<()> {
+async fn wait_for_signal() -> io::Result<()> {
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     tokio::select! {
@@ -68,7 +68,7 @@
     Ok(())
 }
 
-fn given() -> impl Parser<Given> {
+fn arguments() -> impl Parser<Arguments> {
     let listen = settings::text("listen", "WEIR_LISTEN", "IP:PORT", "Where to listen");
     let platform = settings::text("platform", "WEIR_PLATFORM", "IP:PORT", "The platform");
     let routers = settings::text(
@@ -95,7 +95,7 @@
     construct!(addresses, access).map(|(addresses, access)| {
         let (listen, platform, routers, host) = addresses;
         let (operators, operators_file) = access;
-        Given {
+        Arguments {
             listen,
             platform,
             routers,
@@ -106,18 +106,21 @@
     })
 }
 
-fn check(given: Given, faults: &mut settings::Faults) -> Option<Settings> {
+fn validate(arguments: Arguments, faults: &mut settings::Faults) -> Option<Settings> {
     let defaults = Settings::default();
-    let listen = faults.or(&given.listen, defaults.listen, settings::ADDRESS);
-    let platform = faults.required(&given.platform, settings::ADDRESS);
-    let routers = routers(&given.routers, faults);
-    let host = faults.optional(&given.host, "1 to 64 of a-z, A-Z, 0-9, '.', '_' and '-'");
-    let operators = operators(&given, faults);
+    let listen = faults.or(&arguments.listen, defaults.listen, settings::ADDRESS);
+    let platform = faults.required(&arguments.platform, settings::ADDRESS);
+    let routers = routers(&arguments.routers, faults);
+    let host = faults.optional(
+        &arguments.host,
+        "1 to 64 of a-z, A-Z, 0-9, '.', '_' and '-'",
+    );
+    let operators = operators(&arguments, faults);
     if let (Some(listen), Some(operators)) = (listen, &operators)
-        && !operators.allow(listen)
+        && !operators.may_listen_on(listen)
     {
         faults.add(
-            &given.listen,
+            &arguments.listen,
             "a loopback address, unless operators are set",
         );
     }
@@ -142,21 +145,21 @@
     parsed.ok()
 }
 
-fn operators(given: &Given, faults: &mut settings::Faults) -> Option<access::Operators> {
-    let mut text = String::from(given.operators.as_str().unwrap_or_default());
-    if let Some(file) = given.operators_file.as_str() {
+fn operators(arguments: &Arguments, faults: &mut settings::Faults) -> Option<access::Operators> {
+    let mut text = String::from(arguments.operators.as_str().unwrap_or_default());
+    if let Some(file) = arguments.operators_file.as_str() {
         match fs::read_to_string(file) {
             Ok(read) => {
                 text.push('\n');
                 text.push_str(&read);
             }
-            Err(_) => faults.add(&given.operators_file, "a file that can be read"),
+            Err(_) => faults.add(&arguments.operators_file, "a file that can be read"),
         }
     }
     match text.parse() {
         Ok(operators) => Some(operators),
         Err(invalid) => {
-            faults.add(&given.operators, &access::Invalid::to_string(&invalid));
+            faults.add(&arguments.operators, &access::Invalid::to_string(&invalid));
             None
         }
     }
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -21,8 +21,8 @@
 }
 
 /// How a change ended, in one word.
-fn outcome(done: &Result<Outcome, Failure>) -> &'static str {
-    match done {
+fn outcome_label(result: &Result<Outcome, Failure>) -> &'static str {
+    match result {
         Ok(Outcome::Accepted(_)) => "accepted",
         Ok(Outcome::Repeated(_)) => "repeated",
         Ok(Outcome::Unchanged(_)) => "unchanged",
@@ -79,8 +79,8 @@
 
 impl Metrics {
     /// Counts the end of a change.
-    pub fn ended(&self, done: &Result<Outcome, Failure>) {
-        let outcome = outcome(done);
+    pub fn count_outcome(&self, result: &Result<Outcome, Failure>) {
+        let outcome = outcome_label(result);
         self.changes.get_or_create(&Labels { outcome }).inc();
     }
 
@@ -91,7 +91,9 @@
         let missing: usize = zones.values().map(|zone| zone.routers - zone.applied).sum();
         let lost: usize = zones.values().map(|zone| zone.lost).sum();
         self.platform_up.set(i64::from(view.health == Health::Up));
-        let age = view.confirmed.map_or(0, |then| then.elapsed().as_millis());
+        let age = view
+            .confirmed_at
+            .map_or(0, |instant| instant.elapsed().as_millis());
         self.age.set(i64::try_from(age).unwrap_or(i64::MAX));
         self.revision
             .set(i64::try_from(revision.0).unwrap_or(i64::MAX));
--- a/crates/admin/src/orders.rs
+++ b/crates/admin/src/orders.rs
@@ -23,10 +23,10 @@
 ///
 /// One lease serves the whole deployment: orders are rare, and operators who
 /// order at two hosts at once are to come one after the other.
-pub const LEASE: &str = "lease/orders";
+pub const LEASE_KEY: &str = "lease/orders";
 
 /// How many orders may wait for the lease.
-const MAX_WAITING: usize = 64;
+const MAX_QUEUED: usize = 64;
 
 /// What an order does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -99,7 +99,7 @@
 
 /// An order that waits for the lease.
 #[derive(Debug)]
-struct Waiting {
+struct Queued {
     target: Target,
     order: Order,
     deadline: Instant,
@@ -109,7 +109,7 @@
 /// Hands orders to the task that holds the lease.
 #[derive(Clone, Debug)]
 pub struct Orders {
-    sender: mpsc::Sender<Waiting>,
+    sender: mpsc::Sender<Queued>,
 }
 
 impl Orders {
@@ -120,18 +120,18 @@
         settings: settings::Orders,
         tasks: &mut task::JoinSet<()>,
     ) -> Self {
-        let (sender, receiver) = mpsc::channel(MAX_WAITING);
+        let (sender, receiver) = mpsc::channel(MAX_QUEUED);
         let clock = Clock::start();
         let lease = Lease::new(settings.lease.clone(), host, rand::random());
-        let holder = Holder {
+        let worker = Worker {
             clock,
             driver: Driver::new(table, clock),
             lease,
             settings,
-            waiting: Vec::new(),
-            idle_at: None,
+            queue: Vec::new(),
+            release_at: None,
         };
-        tasks.spawn(holder.run(receiver));
+        tasks.spawn(worker.run(receiver));
         Self { sender }
     }
 
@@ -140,48 +140,48 @@
     /// # Errors
     ///
     /// [`Failure`], which tells whether the order may have run.
-    pub async fn give(
+    pub async fn submit(
         &self,
         target: Target,
         order: Order,
         deadline: Instant,
     ) -> Result<orders::Fence, Failure> {
-        let (reply, answer) = oneshot::channel();
-        let waiting = Waiting {
+        let (reply, response) = oneshot::channel();
+        let queued = Queued {
             target,
             order,
             deadline,
             reply,
         };
-        if self.sender.try_send(waiting).is_err() {
+        if self.sender.try_send(queued).is_err() {
             return Err(Failure::NotHeld(None));
         }
         // The task ends only with the process, which then answers nobody.
-        answer.await.unwrap_or(Err(Failure::NotHeld(None)))
+        response.await.unwrap_or(Err(Failure::NotHeld(None)))
     }
 }
 
 /// The task that holds the lease while there are orders.
-struct Holder<T> {
+struct Worker<T> {
     clock: Clock,
     driver: Driver<T>,
     lease: Lease,
     settings: settings::Orders,
-    waiting: Vec<Waiting>,
+    queue: Vec<Queued>,
     /// When the lease is given back. `None`: it is not wanted.
-    idle_at: Option<Instant>,
+    release_at: Option<Instant>,
 }
 
-impl<T: Table + 'static> Holder<T> {
-    async fn run(mut self, mut receiver: mpsc::Receiver<Waiting>) {
+impl<T: Table + 'static> Worker<T> {
+    async fn run(mut self, mut receiver: mpsc::Receiver<Queued>) {
         loop {
-            match self.driver.work(&mut self.lease).await {
-                Ok(()) => self.serve(),
-                Err(error) => self.give_up(&error),
+            match self.driver.drive(&mut self.lease).await {
+                Ok(()) => self.dispatch(),
+                Err(error) => self.fail_queued(&error),
             }
             tokio::select! {
-                waiting = receiver.recv() => match waiting {
-                    Some(waiting) => self.take(waiting),
+                queued = receiver.recv() => match queued {
+                    Some(queued) => self.enqueue(queued),
                     None => return,
                 },
                 () = sleep_until(self.wake_at()) => {}
@@ -189,60 +189,60 @@
         }
     }
 
-    fn take(&mut self, waiting: Waiting) {
-        self.waiting.push(waiting);
-        self.idle_at = Some(Instant::now() + self.settings.keep);
+    fn enqueue(&mut self, queued: Queued) {
+        self.queue.push(queued);
+        self.release_at = Some(Instant::now() + self.settings.idle_timeout);
         self.lease.acquire();
     }
 
     /// Refuses what waits: nobody can tell who holds the lease, nor for how long.
-    fn give_up(&mut self, error: &storage::Error) {
-        for waiting in self.waiting.drain(..) {
+    fn fail_queued(&mut self, error: &storage::Error) {
+        for queued in self.queue.drain(..) {
             let failure = Failure::Unavailable(error.to_string());
-            drop(waiting.reply.send(Err(failure)));
+            drop(queued.reply.send(Err(failure)));
         }
     }
 
     /// Sends the orders that may be sent and gives up those that are late.
-    fn serve(&mut self) {
+    fn dispatch(&mut self) {
         let now = Instant::now();
-        for waiting in std::mem::take(&mut self.waiting) {
-            if waiting.reply.is_closed() {
+        for queued in std::mem::take(&mut self.queue) {
+            if queued.reply.is_closed() {
                 continue;
             }
             // The permit is asked for last: the order leaves right after it.
-            match self.lease.permit(waiting.target.fencing, self.clock.now()) {
-                Ok(permit) => self.send(waiting, permit),
-                Err(Denial::NotHeld | Denial::Wait(_)) if now < waiting.deadline => {
-                    self.waiting.push(waiting);
+            match self.lease.permit(queued.target.fencing, self.clock.now()) {
+                Ok(permit) => self.send(queued, permit),
+                Err(Denial::NotHeld | Denial::Wait(_)) if now < queued.deadline => {
+                    self.queue.push(queued);
                 }
                 Err(_) => {
                     let holder = self.lease.holder().cloned();
-                    drop(waiting.reply.send(Err(Failure::NotHeld(holder))));
+                    drop(queued.reply.send(Err(Failure::NotHeld(holder))));
                 }
             }
         }
-        if self.waiting.is_empty() && self.idle_at.is_some_and(|at| now >= at) {
-            self.idle_at = None;
+        if self.queue.is_empty() && self.release_at.is_some_and(|at| now >= at) {
+            self.release_at = None;
             self.lease.release();
         }
     }
 
-    fn send(&self, waiting: Waiting, permit: Permit) {
-        let deadline = self.clock.at(permit.deadline).min(waiting.deadline);
+    fn send(&self, queued: Queued, permit: Permit) {
+        let deadline = self.clock.to_tokio(permit.deadline).min(queued.deadline);
         task::spawn(async move {
-            let done = call(&waiting.target, permit.fence, &waiting.order, deadline).await;
-            drop(waiting.reply.send(done));
+            let result = post(&queued.target, permit.fence, &queued.order, deadline).await;
+            drop(queued.reply.send(result));
         });
     }
 
     /// When there is something to do without a new order.
     fn wake_at(&self) -> Option<Instant> {
-        let lease = self.clock.until(self.lease.wake_at());
-        let late = self.waiting.iter().map(|waiting| waiting.deadline).min();
+        let lease = self.clock.to_tokio_deadline(self.lease.wake_at());
+        let earliest_deadline = self.queue.iter().map(|queued| queued.deadline).min();
         // While orders wait, the lease may become clear at any time.
-        let look = (!self.waiting.is_empty()).then(|| Instant::now() + driver::PAUSE);
-        [lease, late, look, self.idle_at]
+        let poll = (!self.queue.is_empty()).then(|| Instant::now() + driver::POLL_INTERVAL);
+        [lease, earliest_deadline, poll, self.release_at]
             .into_iter()
             .flatten()
             .min()
@@ -258,33 +258,33 @@
 
 /// The body of an order.
 #[derive(Serialize)]
-struct Fenced<'a> {
+struct Body<'a> {
     fence: orders::Fence,
     order: &'a Order,
 }
 
 /// Sends one order. Its connection is closed when the call ends, so that
 /// nothing of it arrives after the deadline of the permit.
-async fn call(
+async fn post(
     target: &Target,
     fence: orders::Fence,
     order: &Order,
     deadline: Instant,
 ) -> Result<orders::Fence, Failure> {
     let unreachable = |error: storage::Error| Failure::Unreachable(error.to_string());
-    let body = serde_json::to_vec(&Fenced { fence, order })
+    let body = serde_json::to_vec(&Body { fence, order })
         .map_err(|error| Failure::Refused(error.to_string()))?;
     let request = http::request(Method::POST, "/orders", Bytes::from(body)).map_err(unreachable)?;
     let client = http::Client::new(target.address);
     match client.call(request, deadline).await {
-        Ok(answer) if answer.status.is_success() => Ok(fence),
-        Ok(answer) if answer.status == StatusCode::CONFLICT => Err(Failure::Refused(format!(
+        Ok(response) if response.status.is_success() => Ok(fence),
+        Ok(response) if response.status == StatusCode::CONFLICT => Err(Failure::Refused(format!(
             "the engine has seen a higher fencing number than {fence}"
         ))),
-        Ok(answer) if answer.status.is_client_error() => {
-            Err(Failure::Refused(format!("status {}", answer.status)))
+        Ok(response) if response.status.is_client_error() => {
+            Err(Failure::Refused(format!("status {}", response.status)))
         }
-        Ok(answer) => Err(Failure::Unknown(format!("status {}", answer.status))),
+        Ok(response) => Err(Failure::Unknown(format!("status {}", response.status))),
         Err(error @ storage::Error::MayHaveRun(_)) => Err(Failure::Unknown(error.to_string())),
         Err(error) => Err(unreachable(error)),
     }
--- a/crates/admin/src/orders/driver.rs
+++ b/crates/admin/src/orders/driver.rs
@@ -10,13 +10,13 @@
 use tokio::time::Instant;
 use units::{revision, time};
 
-use super::LEASE;
+use super::LEASE_KEY;
 
 /// How long one call to the table may take.
-const TIMEOUT: Duration = Duration::from_secs(2);
+const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// The time between two looks while something may become due.
-pub(super) const PAUSE: Duration = Duration::from_millis(50);
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Turns the process's clock into the instants of decisions.
 #[derive(Clone, Copy, Debug)]
@@ -38,13 +38,13 @@
     }
 
     /// The instant of the process's clock.
-    pub(super) fn at(self, instant: time::Instant) -> Instant {
+    pub(super) fn to_tokio(self, instant: time::Instant) -> Instant {
         self.origin + instant.since(time::Instant::ZERO)
     }
 
     /// The same, `None` for never.
-    pub(super) fn until(self, instant: time::Instant) -> Option<Instant> {
-        (instant < time::Instant::NEVER).then(|| self.at(instant))
+    pub(super) fn to_tokio_deadline(self, instant: time::Instant) -> Option<Instant> {
+        (instant < time::Instant::NEVER).then(|| self.to_tokio(instant))
     }
 }
 
@@ -65,7 +65,7 @@
     /// # Errors
     ///
     /// When the row could not be read. The lease asks for it again later.
-    pub(super) async fn work(&self, lease: &mut Lease) -> Result<(), Error> {
+    pub(super) async fn drive(&self, lease: &mut Lease) -> Result<(), Error> {
         while let Some(operation) = lease.next_operation(self.clock.now()) {
             match operation {
                 Operation::Read => self.read(lease).await?,
@@ -76,7 +76,10 @@
     }
 
     async fn read(&self, lease: &mut Lease) -> Result<(), Error> {
-        let read = self.table.read(LEASE, Instant::now() + TIMEOUT).await;
+        let read = self
+            .table
+            .read(LEASE_KEY, Instant::now() + CALL_TIMEOUT)
+            .await;
         let now = self.clock.now();
         let stored = match read.and_then(|row| row.map(parse).transpose()) {
             Ok(stored) => stored,
@@ -104,16 +107,16 @@
     ) -> WriteResult {
         let transaction = Transaction {
             checks: vec![Check {
-                key: String::from(LEASE),
+                key: String::from(LEASE_KEY),
                 generation,
             }],
             puts: vec![Put {
-                key: String::from(LEASE),
+                key: String::from(LEASE_KEY),
                 value,
             }],
             deletes: Vec::new(),
         };
-        let deadline = Instant::now() + TIMEOUT;
+        let deadline = Instant::now() + CALL_TIMEOUT;
         match self.table.transact(&transaction, deadline).await {
             Ok(generations) => generations
                 .first()
@@ -129,7 +132,7 @@
 
 fn parse(row: table::Row) -> Result<Stored, Error> {
     let value = serde_json::from_value(row.value)
-        .map_err(|error| Error::Rejected(format!("row {LEASE}: {error}")))?;
+        .map_err(|error| Error::Rejected(format!("row {LEASE_KEY}: {error}")))?;
     Ok(Stored {
         row: value,
         generation: row.generation,
--- a/crates/admin/src/process.rs
+++ b/crates/admin/src/process.rs
@@ -16,8 +16,8 @@
     api,
     fleet::Fleet,
     orders::Orders,
+    responses,
     settings::Settings,
-    show,
     store::{Health, Store},
 };
 
@@ -25,7 +25,7 @@
 const MAX_CONNECTIONS: usize = 256;
 
 /// How long calls under way may take after the process was told to end.
-const GRACE: time::Duration = time::Duration::from_secs(5);
+const SHUTDOWN_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
 /// A running administration. Dropping it ends its tasks.
 #[derive(Debug)]
@@ -44,7 +44,7 @@
 
     /// Stops listening, finishes the calls under way and ends.
     pub async fn stop(mut self) {
-        self.handle.stop_graceful(GRACE);
+        self.handle.stop_graceful(SHUTDOWN_TIMEOUT);
         while self.server.join_next().await.is_some() {}
     }
 }
@@ -65,23 +65,32 @@
         .map_err(io::Error::other)?;
     let address = address(&acceptor)?;
     let mut tasks = task::JoinSet::new();
-    tasks.spawn(follow(Arc::clone(&store)));
-    tasks.spawn(look(Arc::clone(&store), Arc::clone(&fleet)));
+    tasks.spawn(poll_table(Arc::clone(&store)));
+    tasks.spawn(poll_fleet(Arc::clone(&store), Arc::clone(&fleet)));
     tasks.spawn(compact(
         Arc::clone(&store),
         Arc::clone(&objects),
         settings.archive.clone(),
     ));
-    let desk = api::Desk {
+    let dispatcher = api::Dispatcher {
         orders: Orders::start(
             Arc::new(table::Client::new(settings.platform)),
-            settings.host.clone().unwrap_or_else(|| name(address)),
+            settings
+                .host
+                .clone()
+                .unwrap_or_else(|| default_host(address)),
             settings.orders.clone(),
             &mut tasks,
         ),
         hosts: Arc::new(hosts::Client::new(settings.platform)),
     };
-    let router = api::router(store, objects, fleet, desk, settings.operators.clone());
+    let router = api::router(
+        store,
+        objects,
+        fleet,
+        dispatcher,
+        settings.operators.clone(),
+    );
     let listener = Server::new(acceptor).max_connections(MAX_CONNECTIONS);
     let handle = listener.handle();
     let mut server = task::JoinSet::new();
@@ -95,7 +104,7 @@
 }
 
 /// The name of a process that was given none: its address in allowed characters.
-fn name(address: net::SocketAddr) -> host::Id {
+fn default_host(address: net::SocketAddr) -> host::Id {
     let text: String = address
         .to_string()
         .chars()
@@ -121,18 +130,18 @@
 }
 
 /// Keeps what is held up to the table.
-async fn follow(store: Arc<Store<table::Client>>) {
-    let mut ticks = time::interval(store.settings().poll);
+async fn poll_table(store: Arc<Store<table::Client>>) {
+    let mut ticks = time::interval(store.settings().poll_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let deadline = time::Instant::now() + store.settings().read_timeout;
-        let before = store.view().health;
+        let health_before = store.view().health;
         // The outcome is held by the store; here it only leaves a line in the log.
-        let read = store.refresh(deadline).await;
-        match (before, read) {
+        let result = store.refresh(deadline).await;
+        match (health_before, result) {
             (Health::Down(_), Ok(_)) => logging::event!(info, "platform_up"),
-            (Health::Up | Health::Unasked, Err(error)) => {
+            (Health::Up | Health::Unchecked, Err(error)) => {
                 logging::event!(warn, "platform_down", reason = error);
             }
             _ => {}
@@ -142,17 +151,23 @@
 
 /// Keeps the view of the fleet up to date: often while a change is on its way,
 /// else rarely, since the answer grows with the number of routers.
-async fn look(store: Arc<Store<table::Client>>, fleet: Arc<Fleet>) {
+async fn poll_fleet(store: Arc<Store<table::Client>>, fleet: Arc<Fleet>) {
     let settings = store.settings().clone();
     let mut changes = store.subscribe();
     loop {
-        fleet.look(settings.read_timeout).await;
-        if show::is_settled(&store.view(), &fleet.view()) {
+        fleet.poll(settings.read_timeout).await;
+        if responses::is_rolled_out(&store.view(), &fleet.view()) {
             let revision = store.view().version.snapshot.revision();
-            let moved = changes.wait_for(|view| view.version.snapshot.revision() != revision);
-            drop(time::timeout(settings.idle_look.max(fleet.pause()), moved).await);
+            let changed = changes.wait_for(|view| view.version.snapshot.revision() != revision);
+            drop(
+                time::timeout(
+                    settings.idle_poll_interval.max(fleet.min_poll_interval()),
+                    changed,
+                )
+                .await,
+            );
         } else {
-            time::sleep(settings.poll.max(fleet.pause())).await;
+            time::sleep(settings.poll_interval.max(fleet.min_poll_interval())).await;
         }
     }
 }
@@ -163,14 +178,14 @@
     objects: Arc<objects::Client>,
     settings: audit::settings::Archive,
 ) {
-    let mut ticks = time::interval(store.settings().compaction);
+    let mut ticks = time::interval(store.settings().compaction_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         let deadline = time::Instant::now() + store.settings().write_timeout;
         match archive::compact(store.table(), &*objects, &settings, deadline).await {
             Ok(0) => {}
-            Ok(moved) => logging::event!(info, "changes_archived", changes = moved),
+            Ok(archived) => logging::event!(info, "changes_archived", changes = archived),
             Err(error) => logging::event!(warn, "archive_failed", reason = error),
         }
         if let Err(error) = refusals::trim(store.table(), deadline).await {
--- a/crates/admin/src/show.rs
+++ b/crates/admin/src/responses.rs
@@ -15,20 +15,20 @@
 
 /// How fresh `view` is, `None` when nothing is held.
 pub fn freshness(view: &View, fleet: &fleet::View) -> Option<Freshness> {
-    let confirmed = view.confirmed?;
+    let confirmed_at = view.confirmed_at?;
     Some(Freshness {
         revision: view.version.snapshot.revision(),
-        age_ms: age(confirmed),
+        age_ms: elapsed_ms(confirmed_at),
         platform: match view.health {
             Health::Down(_) => String::from("down"),
-            Health::Up | Health::Unasked => String::from("up"),
+            Health::Up | Health::Unchecked => String::from("up"),
         },
-        fleet_age_ms: fleet.told.map(age),
+        fleet_age_ms: fleet.updated_at.map(elapsed_ms),
     })
 }
 
-fn age(then: time::Instant) -> u64 {
-    u64::try_from(then.elapsed().as_millis()).unwrap_or(u64::MAX)
+fn elapsed_ms(instant: time::Instant) -> u64 {
+    u64::try_from(instant.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
 /// All resources with their states, `None` when nothing is held.
@@ -74,25 +74,25 @@
     }
 }
 
-/// Whether `revision` is `done` or still `under_way`, and where it is missing.
+/// Whether `revision` is `reached` or still `in_progress`, and where it is missing.
 fn progress(
     revision: revision::Id,
     fleet: &fleet::View,
-    under_way: State,
-    done: State,
+    in_progress: State,
+    reached: State,
 ) -> (State, state::Zones) {
     let mut zones = state::coverage(revision, &fleet.routers);
     let state = if state::is_applied(&zones) {
-        done
+        reached
     } else {
-        under_way
+        in_progress
     };
     zones.retain(|_, zone| zone.applied < zone.routers || zone.lost > 0);
     (state, zones)
 }
 
 /// Whether every change held is in force as far as the fleet tells.
-pub fn is_settled(view: &View, fleet: &fleet::View) -> bool {
+pub fn is_rolled_out(view: &View, fleet: &fleet::View) -> bool {
     let revision = view.version.snapshot.revision();
     state::is_applied(&state::coverage(revision, &fleet.routers))
 }
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -12,13 +12,13 @@
 #[derive(Clone, Debug)]
 pub struct Store {
     /// How often a change is tried when others come first.
-    pub tries: u32,
+    pub max_attempts: u32,
     /// The time between two reads of the table.
-    pub poll: time::Duration,
+    pub poll_interval: time::Duration,
     /// The time between two looks at the fleet while nothing is on its way.
-    pub idle_look: time::Duration,
+    pub idle_poll_interval: time::Duration,
     /// The time between two looks for changes that move to the object store.
-    pub compaction: time::Duration,
+    pub compaction_interval: time::Duration,
     /// How long one look at the table or the fleet may take.
     pub read_timeout: time::Duration,
     /// How long one call that serves a change may take.
@@ -30,10 +30,10 @@
 impl Default for Store {
     fn default() -> Self {
         Self {
-            tries: 8,
-            poll: time::Duration::from_secs(1),
-            idle_look: time::Duration::from_secs(30),
-            compaction: time::Duration::from_secs(60),
+            max_attempts: 8,
+            poll_interval: time::Duration::from_secs(1),
+            idle_poll_interval: time::Duration::from_secs(30),
+            compaction_interval: time::Duration::from_secs(60),
             read_timeout: time::Duration::from_secs(1),
             call_timeout: time::Duration::from_secs(1),
             write_timeout: time::Duration::from_secs(4),
@@ -47,14 +47,14 @@
     /// How long leases last and orders take.
     pub lease: orders::Settings,
     /// How long the lease is kept after the last order.
-    pub keep: time::Duration,
+    pub idle_timeout: time::Duration,
 }
 
 impl Default for Orders {
     fn default() -> Self {
         Self {
             lease: orders::Settings::default(),
-            keep: time::Duration::from_secs(5),
+            idle_timeout: time::Duration::from_secs(5),
         }
     }
 }
--- a/crates/admin/src/store.rs
+++ b/crates/admin/src/store.rs
@@ -80,19 +80,19 @@
 
 /// How many reads without an answer a change outlasts. It is refused at the
 /// next, so that an operator learns of an outage at once.
-const MAX_UNREAD: u32 = 1;
+const MAX_READ_TIMEOUTS: u32 = 1;
 
 /// How one try at a proposal ended.
-enum Try {
+enum Attempt {
     Done(Result<Outcome, Failure>),
     /// Another change came first.
-    Overtaken,
+    Superseded,
     /// The answer of the platform was lost.
-    Lost(String),
+    OutcomeUnknown(String),
     /// The platform did not answer a read.
-    Unread(String),
+    ReadTimedOut(String),
     /// The platform is down, and nothing was written.
-    Down(String),
+    PlatformDown(String),
 }
 
 impl<T: Table> Store<T> {
@@ -100,8 +100,8 @@
     pub fn new(table: T, settings: settings::Store) -> Self {
         let (view, _) = watch::channel(View {
             version: Arc::new(Version::default()),
-            confirmed: None,
-            health: Health::Unasked,
+            confirmed_at: None,
+            health: Health::Unchecked,
             removed: BTreeMap::new(),
             pending: BTreeMap::new(),
         });
@@ -138,17 +138,17 @@
     ///
     /// [`reader::Error`], and what is held stands.
     pub async fn refresh(&self, deadline: time::Instant) -> Result<Arc<Version>, reader::Error> {
-        let held = self.view();
-        let asked = time::Instant::now();
-        let read = if held.confirmed.is_some() {
-            reader::advance(&self.table, &held.version, deadline).await
+        let current = self.view();
+        let requested_at = time::Instant::now();
+        let read = if current.confirmed_at.is_some() {
+            reader::advance(&self.table, &current.version, deadline).await
         } else {
             reader::load(&self.table, deadline).await
         };
         match read {
-            Ok(version) => Ok(self.hold(version, asked)),
+            Ok(version) => Ok(self.update(version, requested_at)),
             Err(error) => {
-                self.note_down(&error.to_string());
+                self.mark_down(&error.to_string());
                 Err(error)
             }
         }
@@ -168,35 +168,38 @@
         if let Health::Down(reason) = self.view().health {
             return Err(Failure::Unavailable(reason));
         }
-        self.note_proposed(proposal);
-        let done = self.settle(proposal, author, deadline).await;
-        self.view.send_modify(|view| match done {
-            Err(Failure::Unknown(_)) => view.doubt(&proposal.id),
+        self.record_pending(proposal);
+        let result = self.submit_with_retries(proposal, author, deadline).await;
+        self.view.send_modify(|view| match result {
+            Err(Failure::Unknown(_)) => view.mark_outcome_unknown(&proposal.id),
             _ => drop(view.pending.remove(&proposal.id)),
         });
-        done
+        result
     }
 
-    async fn settle(
+    async fn submit_with_retries(
         &self,
         proposal: &Proposal,
         author: &Author,
         deadline: time::Instant,
     ) -> Result<Outcome, Failure> {
-        let mut lost = None;
-        let mut unread = 0;
-        for _ in 0..self.settings.tries {
+        let mut lost_response = None;
+        let mut read_timeouts = 0;
+        for _ in 0..self.settings.max_attempts {
             match self.attempt(proposal, author, deadline).await {
-                Try::Done(done) => return done,
-                Try::Overtaken => {}
+                Attempt::Done(result) => return result,
+                Attempt::Superseded => {}
                 // The connection may have gone silent; the next try opens a fresh one.
-                Try::Unread(_) if unread < MAX_UNREAD => unread += 1,
-                Try::Unread(reason) => return Err(unfinished(lost, reason)),
-                Try::Lost(reason) => lost = Some(reason),
-                Try::Down(reason) => return Err(unfinished(lost, reason)),
+                Attempt::ReadTimedOut(_) if read_timeouts < MAX_READ_TIMEOUTS => read_timeouts += 1,
+                Attempt::ReadTimedOut(reason) => return Err(aborted(lost_response, reason)),
+                Attempt::OutcomeUnknown(reason) => lost_response = Some(reason),
+                Attempt::PlatformDown(reason) => return Err(aborted(lost_response, reason)),
             }
         }
-        Err(unfinished(lost, String::from("too many changes at once")))
+        Err(aborted(
+            lost_response,
+            String::from("too many changes at once"),
+        ))
     }
 
     /// Until when one call that serves a change may take.
@@ -204,7 +207,12 @@
         deadline.min(time::Instant::now() + self.settings.call_timeout)
     }
 
-    async fn attempt(&self, proposal: &Proposal, author: &Author, deadline: time::Instant) -> Try {
+    async fn attempt(
+        &self,
+        proposal: &Proposal,
+        author: &Author,
+        deadline: time::Instant,
+    ) -> Attempt {
         // The configuration is read first and the id second. If an earlier try
         // is still on its way, it either shows under its id now or fails later,
         // because this try judges the revision that the earlier one checks too.
@@ -212,24 +220,24 @@
         // change would look like another operator's.
         let version = match self.refresh(self.call_deadline(deadline)).await {
             Ok(version) => version,
-            Err(error) => return unread(&error),
+            Err(error) => return read_failure(&error),
         };
-        let read_by = self.call_deadline(deadline);
-        match reader::settled(&self.table, &proposal.id, read_by).await {
+        let read_deadline = self.call_deadline(deadline);
+        match reader::settled(&self.table, &proposal.id, read_deadline).await {
             Ok(Some(revision)) => {
                 self.catch_up(revision, deadline).await;
-                return Try::Done(Ok(Outcome::Repeated(revision)));
+                return Attempt::Done(Ok(Outcome::Repeated(revision)));
             }
             Ok(None) => {}
-            Err(error) => return unread(&error),
+            Err(error) => return read_failure(&error),
         }
-        let judged = proposal.judge(&version.snapshot, &author.who, author.when);
-        let change = match judged {
+        let judgement = proposal.judge(&version.snapshot, &author.who, author.when);
+        let change = match judgement {
             Ok(Judgement::Change(change)) => change,
             Ok(Judgement::Unchanged) => {
-                return Try::Done(Ok(Outcome::Unchanged(version.snapshot.revision())));
+                return Attempt::Done(Ok(Outcome::Unchanged(version.snapshot.revision())));
             }
-            Err(refusal) => return Try::Done(Err(Failure::Refused(refusal))),
+            Err(refusal) => return Attempt::Done(Err(Failure::Refused(refusal))),
         };
         self.commit(&version, change, deadline).await
     }
@@ -254,26 +262,26 @@
         }
     }
 
-    async fn commit(&self, version: &Version, change: Change, deadline: time::Instant) -> Try {
+    async fn commit(&self, version: &Version, change: Change, deadline: time::Instant) -> Attempt {
         let transaction = match transaction(version, &change) {
             Ok(transaction) => transaction,
-            Err(error) => return Try::Down(error.to_string()),
+            Err(error) => return Attempt::PlatformDown(error.to_string()),
         };
-        let written_by = self.call_deadline(deadline);
-        match self.table.transact(&transaction, written_by).await {
+        let write_deadline = self.call_deadline(deadline);
+        match self.table.transact(&transaction, write_deadline).await {
             Ok(generations) => {
-                self.hold_change(version, &change, generations.first().copied());
-                Try::Done(Ok(Outcome::Accepted(change.to)))
+                self.apply_committed(version, &change, generations.first().copied());
+                Attempt::Done(Ok(Outcome::Accepted(change.to)))
             }
-            Err(storage::Error::Conflict(_)) => Try::Overtaken,
-            Err(storage::Error::MayHaveRun(reason)) => Try::Lost(reason),
+            Err(storage::Error::Conflict(_)) => Attempt::Superseded,
+            Err(storage::Error::MayHaveRun(reason)) => Attempt::OutcomeUnknown(reason),
             Err(storage::Error::NotRun(reason) | storage::Error::Rejected(reason)) => {
-                Try::Down(reason)
+                Attempt::PlatformDown(reason)
             }
         }
     }
 
-    fn hold_change(
+    fn apply_committed(
         &self,
         version: &Version,
         change: &Change,
@@ -285,54 +293,56 @@
                 snapshot,
                 generation,
             };
-            self.hold(version, time::Instant::now());
+            self.update(version, time::Instant::now());
         }
     }
 
-    /// Holds `version`, for which the table was asked at `asked`, unless a later
+    /// Holds `version`, for which the table was asked at `requested_at`, unless a later
     /// one is held. Gives `version` back.
-    fn hold(&self, version: Version, asked: time::Instant) -> Arc<Version> {
+    fn update(&self, version: Version, requested_at: time::Instant) -> Arc<Version> {
         let version = Arc::new(version);
-        let offered = Arc::clone(&version);
+        let candidate = Arc::clone(&version);
         self.view.send_modify(|view| {
             // Two tasks may read the table at once and come back in either order.
-            if view.confirmed.is_none()
-                || offered.snapshot.revision() >= view.version.snapshot.revision()
+            if view.confirmed_at.is_none()
+                || candidate.snapshot.revision() >= view.version.snapshot.revision()
             {
-                view.advance(offered);
+                view.advance(candidate);
             }
             // A slow answer shows the table as it stood at some time since it was asked.
-            view.confirmed = view.confirmed.max(Some(asked));
+            view.confirmed_at = view.confirmed_at.max(Some(requested_at));
             view.health = Health::Up;
         });
         version
     }
 
-    fn note_proposed(&self, proposal: &Proposal) {
+    fn record_pending(&self, proposal: &Proposal) {
         let put = proposal.puts.iter().map(Resource::key);
         let keys = put.chain(proposal.deletes.iter().cloned()).collect();
         self.view
-            .send_modify(|view| view.propose(proposal.id.clone(), keys));
+            .send_modify(|view| view.insert_pending(proposal.id.clone(), keys));
     }
 
-    fn note_down(&self, reason: &str) {
+    fn mark_down(&self, reason: &str) {
         self.view
             .send_modify(|view| view.health = Health::Down(String::from(reason)));
     }
 }
 
 /// The end of a try that could not read.
-fn unread(error: &reader::Error) -> Try {
+fn read_failure(error: &reader::Error) -> Attempt {
     match error {
-        reader::Error::Platform(storage::Error::MayHaveRun(reason)) => Try::Unread(reason.clone()),
-        other => Try::Down(other.to_string()),
+        reader::Error::Platform(storage::Error::MayHaveRun(reason)) => {
+            Attempt::ReadTimedOut(reason.clone())
+        }
+        other => Attempt::PlatformDown(other.to_string()),
     }
 }
 
 /// The failure of a proposal that was given up for `reason`.
-fn unfinished(lost: Option<String>, reason: String) -> Failure {
-    match lost {
-        Some(lost) => Failure::Unknown(format!("{lost}; {reason}")),
+fn aborted(lost_response: Option<String>, reason: String) -> Failure {
+    match lost_response {
+        Some(lost_response) => Failure::Unknown(format!("{lost_response}; {reason}")),
         None => Failure::Unavailable(reason),
     }
 }
--- a/crates/admin/src/store/view.rs
+++ b/crates/admin/src/store/view.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Health {
     /// It has not been asked.
-    Unasked,
+    Unchecked,
     /// It answered.
     Up,
     /// It did not, for this reason.
@@ -24,7 +24,7 @@
     /// The configuration.
     pub version: Arc<Version>,
     /// When the table last confirmed it. `None`: never.
-    pub confirmed: Option<time::Instant>,
+    pub confirmed_at: Option<time::Instant>,
     /// Whether the platform answers.
     pub health: Health,
     /// The resources deleted lately and the revisions without them.
@@ -39,7 +39,7 @@
     /// The resources that it puts and deletes.
     pub keys: Vec<key::Key>,
     /// The revision held when it was given up with an unknown outcome.
-    given_up: Option<revision::Id>,
+    abandoned_at: Option<revision::Id>,
 }
 
 /// The most deleted resources that are remembered.
@@ -69,25 +69,28 @@
         }
         // A change of unknown outcome is settled by the next revision, be it its
         // own or another's: it checks that there is none.
-        self.pending
-            .retain(|_, pending| pending.given_up.is_none_or(|held| held >= revision));
+        self.pending.retain(|_, pending| {
+            pending
+                .abandoned_at
+                .is_none_or(|current| current >= revision)
+        });
         self.version = version;
     }
 
     /// Remembers that a change of `keys` was proposed.
-    pub(super) fn propose(&mut self, id: change::Id, keys: Vec<key::Key>) {
-        let given_up = None;
-        self.pending.insert(id, Pending { keys, given_up });
+    pub(super) fn insert_pending(&mut self, id: change::Id, keys: Vec<key::Key>) {
+        let abandoned_at = None;
+        self.pending.insert(id, Pending { keys, abandoned_at });
         if self.pending.len() > MAX_PENDING {
             self.pending.pop_first();
         }
     }
 
     /// Notes that the change `id` was given up with an unknown outcome.
-    pub(super) fn doubt(&mut self, id: &change::Id) {
-        let held = self.version.snapshot.revision();
+    pub(super) fn mark_outcome_unknown(&mut self, id: &change::Id) {
+        let current = self.version.snapshot.revision();
         if let Some(pending) = self.pending.get_mut(id) {
-            pending.given_up = Some(held);
+            pending.abandoned_at = Some(current);
         }
     }
 }
--- a/crates/admin/tests/fakes/table.rs
+++ b/crates/admin/tests/fakes/table.rs
@@ -14,28 +14,28 @@
 
 /// What becomes of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum Behavior {
     /// It is carried out and answered.
     Answered,
     /// It is not carried out, and the caller knows.
     Refused,
     /// It is carried out and its answer is lost.
-    AnswerLost,
+    ResponseLost,
     /// It is never carried out and the caller does not know.
-    CallLost,
+    RequestLost,
     /// The caller gives up, and it is carried out some steps later.
-    Late(u8),
+    Delayed(u8),
 }
 
 /// How many steps a call waits before it is carried out, and its fate.
-pub type Step = (u8, Fate);
+pub type Step = (u8, Behavior);
 
 /// A table in memory; its clones are the same table.
 #[derive(Clone, Debug, Default)]
 pub struct Fake {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
     script: Arc<Mutex<VecDeque<Step>>>,
-    late: Arc<Mutex<Vec<task::JoinHandle<()>>>>,
+    delayed: Arc<Mutex<Vec<task::JoinHandle<()>>>>,
 }
 
 impl Fake {
@@ -49,9 +49,9 @@
     }
 
     /// Waits for the calls that are carried out late.
-    pub async fn settle(&self) {
-        let late: Vec<_> = self.late.lock().expect("lock").drain(..).collect();
-        for call in late {
+    pub async fn join_delayed(&self) {
+        let delayed: Vec<_> = self.delayed.lock().expect("lock").drain(..).collect();
+        for call in delayed {
             call.await.expect("late call");
         }
     }
@@ -64,23 +64,23 @@
         }
     }
 
-    async fn next(&self) -> Fate {
+    async fn next_step(&self) -> Behavior {
         let step = self.script.lock().expect("lock").pop_front();
-        let (wait, fate) = step.unwrap_or((0, Fate::Answered));
-        pause(wait).await;
-        fate
+        let (wait, behavior) = step.unwrap_or((0, Behavior::Answered));
+        yield_steps(wait).await;
+        behavior
     }
 
     /// A read changes nothing, so whether it was carried out makes no difference.
-    async fn read_fails(&self) -> Result<(), Error> {
-        match self.next().await {
-            Fate::Answered => Ok(()),
-            Fate::Refused => Err(Error::NotRun(String::from("script"))),
+    async fn check_read(&self) -> Result<(), Error> {
+        match self.next_step().await {
+            Behavior::Answered => Ok(()),
+            Behavior::Refused => Err(Error::NotRun(String::from("script"))),
             _ => Err(Error::MayHaveRun(String::from("script"))),
         }
     }
 
-    fn carry_out(&self, transaction: &Transaction) -> Result<Vec<revision::Generation>, Error> {
+    fn execute(&self, transaction: &Transaction) -> Result<Vec<revision::Generation>, Error> {
         let mut rows = self.rows.lock().expect("lock");
         let generation = |rows: &BTreeMap<String, Row>, key: &str| {
             rows.get(key).map(|row| row.generation).unwrap_or_default()
@@ -100,10 +100,10 @@
         for key in &transaction.deletes {
             rows.remove(key);
         }
-        let mut made = Vec::new();
+        let mut generations = Vec::new();
         for put in &transaction.puts {
             let generation = generation(&rows, &put.key).next();
-            made.push(generation);
+            generations.push(generation);
             let row = Row {
                 key: put.key.clone(),
                 value: put.value.clone(),
@@ -111,18 +111,18 @@
             };
             rows.insert(put.key.clone(), row);
         }
-        Ok(made)
+        Ok(generations)
     }
 }
 
 impl Table for Fake {
     async fn read(&self, key: &str, _deadline: time::Instant) -> Result<Option<Row>, Error> {
-        self.read_fails().await?;
+        self.check_read().await?;
         Ok(self.rows.lock().expect("lock").get(key).cloned())
     }
 
     async fn scan(&self, range: &Range, _deadline: time::Instant) -> Result<Vec<Row>, Error> {
-        self.read_fails().await?;
+        self.check_read().await?;
         let rows = self.rows.lock().expect("lock");
         let listed = rows.values().filter(|row| {
             row.key.starts_with(&range.prefix) && row.key.as_str() >= range.from.as_str()
@@ -138,29 +138,29 @@
         transaction: &Transaction,
         _deadline: time::Instant,
     ) -> Result<Vec<revision::Generation>, Error> {
-        let lost = || Error::MayHaveRun(String::from("script"));
-        match self.next().await {
-            Fate::Answered => self.carry_out(transaction),
-            Fate::Refused => Err(Error::NotRun(String::from("script"))),
-            Fate::CallLost => Err(lost()),
-            Fate::AnswerLost => {
-                drop(self.carry_out(transaction));
-                Err(lost())
+        let response_lost = || Error::MayHaveRun(String::from("script"));
+        match self.next_step().await {
+            Behavior::Answered => self.execute(transaction),
+            Behavior::Refused => Err(Error::NotRun(String::from("script"))),
+            Behavior::RequestLost => Err(response_lost()),
+            Behavior::ResponseLost => {
+                drop(self.execute(transaction));
+                Err(response_lost())
             }
-            Fate::Late(wait) => {
+            Behavior::Delayed(wait) => {
                 let (table, transaction) = (self.clone(), transaction.clone());
                 let call = task::spawn(async move {
-                    pause(wait).await;
-                    drop(table.carry_out(&transaction));
+                    yield_steps(wait).await;
+                    drop(table.execute(&transaction));
                 });
-                self.late.lock().expect("lock").push(call);
-                Err(lost())
+                self.delayed.lock().expect("lock").push(call);
+                Err(response_lost())
             }
         }
     }
 }
 
-async fn pause(steps: u8) {
+async fn yield_steps(steps: u8) {
     for _ in 0..steps {
         task::yield_now().await;
     }
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -12,19 +12,19 @@
 use serde_json::{Value, json};
 use standin::{
     engine,
-    platform::{self as stand, Fault},
+    platform::{self as platform_standin, Fault},
 };
 use storage::http;
 use tokio::time::{self, Instant};
 
 const ROUNDS: usize = 4;
 
-fn settings(platform: &stand::Handle, host: &str) -> Settings {
+fn settings(platform: &platform_standin::Handle, host: &str) -> Settings {
     Settings {
         platform: platform.address(),
         host: Some(host.parse().expect("name")),
         store: settings::Store {
-            poll: Duration::from_millis(20),
+            poll_interval: Duration::from_millis(20),
             ..settings::Store::default()
         },
         orders: settings::Orders {
@@ -35,7 +35,7 @@
                 clock_margin: Duration::from_millis(50),
                 retry_delay: Duration::from_millis(50),
             },
-            keep: Duration::from_millis(100),
+            idle_timeout: Duration::from_millis(100),
         },
         ..Settings::default()
     }
@@ -55,18 +55,18 @@
         "type": "pool", "name": "engines", "kind": "engine", "checks_fencing": checks,
         "servers": [{"name": "e1", "zone": "a", "address": engine.address().to_string()}],
     }]});
-    let answer = post(process, "/v1/changes", &change).await;
-    assert_eq!(StatusCode::OK, answer.status, "{answer:?}");
+    let response = post(process, "/v1/changes", &change).await;
+    assert_eq!(StatusCode::OK, response.status, "{response:?}");
 }
 
 /// Waits until `process` knows the engine.
-async fn known(process: &Process) {
+async fn wait_for_engine(process: &Process) {
     let client = http::Client::new(process.address());
     loop {
         let request = http::request(Method::GET, "/v1/resources/pool/engines", Bytes::new());
         let deadline = Instant::now() + Duration::from_secs(60);
-        let answer = client.call(request.expect("request"), deadline).await;
-        if answer.expect("answer").status == StatusCode::OK {
+        let response = client.call(request.expect("request"), deadline).await;
+        if response.expect("answer").status == StatusCode::OK {
             return;
         }
         time::sleep(Duration::from_millis(5)).await;
@@ -74,16 +74,16 @@
 }
 
 /// Gives one order, again while the other one holds the lease.
-async fn give(process: &Process, model: String) -> String {
+async fn submit(process: &Process, model: String) -> String {
     let order = json!({"server": "e1", "order": {"kind": "load", "model": model}});
     loop {
-        let answer = post(process, "/v1/orders", &order).await;
-        match answer.status {
+        let response = post(process, "/v1/orders", &order).await;
+        match response.status {
             StatusCode::OK => return model,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::CONFLICT => {
                 time::sleep(Duration::from_millis(20)).await;
             }
-            status => panic!("{status}: {answer:?}"),
+            status => panic!("{status}: {response:?}"),
         }
     }
 }
@@ -96,8 +96,10 @@
     ignored = { false },
 )]
 #[test_macro(tokio::test)]
-async fn orders_of_two_holders_do_not_mix(checks: bool) {
-    let platform = stand::start(stand::Settings::default()).await.unwrap();
+async fn orders_of_two_lease_holders_do_not_interleave(checks: bool) {
+    let platform = platform_standin::start(platform_standin::Settings::default())
+        .await
+        .unwrap();
     let engine = engine::start(engine::Settings {
         checks_fence: checks,
         ..engine::Settings::default()
@@ -106,47 +108,49 @@
     let one = process::start(&settings(&platform, "one")).await.unwrap();
     let two = process::start(&settings(&platform, "two")).await.unwrap();
     declare(&one, &engine, checks).await;
-    tokio::join!(known(&one), known(&two));
-    let mut given = Vec::new();
+    tokio::join!(wait_for_engine(&one), wait_for_engine(&two));
+    let mut submitted = Vec::new();
     for round in 0..ROUNDS {
-        let first = give(&one, format!("one-{round}"));
-        let second = give(&two, format!("two-{round}"));
-        given.extend(<[String; 2]>::from(tokio::join!(first, second)));
+        let first = submit(&one, format!("one-{round}"));
+        let second = submit(&two, format!("two-{round}"));
+        submitted.extend(<[String; 2]>::from(tokio::join!(first, second)));
     }
-    given.sort();
-    let carried_out = engine.orders();
-    let fences: Vec<u64> = carried_out.iter().map(|fenced| fenced.fence).collect();
+    submitted.sort();
+    let executed = engine.orders();
+    let fences: Vec<u64> = executed.iter().map(|fenced| fenced.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
     // No fencing number was used by both.
-    for pair in carried_out.windows(2) {
+    for pair in executed.windows(2) {
         let name = |fenced: &engine::Fenced| fenced.order.model.clone().unwrap_or_default();
         let (before, after) = (name(&pair[0]), name(&pair[1]));
         if before.split('-').next() != after.split('-').next() {
             assert!(pair[0].fence < pair[1].fence, "{before} and {after}");
         }
     }
-    let mut models: Vec<String> = carried_out
+    let mut models: Vec<String> = executed
         .iter()
         .filter_map(|fenced| fenced.order.model.clone())
         .collect();
     models.sort();
-    assert_eq!(given, models, "each once");
+    assert_eq!(submitted, models, "each once");
 }
 
 // The platform is down, so nobody can tell who holds the lease. An order sent
 // all the same could cross one of the true holder.
 #[tokio::test]
-async fn without_the_platform_no_order_is_sent() {
-    let platform = stand::start(stand::Settings::default()).await.unwrap();
+async fn no_order_is_sent_while_the_platform_is_down() {
+    let platform = platform_standin::start(platform_standin::Settings::default())
+        .await
+        .unwrap();
     let engine = engine::start(engine::Settings::default()).await.unwrap();
     let process = process::start(&settings(&platform, "one")).await.unwrap();
     declare(&process, &engine, true).await;
     platform.fault(Fault::Down);
     let order = json!({"server": "e1", "order": {"kind": "load", "model": "m"}});
     loop {
-        let answer = post(&process, "/v1/orders", &order).await;
-        assert_eq!(StatusCode::SERVICE_UNAVAILABLE, answer.status);
-        let failure: Failure = http::parse(&answer).unwrap();
+        let response = post(&process, "/v1/orders", &order).await;
+        assert_eq!(StatusCode::SERVICE_UNAVAILABLE, response.status);
+        let failure: Failure = http::parse(&response).unwrap();
         assert_eq!(Verdict::NotRun, failure.error.verdict);
         if failure.error.code == Code::PlatformDown {
             break;
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -18,7 +18,7 @@
 };
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
-use standin::platform::{self as stand, Fault};
+use standin::platform::{self as platform_standin, Fault};
 use storage::http;
 use tokio::{
     task,
@@ -28,12 +28,12 @@
 const ROUNDS: u64 = 24;
 
 /// A `weir-admin` that is to be paused and killed.
-struct Victim {
+struct Instance {
     child: Child,
     address: SocketAddr,
 }
 
-impl Victim {
+impl Instance {
     fn start(platform: SocketAddr) -> Self {
         let mut child = Command::new(env!("CARGO_BIN_EXE_weir-admin"))
             .args(["--listen", "127.0.0.1:0", "--platform"])
@@ -60,7 +60,7 @@
     }
 }
 
-impl Drop for Victim {
+impl Drop for Instance {
     fn drop(&mut self) {
         drop(self.child.kill());
         drop(self.child.wait());
@@ -75,9 +75,9 @@
     client.call(request, deadline).await.expect("answer")
 }
 
-/// Sends `change` to `victim` and nobody waits for the answer.
-fn abandon(victim: &Victim, change: &Value) {
-    let (address, body) = (victim.address, Bytes::from(change.to_string()));
+/// Sends `change` to `instance` and nobody waits for the answer.
+fn send_and_forget(instance: &Instance, change: &Value) {
+    let (address, body) = (instance.address, Bytes::from(change.to_string()));
     task::spawn(async move {
         let request = http::request(Method::POST, "/v1/changes", body).expect("request");
         let deadline = Instant::now() + Duration::from_secs(5);
@@ -87,14 +87,14 @@
 }
 
 async fn list(process: &Process) -> List {
-    let answer = call(
+    let response = call(
         process.address(),
         Method::GET,
         "/v1/resources",
         &Value::Null,
     )
     .await;
-    http::parse(&answer).expect("list")
+    http::parse(&response).expect("list")
 }
 
 /// The change that sets the weight of the workspace to `weight`.
@@ -115,18 +115,20 @@
 // wakes up in the middle of the next change and goes on with what it was doing.
 // Operators would notice a change that counts twice or undoes a later one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_cut_off_by_a_pause_or_a_kill_is_applied_once() {
-    let platform = stand::start(stand::Settings::default()).await.unwrap();
+async fn a_change_interrupted_by_a_pause_or_a_kill_is_applied_once() {
+    let platform = platform_standin::start(platform_standin::Settings::default())
+        .await
+        .unwrap();
     let settings = Settings {
         platform: platform.address(),
         store: settings::Store {
-            poll: Duration::from_millis(20),
+            poll_interval: Duration::from_millis(20),
             ..settings::Store::default()
         },
         ..Settings::default()
     };
     let healthy = process::start(&settings).await.unwrap();
-    let mut victims = [0, 1].map(|_| Victim::start(platform.address()));
+    let mut instances = [0, 1].map(|_| Instance::start(platform.address()));
     while call(healthy.address(), Method::GET, "/readyz", &Value::Null)
         .await
         .status
@@ -138,39 +140,45 @@
     for round in 1..=ROUNDS {
         let (now, next) = if round % 2 == 0 { (0, 1) } else { (1, 0) };
         let change = change(round, &list(&healthy).await);
-        abandon(&victims[now], &change);
+        send_and_forget(&instances[now], &change);
         time::sleep(Duration::from_millis(round)).await;
-        victims[now].signal(if round % 5 == 0 { "KILL" } else { "STOP" });
+        instances[now].signal(if round % 5 == 0 { "KILL" } else { "STOP" });
         // The one that was paused in the last round wakes up.
-        victims[next].signal("CONT");
-        let answer = call(healthy.address(), Method::POST, "/v1/changes", &change).await;
-        assert_eq!(StatusCode::OK, answer.status, "round {round}: {answer:?}");
+        instances[next].signal("CONT");
+        let response = call(healthy.address(), Method::POST, "/v1/changes", &change).await;
+        assert_eq!(
+            StatusCode::OK,
+            response.status,
+            "round {round}: {response:?}"
+        );
         if round % 5 == 0 {
-            victims[now] = Victim::start(platform.address());
+            instances[now] = Instance::start(platform.address());
         }
     }
-    for victim in &victims {
-        victim.signal("CONT");
+    for instance in &instances {
+        instance.signal("CONT");
     }
     // What is still on its way lands or fails before the last change is made.
     platform.fault(Fault::Normal);
     let last = change(ROUNDS + 1, &list(&healthy).await);
-    let answer = call(healthy.address(), Method::POST, "/v1/changes", &last).await;
-    assert_eq!(StatusCode::OK, answer.status, "{answer:?}");
-    drop(victims);
+    let response = call(healthy.address(), Method::POST, "/v1/changes", &last).await;
+    assert_eq!(StatusCode::OK, response.status, "{response:?}");
+    drop(instances);
     check(&healthy).await;
 }
 
 // An administration is told to end while a change is under way. If it ended at
 // once, the operator would not know what became of the change.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_shutdown_lets_a_change_under_way_finish() {
-    let platform = stand::start(stand::Settings::default()).await.unwrap();
-    let mut victim = Victim::start(platform.address());
-    let address = victim.address;
+async fn graceful_shutdown_completes_changes_in_flight() {
+    let platform = platform_standin::start(platform_standin::Settings::default())
+        .await
+        .unwrap();
+    let mut instance = Instance::start(platform.address());
+    let address = instance.address;
     let is_ready = async || {
-        let answer = call(address, Method::GET, "/readyz", &Value::Null).await;
-        answer.status == StatusCode::OK
+        let response = call(address, Method::GET, "/readyz", &Value::Null).await;
+        response.status == StatusCode::OK
     };
     while !is_ready().await {
         time::sleep(Duration::from_millis(5)).await;
@@ -179,16 +187,16 @@
     let put = json!({"id": "last", "puts": [{"type": "zone", "name": "a"}]});
     let change = task::spawn(async move { call(address, Method::POST, "/v1/changes", &put).await });
     loop {
-        let answer = call(address, Method::GET, "/v1/resources", &Value::Null).await;
-        let list: List = http::parse(&answer).unwrap();
+        let response = call(address, Method::GET, "/v1/resources", &Value::Null).await;
+        let list: List = http::parse(&response).unwrap();
         if !list.pending.is_empty() {
             break;
         }
         time::sleep(Duration::from_millis(5)).await;
     }
-    victim.signal("TERM");
+    instance.signal("TERM");
     assert_eq!(StatusCode::OK, change.await.unwrap().status);
-    let ended = task::spawn_blocking(move || victim.child.wait())
+    let ended = task::spawn_blocking(move || instance.child.wait())
         .await
         .unwrap();
     assert_eq!(Some(0), ended.unwrap().code());
@@ -197,8 +205,8 @@
 /// Checks that each round was applied once, in order.
 async fn check(process: &Process) {
     let path = "/v1/changes?from=1";
-    let answer = call(process.address(), Method::GET, path, &Value::Null).await;
-    let history: History = http::parse(&answer).expect("history");
+    let response = call(process.address(), Method::GET, path, &Value::Null).await;
+    let history: History = http::parse(&response).expect("history");
     let mut replayed = Snapshot::default();
     for change in &history.changes {
         assert_eq!(Ok(()), replayed.apply(change));
@@ -213,7 +221,7 @@
         .collect();
     assert_eq!(expected, ids);
     let list = list(process).await;
-    let held: Vec<_> = list
+    let listed_resources: Vec<_> = list
         .resources
         .iter()
         .map(|listed| &listed.resource)
@@ -222,5 +230,5 @@
         .resources()
         .map(|declared| &declared.resource)
         .collect();
-    assert_eq!(logged, held);
+    assert_eq!(logged, listed_resources);
 }
--- a/crates/admin/tests/race.rs
+++ b/crates/admin/tests/race.rs
@@ -26,7 +26,7 @@
     Error,
     table::{Range, Row, Table, Transaction},
 };
-use table::{Fake, Fate, Step};
+use table::{Behavior, Fake, Step};
 use tokio::{runtime, sync::watch, task, time};
 use units::{change, revision};
 
@@ -34,7 +34,7 @@
 const CHANGES: u64 = 3;
 
 /// More tries than a script has failures.
-const TRIES: usize = 100;
+const MAX_ATTEMPTS: usize = 100;
 
 fn deadline() -> time::Instant {
     time::Instant::now() + time::Duration::from_secs(3_600)
@@ -69,14 +69,14 @@
 
 /// What the operators were told.
 #[derive(Debug, Default)]
-struct Told {
+struct Reported {
     accepted: BTreeMap<change::Id, revision::Id>,
     refused: BTreeSet<change::Id>,
 }
 
 /// An operator that adds one to a shared weight again and again, each time
 /// from what it has read, and repeats a change of unknown outcome.
-async fn operate(operator: u64, store: Arc<Store<Fake>>, told: Arc<Mutex<Told>>) {
+async fn run_operator(operator: u64, store: Arc<Store<Fake>>, reported: Arc<Mutex<Reported>>) {
     let author = Author {
         who: format!("operator-{operator}").parse().expect("name"),
         when: 0,
@@ -86,82 +86,82 @@
         // A failed read leaves what is held; a change from it then meets a conflict.
         drop(store.refresh(deadline()).await);
         let proposal = increment(&id, &store.view().version.snapshot);
-        let mut unsure = false;
-        for _ in 0..TRIES {
-            let done = store.submit(&proposal, &author, deadline()).await;
-            let mut told = told.lock().expect("lock");
-            match done {
+        let mut outcome_unknown = false;
+        for _ in 0..MAX_ATTEMPTS {
+            let result = store.submit(&proposal, &author, deadline()).await;
+            let mut reported = reported.lock().expect("lock");
+            match result {
                 Ok(Outcome::Accepted(revision) | Outcome::Repeated(revision)) => {
-                    told.accepted.insert(id.clone(), revision);
+                    reported.accepted.insert(id.clone(), revision);
                     break;
                 }
                 Ok(Outcome::Unchanged(_)) => panic!("an increment changes something"),
                 Err(Failure::Refused(_)) => {
-                    told.refused.insert(id.clone());
+                    reported.refused.insert(id.clone());
                     break;
                 }
                 // Every second operator believes that its change was not run,
                 // unless an earlier try may have been.
-                Err(Failure::Unavailable(_)) if operator % 2 == 1 && !unsure => {
-                    told.refused.insert(id.clone());
+                Err(Failure::Unavailable(_)) if operator % 2 == 1 && !outcome_unknown => {
+                    reported.refused.insert(id.clone());
                     break;
                 }
                 Err(Failure::Unavailable(_)) => {}
-                Err(Failure::Unknown(_)) => unsure = true,
+                Err(Failure::Unknown(_)) => outcome_unknown = true,
             }
-            drop(told);
+            drop(reported);
             drop(store.refresh(deadline()).await);
         }
     }
 }
 
 /// Fails when what `store` holds goes back, until nothing changes it any more.
-async fn observe(mut view: watch::Receiver<View>) {
+async fn assert_revisions_never_decrease(mut view: watch::Receiver<View>) {
     let mut highest = revision::Id::default();
     while view.changed().await.is_ok() {
-        let held = view.borrow_and_update().version.snapshot.revision();
+        let current = view.borrow_and_update().version.snapshot.revision();
         assert!(
-            held >= highest,
-            "a store went back from {highest} to {held}"
+            current >= highest,
+            "a store went back from {highest} to {current}"
         );
-        highest = held;
+        highest = current;
     }
 }
 
 async fn race(script: Vec<Step>) -> Result<(), TestCaseError> {
     let table = Fake::new(script);
-    let told = Arc::new(Mutex::new(Told::default()));
+    let reported = Arc::new(Mutex::new(Reported::default()));
     let stores: Vec<_> = (0..2)
         .map(|_| Arc::new(Store::new(table.clone(), settings::Store::default())))
         .collect();
     let mut observers = task::JoinSet::new();
     for store in &stores {
-        observers.spawn(observe(store.subscribe()));
+        observers.spawn(assert_revisions_never_decrease(store.subscribe()));
     }
     let mut operators = task::JoinSet::new();
     for operator in 0..OPERATORS {
         let store = Arc::clone(&stores[operator as usize % stores.len()]);
-        operators.spawn(operate(operator, store, Arc::clone(&told)));
+        operators.spawn(run_operator(operator, store, Arc::clone(&reported)));
     }
     while let Some(ended) = operators.join_next().await {
         ended.expect("operator");
     }
-    table.settle().await;
+    table.join_delayed().await;
     drop(stores);
     while let Some(ended) = observers.join_next().await {
         ended.expect("observer");
     }
-    let told = mem::take(&mut *told.lock().expect("lock"));
-    check(&table, &told).await
+    let reported = mem::take(&mut *reported.lock().expect("lock"));
+    check(&table, &reported).await
 }
 
 /// Compares the table with what the operators were told.
-async fn check(table: &Fake, told: &Told) -> Result<(), TestCaseError> {
-    let clean = table.without_faults();
+async fn check(table: &Fake, reported: &Reported) -> Result<(), TestCaseError> {
+    let faultless = table.without_faults();
     let range = reader::range(revision::Id(1), None);
-    let log = reader::changes(&clean, &range, deadline()).await;
+    let log = reader::changes(&faultless, &range, deadline()).await;
     let log = log.expect("log");
-    let version = reader::load(&clean, deadline()).await.expect("load");
+    let version = reader::load(&faultless, deadline()).await.expect("load");
     let mut replayed = Snapshot::default();
     for change in &log {
         prop_assert_eq!(Ok(()), replayed.apply(change), "one order without gaps");
@@ -172,8 +172,12 @@
         .map(|change| (change.id.clone(), change.to))
         .collect();
     prop_assert_eq!(logged.len(), log.len(), "no change twice");
-    prop_assert_eq!(&told.accepted, &logged, "accepted changes and no others");
-    for id in &told.refused {
+    prop_assert_eq!(
+        &reported.accepted,
+        &logged,
+        "accepted changes and no others"
+    );
+    for id in &reported.refused {
         prop_assert!(!logged.contains_key(id), "{} was said not to have run", id);
     }
     let expected = increment(&"x".parse().expect("name"), &version.snapshot);
@@ -183,14 +187,14 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let fate = prop_oneof![
-        6 => Just(Fate::Answered),
-        1 => Just(Fate::Refused),
-        1 => Just(Fate::AnswerLost),
-        1 => Just(Fate::CallLost),
-        2 => (0_u8..12).prop_map(Fate::Late),
+    let behavior = prop_oneof![
+        6 => Just(Behavior::Answered),
+        1 => Just(Behavior::Refused),
+        1 => Just(Behavior::ResponseLost),
+        1 => Just(Behavior::RequestLost),
+        2 => (0_u8..12).prop_map(Behavior::Delayed),
     ];
-    prop::collection::vec((0_u8..5, fate), 0..80)
+    prop::collection::vec((0_u8..5, behavior), 0..80)
 }
 
 proptest! {
@@ -206,7 +210,7 @@
     // caller gave up. Operators would notice an update that is gone, one that
     // counts twice, or a change that was said not to have run and is in force.
     #[test]
-    fn racing_operators_with_lost_answers_lose_nothing(script in steps()) {
+    fn racing_operators_lose_no_update_when_responses_are_lost(script in steps()) {
         let runtime = runtime::Builder::new_current_thread().enable_time().build()?;
         runtime.block_on(race(script))?;
     }
@@ -216,21 +220,21 @@
 // say what became of the change. An operator would see it as declared for ever,
 // although it was in force.
 #[tokio::test]
-async fn a_change_of_unknown_outcome_is_declared_until_the_next_revision() {
-    let fates = [
+async fn a_change_of_unknown_outcome_is_pending_until_the_next_revision() {
+    let behaviors = [
         // The configuration is loaded by two reads and the id is read.
-        Fate::Answered,
-        Fate::Answered,
-        Fate::Answered,
-        Fate::AnswerLost,
-        Fate::Refused,
+        Behavior::Answered,
+        Behavior::Answered,
+        Behavior::Answered,
+        Behavior::ResponseLost,
+        Behavior::Refused,
     ];
-    let table = Fake::new(fates.map(|fate| (0, fate)).to_vec());
+    let table = Fake::new(behaviors.map(|behavior| (0, behavior)).to_vec());
     let store = Store::new(table, settings::Store::default());
     let id: change::Id = "unsure".parse().unwrap();
     let proposal = increment(&id, &Snapshot::default());
-    let done = store.submit(&proposal, &ann(), deadline()).await;
-    assert!(matches!(done, Err(Failure::Unknown(_))), "{done:?}");
+    let result = store.submit(&proposal, &test_author(), deadline()).await;
+    assert!(matches!(result, Err(Failure::Unknown(_))), "{result:?}");
     assert!(store.view().pending.contains_key(&id));
     store.refresh(deadline()).await.unwrap();
     assert_eq!(1, store.view().version.snapshot.revision().0);
@@ -239,17 +243,20 @@
 
 /// A table on which another administration makes a change just before its id is read.
 #[derive(Debug)]
-struct Overtaken {
+struct Interleaved {
     table: Fake,
     other: Store<Fake>,
     proposal: Proposal,
 }
 
-impl Table for Overtaken {
+impl Table for Interleaved {
     async fn read(&self, key: &str, deadline: time::Instant) -> Result<Option<Row>, Error> {
         if key == rows::id(&self.proposal.id) {
-            let done = self.other.submit(&self.proposal, &ann(), deadline).await;
-            assert!(matches!(done, Ok(Outcome::Accepted(_))), "{done:?}");
+            let result = self
+                .other
+                .submit(&self.proposal, &test_author(), deadline)
+                .await;
+            assert!(matches!(result, Ok(Outcome::Accepted(_))), "{result:?}");
         }
         self.table.read(key, deadline).await
     }
@@ -272,21 +279,21 @@
 // that the change is made, lists the resources, does not find it, and the next
 // change made from that list meets a conflict.
 #[tokio::test]
-async fn a_change_that_is_told_as_made_is_shown() {
+async fn a_change_reported_as_committed_is_listed() {
     let table = Fake::new(Vec::new());
     let proposal = increment(&"twice".parse().unwrap(), &Snapshot::default());
-    let overtaken = Overtaken {
+    let interleaved = Interleaved {
         table: table.clone(),
         other: Store::new(table, settings::Store::default()),
         proposal: proposal.clone(),
     };
-    let store = Store::new(overtaken, settings::Store::default());
-    let done = store.submit(&proposal, &ann(), deadline()).await;
-    assert_eq!(done, Ok(Outcome::Repeated(revision::Id(1))));
+    let store = Store::new(interleaved, settings::Store::default());
+    let result = store.submit(&proposal, &test_author(), deadline()).await;
+    assert_eq!(result, Ok(Outcome::Repeated(revision::Id(1))));
     assert_eq!(store.view().version.snapshot.revision(), revision::Id(1));
 }
 
-fn ann() -> Author {
+fn test_author() -> Author {
     Author {
         who: "ann".parse().expect("name"),
         when: 0,
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use config::{
-    answer::{Accepted, Code, Error as Refused, Failure, History, List, Ordered, Status, Verdict},
+    answer::{Accepted, Code, Error as ApiError, Failure, History, List, Ordered, Status, Verdict},
     key, proposal,
 };
 use hyper::{Method, header};
@@ -21,10 +21,10 @@
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
 /// How often a change whose answer was lost is sent again under its id.
-const TRIES: u32 = 4;
+const MAX_ATTEMPTS: u32 = 4;
 
 /// The time between two tries.
-const PAUSE: time::Duration = time::Duration::from_millis(500);
+const RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
 /// A client of the administration at one address.
 #[derive(Debug)]
@@ -49,24 +49,26 @@
     /// [`Error`] with the exit code that tells whether it was accepted.
     pub async fn propose(&self, proposal: &proposal::Proposal) -> Result<Accepted, Error> {
         let body = serde_json::to_vec(proposal)
-            .map_err(|error| Error::new(exit::Code::Faulty, error.to_string()))?;
+            .map_err(|error| Error::new(exit::Code::InvalidInput, error.to_string()))?;
         let body = Bytes::from(body);
-        let mut unknown = false;
-        for _ in 1..TRIES {
+        let mut outcome_unknown = false;
+        for _ in 1..MAX_ATTEMPTS {
             match self
                 .call(Method::POST, "/v1/changes", body.clone(), TIMEOUT)
                 .await
             {
-                Err(error) if error.code == exit::Code::Unknown => unknown = true,
+                Err(error) if error.code == exit::Code::Unknown => outcome_unknown = true,
                 // An earlier try may have been accepted, so a try that did not run says nothing.
-                Err(error) if unknown && error.code == exit::Code::Unavailable => {}
-                done => return done,
+                Err(error) if outcome_unknown && error.code == exit::Code::Unavailable => {}
+                result => return result,
             }
-            time::sleep(PAUSE).await;
+            time::sleep(RETRY_DELAY).await;
         }
         let last = self.call(Method::POST, "/v1/changes", body, TIMEOUT).await;
         last.map_err(|error| match error.code {
-            exit::Code::Unavailable if unknown => Error::new(exit::Code::Unknown, error.message),
+            exit::Code::Unavailable if outcome_unknown => {
+                Error::new(exit::Code::Unknown, error.message)
+            }
             _ => error,
         })
     }
@@ -114,14 +116,18 @@
     ///
     /// [`Error`].
     pub async fn page(&self, path: &str) -> Result<String, Error> {
-        let request = http::request(Method::GET, path, Bytes::new()).map_err(lost)?;
+        let request = http::request(Method::GET, path, Bytes::new()).map_err(transport_error)?;
         let deadline = time::Instant::now() + TIMEOUT;
-        let answer = self.http.read(request, deadline).await.map_err(lost)?;
-        if !answer.status.is_success() {
-            let message = format!("the router answers {}", answer.status);
+        let response = self
+            .http
+            .read(request, deadline)
+            .await
+            .map_err(transport_error)?;
+        if !response.status.is_success() {
+            let message = format!("the router answers {}", response.status);
             return Err(Error::new(exit::Code::Unavailable, message));
         }
-        Ok(String::from_utf8_lossy(&answer.body).into_owned())
+        Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
     /// Gives an order to an engine, once.
@@ -131,15 +137,15 @@
     /// [`Error`] with the exit code that tells whether it may have run.
     pub async fn order(&self, order: &impl Serialize) -> Result<Ordered, Error> {
         let body = serde_json::to_vec(order)
-            .map_err(|error| Error::new(exit::Code::Faulty, error.to_string()))?;
+            .map_err(|error| Error::new(exit::Code::InvalidInput, error.to_string()))?;
         let body = Bytes::from(body);
         self.call(Method::POST, "/v1/orders", body, ORDER_TIMEOUT)
             .await
     }
 
     async fn read<A: DeserializeOwned>(&self, path: &str) -> Result<A, Error> {
-        let answer = self.call(Method::GET, path, Bytes::new(), TIMEOUT).await;
-        answer.map_err(|error| match error.code {
+        let response = self.call(Method::GET, path, Bytes::new(), TIMEOUT).await;
+        response.map_err(|error| match error.code {
             // A read changes nothing, whether it ran or not.
             exit::Code::Unknown => Error::new(exit::Code::Unavailable, error.message),
             _ => error,
@@ -153,37 +159,41 @@
         body: Bytes,
         timeout: time::Duration,
     ) -> Result<A, Error> {
-        let mut request = http::request(method, path, body).map_err(lost)?;
+        let mut request = http::request(method, path, body).map_err(transport_error)?;
         if let Some(token) = &self.token {
             let value = header::HeaderValue::from_str(&format!("Bearer {token}"))
                 .map_err(|_| Error::new(exit::Code::Denied, "the token is no header value"))?;
             request.headers_mut().insert(header::AUTHORIZATION, value);
         }
         let deadline = time::Instant::now() + timeout;
-        let answer = self.http.read(request, deadline).await.map_err(lost)?;
-        if answer.status.is_success() {
-            return http::parse(&answer).map_err(lost);
+        let response = self
+            .http
+            .read(request, deadline)
+            .await
+            .map_err(transport_error)?;
+        if response.status.is_success() {
+            return http::parse(&response).map_err(transport_error);
         }
-        let failure: Failure = http::parse(&answer).map_err(lost)?;
-        Err(refused(&failure.error))
+        let failure: Failure = http::parse(&response).map_err(transport_error)?;
+        Err(response_error(&failure.error))
     }
 }
 
 /// The error for a call that got no answer.
-fn lost(error: storage::Error) -> Error {
+fn transport_error(error: storage::Error) -> Error {
     let code = match error {
         storage::Error::NotRun(_) => exit::Code::Unavailable,
         storage::Error::MayHaveRun(_) => exit::Code::Unknown,
-        storage::Error::Conflict(_) | storage::Error::Rejected(_) => exit::Code::Faulty,
+        storage::Error::Conflict(_) | storage::Error::Rejected(_) => exit::Code::InvalidInput,
     };
     Error::new(code, format!("administration: {error}"))
 }
 
 /// The error for a call that was refused.
-fn refused(error: &Refused) -> Error {
+fn response_error(error: &ApiError) -> Error {
     let code = match (error.code, error.verdict) {
         (_, Verdict::MayHaveRun) => exit::Code::Unknown,
-        (Code::Malformed | Code::Invalid, _) => exit::Code::Faulty,
+        (Code::Malformed | Code::Invalid, _) => exit::Code::InvalidInput,
         (Code::Conflict, _) => exit::Code::Conflict,
         (Code::NotFound, _) => exit::Code::NotFound,
         (Code::Unauthorized | Code::Forbidden, _) => exit::Code::Denied,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -255,7 +255,7 @@
 
 /// What was given on the command line, the connection unchecked.
 #[derive(Clone, Debug)]
-pub struct Given {
+pub struct Arguments {
     /// The address of the administration.
     pub admin: settings::Raw,
     /// The operator's token.
@@ -265,11 +265,11 @@
 }
 
 /// The parser of the whole command line.
-pub fn parser() -> impl Parser<Given> {
+pub fn parser() -> impl Parser<Arguments> {
     let admin = settings::text("admin", "WEIR_ADMIN", "IP:PORT", "The administration");
     let token = settings::secret("WEIR_TOKEN");
     let command = command();
-    construct!(Given {
+    construct!(Arguments {
         admin,
         token,
         command
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -7,11 +7,11 @@
 #[repr(u8)]
 pub enum Code {
     /// Done.
-    Done = 0,
+    Success = 0,
     /// `diff` found differences.
     Different = 1,
     /// A flag, a file or a change is faulty. Nothing was changed.
-    Faulty = 2,
+    InvalidInput = 2,
     /// The administration or the platform cannot be reached. Nothing was changed.
     Unavailable = 3,
     /// Another operator's change came first. Nothing was changed.
--- a/crates/ctl/src/input.rs
+++ b/crates/ctl/src/input.rs
@@ -13,11 +13,11 @@
 pub(crate) fn resources(file: &str) -> Result<Vec<Resource>, Error> {
     let text = read_text(file).map_err(|error| {
         let message = format!("{file} cannot be read: {error}");
-        Error::new(Code::Faulty, message)
+        Error::new(Code::InvalidInput, message)
     })?;
     file::parse(&text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(ToString::to_string).collect();
-        Error::new(Code::Faulty, lines.join("\n"))
+        Error::new(Code::InvalidInput, lines.join("\n"))
     })
 }
 
@@ -40,7 +40,7 @@
     let mut secret = String::new();
     io::stdin()
         .read_line(&mut secret)
-        .map_err(|error| Error::new(Code::Faulty, error.to_string()))?;
+        .map_err(|error| Error::new(Code::InvalidInput, error.to_string()))?;
     let hash = blake3::hash(secret.trim_end().as_bytes());
     Ok(hash.to_hex().to_string())
 }
--- a/crates/ctl/src/local.rs
+++ b/crates/ctl/src/local.rs
@@ -7,36 +7,36 @@
 use crate::{
     command::Command,
     exit::{Code, Error},
-    output::say,
+    output::print_line,
 };
 
 /// Carries out a command that asks no process.
 ///
 /// # Errors
 ///
-/// [`Code::Faulty`] when a file cannot be read or written.
+/// [`Code::InvalidInput`] when a file cannot be read or written.
 pub fn run(command: Command) -> Result<Code, Error> {
     match command {
         Command::Losses { json, plot, files } => losses(&files, json, plot.as_deref()),
-        _ => Err(faulty("this command asks a process")),
+        _ => Err(invalid_input("this command asks a process")),
     }
 }
 
 fn losses(files: &[String], json: bool, plot: Option<&str>) -> Result<Code, Error> {
     let mut report = Report::default();
     for file in files {
-        read(&mut report, file).map_err(|error| faulty(&format!("{file}: {error}")))?;
+        read(&mut report, file).map_err(|error| invalid_input(&format!("{file}: {error}")))?;
     }
     if let Some(plot) = plot {
-        let picture = plot::svg(&report).map_err(|error| faulty(&error))?;
-        fs::write(plot, picture).map_err(|error| faulty(&format!("{plot}: {error}")))?;
+        let chart = plot::svg(&report).map_err(|error| invalid_input(&error))?;
+        fs::write(plot, chart).map_err(|error| invalid_input(&format!("{plot}: {error}")))?;
     }
     if json {
-        say!("{:#}", render::json(&report));
+        print_line!("{:#}", render::json(&report));
     } else {
-        say!("{}", render::text(&report).trim_end());
+        print_line!("{}", render::text(&report).trim_end());
     }
-    Ok(Code::Done)
+    Ok(Code::Success)
 }
 
 fn read(report: &mut Report, file: &str) -> io::Result<()> {
@@ -48,6 +48,6 @@
     report.add(io::BufReader::new(fs::File::open(file)?), &name)
 }
 
-fn faulty(message: &str) -> Error {
-    Error::new(Code::Faulty, String::from(message))
+fn invalid_input(message: &str) -> Error {
+    Error::new(Code::InvalidInput, String::from(message))
 }
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -24,30 +24,30 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> process::ExitCode {
-    let (client, command) = settings::load(ABOUT, command::parser(), |given, faults| {
-        let address = match given.command {
-            Command::Losses { .. } => return Some((None, given.command)),
+    let (client, command) = settings::load(ABOUT, command::parser(), |arguments, faults| {
+        let address = match arguments.command {
+            Command::Losses { .. } => return Some((None, arguments.command)),
             Command::Router { address } => address,
-            _ => faults.required(&given.admin, settings::ADDRESS)?,
+            _ => faults.required(&arguments.admin, settings::ADDRESS)?,
         };
-        let token = given.token.as_str().map(String::from);
-        Some((Some(Client::new(address, token)), given.command))
+        let token = arguments.token.as_str().map(String::from);
+        Some((Some(Client::new(address, token)), arguments.command))
     });
     let result = match client {
         Some(client) => run::run(&client, command).await,
         None => local::run(command),
     };
     match result {
-        Ok(code) => leave(code),
+        Ok(code) => exit_with(code),
         Err(error) => fail(&error),
     }
 }
 
 fn fail(error: &Error) -> process::ExitCode {
     eprintln!("weirctl: {error}");
-    leave(error.code)
+    exit_with(error.code)
 }
 
-fn leave(code: exit::Code) -> process::ExitCode {
+fn exit_with(code: exit::Code) -> process::ExitCode {
     process::ExitCode::from(code as u8)
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -7,23 +7,23 @@
 };
 
 /// The exit code of a program whose reader went away, as shells show it.
-const BROKEN_PIPE: i32 = 141;
+const BROKEN_PIPE_CODE: i32 = 141;
 
 /// Prints one line.
 ///
 /// The reader may go away, as `head` does after ten lines. `println!` would
 /// panic then, and the operator would see a backtrace in place of the end.
-pub(crate) fn line(text: fmt::Arguments<'_>) {
+pub(crate) fn write_line(text: fmt::Arguments<'_>) {
     if writeln!(io::stdout(), "{text}").is_err() {
-        process::exit(BROKEN_PIPE);
+        process::exit(BROKEN_PIPE_CODE);
     }
 }
 
 /// Prints one line, with the arguments of `println!`.
-macro_rules! say {
+macro_rules! print_line {
     ($($argument:tt)*) => {
-        crate::output::line(format_args!($($argument)*))
+        crate::output::write_line(format_args!($($argument)*))
     };
 }
 
-pub(crate) use say;
+pub(crate) use print_line;
--- a/crates/ctl/src/render.rs
+++ b/crates/ctl/src/render.rs
@@ -17,13 +17,13 @@
 use serde::Serialize;
 use units::{availability, host};
 
-use crate::{command::Output, output::say};
+use crate::{command::Output, output::print_line};
 pub(crate) use status::status;
 
 /// Prints `value` as JSON.
 fn json(value: &impl Serialize) {
     match serde_json::to_string_pretty(value) {
-        Ok(text) => say!("{text}"),
+        Ok(text) => print_line!("{text}"),
         Err(error) => eprintln!("the answer cannot be printed: {error}"),
     }
 }
@@ -31,33 +31,33 @@
 /// Prints `value` as JSON on one line, for programs that read a stream.
 fn json_line(value: &impl Serialize) {
     match serde_json::to_string(value) {
-        Ok(text) => say!("{text}"),
+        Ok(text) => print_line!("{text}"),
         Err(error) => eprintln!("the answer cannot be printed: {error}"),
     }
 }
 
-/// Prints `rows` under `heads` in columns.
-fn table(heads: &[&str], rows: &[Vec<String>]) {
-    let widths: Vec<usize> = (0..heads.len())
+/// Prints `rows` under `headers` in columns.
+fn table(headers: &[&str], rows: &[Vec<String>]) {
+    let widths: Vec<usize> = (0..headers.len())
         .map(|column| {
             let cells = rows.iter().filter_map(|row| row.get(column));
             let widest = cells.map(|cell| cell.chars().count()).max();
-            widest.unwrap_or(0).max(heads[column].len())
+            widest.unwrap_or(0).max(headers[column].len())
         })
         .collect();
-    line(heads.iter().copied(), &widths);
+    table_row(headers.iter().copied(), &widths);
     for row in rows {
-        line(row.iter().map(String::as_str), &widths);
+        table_row(row.iter().map(String::as_str), &widths);
     }
 }
 
 /// Prints one line of a table.
-fn line<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) {
+fn table_row<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) {
     let padded = cells
         .zip(widths)
         .map(|(cell, width)| format!("{cell:<width$}"));
     let line: Vec<String> = padded.collect();
-    say!("{}", line.join("  ").trim_end());
+    print_line!("{}", line.join("  ").trim_end());
 }
 
 /// Prints the outcome of a change.
@@ -70,16 +70,16 @@
         Outcome::Repeated => "accepted before",
         Outcome::Unchanged => "unchanged",
     };
-    say!(
+    print_line!(
         "{outcome} revision={} id={}",
         accepted.revision,
         accepted.id
     );
     for resource in &proposal.puts {
-        say!("  put {}", resource.key());
+        print_line!("  put {}", resource.key());
     }
     for key in &proposal.deletes {
-        say!("  delete {key}");
+        print_line!("  delete {key}");
     }
 }
 
@@ -88,7 +88,7 @@
     if output == Output::Json {
         return json(ordered);
     }
-    say!("carried out by {} fence={}", ordered.server, ordered.fence);
+    print_line!("carried out by {} fence={}", ordered.server, ordered.fence);
 }
 
 /// Prints how fresh an answer is.
@@ -96,7 +96,7 @@
     let fleet = freshness
         .fleet_age_ms
         .map_or(String::from("unknown"), |age| format!("{age}ms"));
-    say!(
+    print_line!(
         "revision={} age={}ms platform={} fleet_age={fleet}",
         freshness.revision,
         freshness.age_ms,
@@ -182,11 +182,11 @@
     freshness(&list.freshness);
     for listed in &list.resources {
         let progress = progress(listed.state, &listed.zones);
-        say!("generation={} state={progress}", listed.generation);
+        print_line!("generation={} state={progress}", listed.generation);
         json(&listed.resource);
     }
     for removed in &list.removed {
-        say!(
+        print_line!(
             "{} {}",
             removed.key,
             progress(removed.state, &removed.zones)
@@ -217,7 +217,7 @@
     }
     for (key, state) in &new {
         if old.get(key) != Some(state) {
-            say!("revision={} {key} {state}", list.freshness.revision);
+            print_line!("revision={} {key} {state}", list.freshness.revision);
         }
     }
 }
@@ -243,27 +243,27 @@
 }
 
 /// Prints what would change of a resource.
-pub(crate) fn difference(declared: Option<&Resource>, wanted: &Resource) {
+pub(crate) fn difference(declared: Option<&Resource>, desired: &Resource) {
     let Some(declared) = declared else {
-        say!("+ {}", wanted.key());
+        print_line!("+ {}", desired.key());
         return;
     };
-    say!("~ {}", wanted.key());
+    print_line!("~ {}", desired.key());
     let before = serde_json::to_value(declared).unwrap_or_default();
-    let after = serde_json::to_value(wanted).unwrap_or_default();
+    let after = serde_json::to_value(desired).unwrap_or_default();
     let (Some(before), Some(after)) = (before.as_object(), after.as_object()) else {
         return;
     };
     for (name, value) in after {
         if before.get(name) != Some(value) {
             let old = before.get(name).cloned().unwrap_or_default();
-            say!("    {name}: {old} -> {value}");
+            print_line!("    {name}: {old} -> {value}");
         }
     }
 }
 
 /// One word about a resource that was put.
-fn put(resource: &Resource) -> String {
+fn put_summary(resource: &Resource) -> String {
     match resource {
         Resource::Zone(zone) => format!("+{}={}", resource.key(), service(zone.service)),
         _ => format!("+{}", resource.key()),
@@ -278,7 +278,7 @@
 }
 
 /// The time `millis` milliseconds after 1970.
-fn when(millis: u64) -> String {
+fn timestamp(millis: u64) -> String {
     let time = SystemTime::UNIX_EPOCH + Duration::from_millis(millis);
     humantime::format_rfc3339_seconds(time).to_string()
 }
@@ -289,12 +289,12 @@
         return json(history);
     }
     let accepted = history.changes.iter().map(|change| {
-        let puts = change.puts.iter().map(put);
+        let puts = change.puts.iter().map(put_summary);
         let deletes = change.deletes.iter().map(|key| format!("-{key}"));
         let what: Vec<String> = puts.chain(deletes).collect();
         let row = vec![
             format!("{} -> {}", change.from, change.to),
-            when(change.when),
+            timestamp(change.when),
             change.who.to_string(),
             String::from("accepted"),
             change.id.to_string(),
@@ -308,7 +308,7 @@
         let what: Vec<String> = puts.chain(deletes).collect();
         let row = vec![
             format!("at {}", refused.revision),
-            when(refused.when),
+            timestamp(refused.when),
             refused.who.to_string(),
             String::from(reason(refused.reason)),
             refused.id.to_string(),
--- a/crates/ctl/src/render/status.rs
+++ b/crates/ctl/src/render/status.rs
@@ -3,7 +3,7 @@
 use config::answer::{Engine, Refusals, Status, Zone};
 
 use super::{freshness, json, service, table};
-use crate::{command::Output, output::say};
+use crate::{command::Output, output::print_line};
 
 /// Prints the fleet on one screen.
 pub(crate) fn status(status: &Status, output: Output) {
@@ -11,18 +11,18 @@
         return json(status);
     }
     freshness(&status.freshness);
-    say!(
+    print_line!(
         "routers_asked={} answered={}",
         status.asked,
         status.answered
     );
-    say!("");
+    print_line!("");
     zones(&status.zones);
-    say!("");
+    print_line!("");
     routers(status);
-    say!("");
+    print_line!("");
     engines(&status.engines);
-    say!("");
+    print_line!("");
     refusals(&status.refusals);
 }
 
@@ -63,7 +63,7 @@
         .collect();
     table(&["ROUTER", "ZONE", "STATE", "REVISION"], &rows);
     if routers.len() > MAX_ROUTERS {
-        say!("and {} more", routers.len() - MAX_ROUTERS);
+        print_line!("and {} more", routers.len() - MAX_ROUTERS);
     }
 }
 
@@ -74,8 +74,8 @@
     // Those that an operator has to look at come first.
     let mut engines: Vec<_> = engines.iter().collect();
     engines.sort_by(|a, b| {
-        let need = is_well(a).cmp(&is_well(b));
-        need.then_with(|| a.name.cmp(&b.name))
+        let ordering = is_healthy(a).cmp(&is_healthy(b));
+        ordering.then_with(|| a.name.cmp(&b.name))
     });
     let rows: Vec<Vec<String>> = engines
         .iter()
@@ -94,12 +94,12 @@
         .collect();
     table(&["SERVER", "ZONE", "STATE", "IN FLIGHT", "QUEUED"], &rows);
     if engines.len() > MAX_ENGINES {
-        say!("and {} more", engines.len() - MAX_ENGINES);
+        print_line!("and {} more", engines.len() - MAX_ENGINES);
     }
 }
 
 /// Whether a backend server needs no look: warm, in service and without a queue.
-fn is_well(engine: &Engine) -> bool {
+fn is_healthy(engine: &Engine) -> bool {
     engine.state == "warm" && !engine.drained && engine.queued == 0
 }
 
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -15,7 +15,7 @@
     command::{Command, Output},
     exit::{Code, Error},
     input, local,
-    output::say,
+    output::print_line,
     render, watch,
 };
 
@@ -41,7 +41,7 @@
         }
         Command::Get { output, key } => {
             render::resource(&client.get(&key).await?, output);
-            Ok(Code::Done)
+            Ok(Code::Success)
         }
         Command::List { output, kind } => list(client, kind, output).await,
         Command::Delete { id, output, keys } => {
@@ -71,31 +71,31 @@
             output,
         } => {
             render::history(&client.history(from, limit).await?, output);
-            Ok(Code::Done)
+            Ok(Code::Success)
         }
         Command::Watch {
             until_in_force,
             timeout,
             output,
         } => {
-            let end = timeout.map(|seconds| Instant::now() + Duration::from_secs(seconds));
-            watch::run(client, until_in_force, end, output).await
+            let deadline = timeout.map(|seconds| Instant::now() + Duration::from_secs(seconds));
+            watch::run(client, until_in_force, deadline, output).await
         }
         Command::Status { output } => {
             render::status(&client.status().await?, output);
-            Ok(Code::Done)
+            Ok(Code::Success)
         }
         Command::Order { output, order } => {
             render::ordered(&client.order(&order).await?, output);
-            Ok(Code::Done)
+            Ok(Code::Success)
         }
         Command::Router { .. } => {
-            say!("{}", client.page("/status").await?.trim_end());
-            Ok(Code::Done)
+            print_line!("{}", client.page("/status").await?.trim_end());
+            Ok(Code::Success)
         }
         Command::Hash => {
-            say!("{}", input::hash()?);
-            Ok(Code::Done)
+            print_line!("{}", input::hash()?);
+            Ok(Code::Success)
         }
         Command::Losses { .. } => local::run(command),
     }
@@ -108,20 +108,20 @@
     prune: bool,
     id: Option<units::change::Id>,
 ) -> Result<(List, Proposal), Error> {
-    let wanted = input::resources(file)?;
+    let desired = input::resources(file)?;
     let list = client.list().await?;
-    let proposal = change::difference(&list, wanted, prune, id);
+    let proposal = change::difference(&list, desired, prune, id);
     Ok((list, proposal))
 }
 
 async fn list(client: &Client, kind: Option<key::Type>, output: Output) -> Result<Code, Error> {
-    let is_wanted = |key: &key::Key| kind.is_none_or(|kind| key.kind() == kind);
+    let is_selected = |key: &key::Key| kind.is_none_or(|kind| key.kind() == kind);
     let mut list = client.list().await?;
     list.resources
-        .retain(|listed| is_wanted(&listed.resource.key()));
-    list.removed.retain(|removed| is_wanted(&removed.key));
+        .retain(|listed| is_selected(&listed.resource.key()));
+    list.removed.retain(|removed| is_selected(&removed.key));
     render::list(&list, output);
-    Ok(Code::Done)
+    Ok(Code::Success)
 }
 
 /// The change that gives `server` work again, empty if it is not drained.
@@ -139,19 +139,19 @@
 
 async fn propose(client: &Client, proposal: Proposal, output: Output) -> Result<Code, Error> {
     if proposal.puts.is_empty() && proposal.deletes.is_empty() {
-        say!("unchanged");
-        return Ok(Code::Done);
+        print_line!("unchanged");
+        return Ok(Code::Success);
     }
     let accepted: Accepted = client
         .propose(&proposal)
         .await
-        .map_err(|error| with_id(error, &proposal.id))?;
+        .map_err(|error| add_retry_hint(error, &proposal.id))?;
     render::accepted(&accepted, &proposal, output);
-    Ok(Code::Done)
+    Ok(Code::Success)
 }
 
 /// Names the id under which a change of unknown outcome may be repeated.
-fn with_id(error: Error, id: &units::change::Id) -> Error {
+fn add_retry_hint(error: Error, id: &units::change::Id) -> Error {
     if error.code != Code::Unknown {
         return error;
     }
@@ -172,11 +172,11 @@
         render::difference(declared.map(|declared| &declared.resource), resource);
     }
     for key in &proposal.deletes {
-        say!("- {key}");
+        print_line!("- {key}");
     }
     if proposal.puts.is_empty() && proposal.deletes.is_empty() {
-        say!("no differences");
-        return Code::Done;
+        print_line!("no differences");
+        return Code::Success;
     }
     Code::Different
 }
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -11,38 +11,38 @@
 };
 
 /// The time between two looks.
-const PAUSE: time::Duration = time::Duration::from_millis(500);
+const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
 /// Prints changes of state as they come, until all is settled if `until_settled`.
 ///
 /// # Errors
 ///
-/// [`Code::Unavailable`] when `end` comes first, or a refusal that does not pass.
+/// [`Code::Unavailable`] when `deadline` comes first, or a refusal that does not pass.
 pub(crate) async fn run(
     client: &Client,
     until_settled: bool,
-    end: Option<Instant>,
+    deadline: Option<Instant>,
     output: Output,
 ) -> Result<Code, Error> {
-    let mut before: Option<List> = None;
+    let mut previous: Option<List> = None;
     loop {
         match client.list().await {
             Ok(list) => {
-                render::changes(before.as_ref(), &list, output);
+                render::changes(previous.as_ref(), &list, output);
                 if until_settled && is_settled(&list) {
-                    return Ok(Code::Done);
+                    return Ok(Code::Success);
                 }
-                before = Some(list);
+                previous = Some(list);
             }
             // An outage passes; whoever watches wants to see what comes after it.
             Err(error) if error.code == Code::Unavailable => eprintln!("weirctl: {error}"),
             Err(error) => return Err(error),
         }
-        if end.is_some_and(|end| Instant::now() >= end) {
+        if deadline.is_some_and(|deadline| Instant::now() >= deadline) {
             let message = "not everything is in force";
             return Err(Error::new(Code::Unavailable, message));
         }
-        time::sleep(PAUSE).await;
+        time::sleep(POLL_INTERVAL).await;
     }
 }
 
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -6,6 +6,6 @@
 // A flag declared behind a positional argument makes the parser panic, but only
 // once somebody uses that command.
 #[test]
-fn no_command_breaks_the_rules_of_the_parser() {
+fn command_line_parser_invariants_hold() {
     command::parser().to_options().check_invariants(true);
 }
--- a/crates/ctl/tests/lost.rs
+++ b/crates/ctl/tests/lost_responses.rs
@@ -13,30 +13,30 @@
 
 /// What the administration does with one call.
 #[derive(Clone, Copy, Debug)]
-enum Deed {
+enum Reply {
     /// It ends the connection without an answer.
-    Cut,
+    Disconnect,
     /// It says that the change was accepted.
     Accept,
     /// It says that the platform is down and nothing was run.
-    Refuse,
+    PlatformDown,
     /// It says that the outcome is unknown.
-    Doubt,
+    OutcomeUnknown,
     /// It says that another change came first.
     Conflict,
 }
 
-impl Deed {
-    fn answer(self) -> Option<(u16, Value)> {
+impl Reply {
+    fn response(self) -> Option<(u16, Value)> {
         let error = |code: &str, verdict: &str| json!({"error": {"code": code, "message": "m", "verdict": verdict}});
         match self {
-            Self::Cut => None,
+            Self::Disconnect => None,
             Self::Accept => Some((
                 200,
                 json!({"id": "x", "outcome": "repeated", "revision": 7}),
             )),
-            Self::Refuse => Some((503, error("platform_down", "not_run"))),
-            Self::Doubt => Some((503, error("outcome_unknown", "may_have_run"))),
+            Self::PlatformDown => Some((503, error("platform_down", "not_run"))),
+            Self::OutcomeUnknown => Some((503, error("outcome_unknown", "may_have_run"))),
             Self::Conflict => Some((409, error("conflict", "not_run"))),
         }
     }
@@ -58,52 +58,52 @@
 }
 
 /// Does one deed after the other, the last one again and again, and notes the ids.
-async fn serve(listener: TcpListener, deeds: Vec<Deed>, ids: Arc<Mutex<Vec<String>>>) {
-    let mut number = 0;
+async fn serve(listener: TcpListener, replies: Vec<Reply>, ids: Arc<Mutex<Vec<String>>>) {
+    let mut index = 0;
     while let Ok((mut stream, _)) = listener.accept().await {
         let Some(body) = read(&mut stream).await else {
             continue;
         };
         let id = body["id"].as_str().unwrap_or_default();
         ids.lock().expect("ids").push(String::from(id));
-        let deed = deeds[number.min(deeds.len() - 1)];
-        number += 1;
-        let Some((status, body)) = deed.answer() else {
+        let reply = replies[index.min(replies.len() - 1)];
+        index += 1;
+        let Some((status, body)) = reply.response() else {
             continue;
         };
         let (body, length) = (body.to_string(), body.to_string().len());
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 {status} X\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{body}"
         );
-        drop(stream.write_all(answer.as_bytes()).await);
+        drop(stream.write_all(response.as_bytes()).await);
     }
 }
 
 // The answer to a change gets lost on its way to the operator, who must neither
 // be told that nothing was changed nor send the same change under a second name.
 #[yare::parameterized(
-    answered = { &[Deed::Accept], Code::Done, 1 },
-    lost_then_known = { &[Deed::Cut, Deed::Accept], Code::Done, 2 },
-    unknown_then_known = { &[Deed::Doubt, Deed::Accept], Code::Done, 2 },
-    refused = { &[Deed::Refuse], Code::Unavailable, 1 },
-    lost_then_refused = { &[Deed::Cut, Deed::Refuse], Code::Unknown, 4 },
-    always_lost = { &[Deed::Cut], Code::Unknown, 4 },
-    lost_then_overtaken = { &[Deed::Cut, Deed::Conflict], Code::Conflict, 2 },
+    accepted = { &[Reply::Accept], Code::Success, 1 },
+    lost_then_accepted = { &[Reply::Disconnect, Reply::Accept], Code::Success, 2 },
+    unknown_then_accepted = { &[Reply::OutcomeUnknown, Reply::Accept], Code::Success, 2 },
+    platform_down = { &[Reply::PlatformDown], Code::Unavailable, 1 },
+    lost_then_platform_down = { &[Reply::Disconnect, Reply::PlatformDown], Code::Unknown, 4 },
+    always_lost = { &[Reply::Disconnect], Code::Unknown, 4 },
+    lost_then_conflict = { &[Reply::Disconnect, Reply::Conflict], Code::Conflict, 2 },
 )]
 #[test_macro(tokio::test)]
-async fn a_change_keeps_its_id_until_its_outcome_is_known(
-    deeds: &[Deed],
+async fn retries_reuse_the_change_id_until_the_outcome_is_known(
+    replies: &[Reply],
     code: Code,
     calls: usize,
 ) {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let client = Client::new(listener.local_addr().unwrap(), None);
     let ids = Arc::new(Mutex::new(Vec::new()));
-    task::spawn(serve(listener, deeds.to_vec(), Arc::clone(&ids)));
+    task::spawn(serve(listener, replies.to_vec(), Arc::clone(&ids)));
     let proposal = json!({"id": "one", "puts": [{"type": "zone", "name": "a"}]});
     let proposal = Proposal::read(&proposal).unwrap();
-    let done = client.propose(&proposal).await;
-    let found = done.map_or_else(|error| error.code, |_| Code::Done);
-    assert_eq!(code, found);
+    let result = client.propose(&proposal).await;
+    let actual = result.map_or_else(|error| error.code, |_| Code::Success);
+    assert_eq!(code, actual);
     assert_eq!(vec!["one"; calls], *ids.lock().unwrap());
 }
--- a/crates/ctl/tests/session.rs
+++ b/crates/ctl/tests/session.rs
@@ -20,7 +20,7 @@
 };
 use config::{answer::List, state::State};
 use serde_json::json;
-use standin::platform::{self as stand, Fault};
+use standin::platform::{self as platform_standin, Fault};
 use tokio::{
     io::{AsyncReadExt, AsyncWriteExt},
     net::TcpListener,
@@ -65,10 +65,10 @@
             }
             let page = self.page();
             let length = page.len();
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: {length}\r\n\r\n{page}"
             );
-            drop(stream.write_all(answer.as_bytes()).await);
+            drop(stream.write_all(response.as_bytes()).await);
         }
     }
 }
@@ -92,7 +92,7 @@
     }
 
     /// Waits until the list of resources is as expected.
-    async fn until(&self, expected: impl Fn(&List) -> bool) {
+    async fn wait_until(&self, expected: impl Fn(&List) -> bool) {
         loop {
             let (output, _) = weirctl(self.admin, "list -o json").await;
             if serde_json::from_str(&output).is_ok_and(|list| expected(&list)) {
@@ -125,7 +125,7 @@
 }
 
 /// The exit code of `weirctl list` whose reader went away before it printed.
-async fn unread(admin: SocketAddr) -> Option<i32> {
+async fn exit_code_after_broken_pipe(admin: SocketAddr) -> Option<i32> {
     let run = move || {
         let mut child = Command::new(env!("CARGO_BIN_EXE_weirctl"))
             .args(["list"])
@@ -147,13 +147,13 @@
 /// Replaces what differs from run to run: drawn ids, ages, times and ports.
 fn mask(text: &str) -> String {
     let masked = text.lines().map(|line| {
-        let words: Vec<String> = line.split(' ').map(word).collect();
+        let words: Vec<String> = line.split(' ').map(mask_word).collect();
         words.join(" ") + "\n"
     });
     masked.collect()
 }
 
-fn word(word: &str) -> String {
+fn mask_word(word: &str) -> String {
     let is_id = |text: &str| text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
     if is_id(word) {
         return String::from("0123456789abcdef");
@@ -174,7 +174,7 @@
     listed.any(|listed| listed.state == state)
 }
 
-fn is_missing(list: &List, count: usize) -> bool {
+fn missing_zones_are(list: &List, count: usize) -> bool {
     let zones = list
         .resources
         .iter()
@@ -185,15 +185,17 @@
 // An operator declares everything, takes a zone out, drains a server, meets an
 // outage of the platform and a faulty file, and reads what was done.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_session_reads_as_in_the_golden_file() {
-    let platform = stand::start(stand::Settings::default()).await.unwrap();
+async fn session_output_matches_the_golden_file() {
+    let platform = platform_standin::start(platform_standin::Settings::default())
+        .await
+        .unwrap();
     let router = Router::default();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let settings = Settings {
         platform: platform.address(),
         routers: vec![listener.local_addr().unwrap()],
         store: settings::Store {
-            poll: Duration::from_millis(20),
+            poll_interval: Duration::from_millis(20),
             ..settings::Store::default()
         },
         ..Settings::default()
@@ -205,7 +207,7 @@
         text: String::new(),
     };
     session
-        .until(|list| list.freshness.fleet_age_ms.is_some())
+        .wait_until(|list| list.freshness.fleet_age_ms.is_some())
         .await;
     session.run("list").await;
     session.run("diff -f examples/lankaclean.toml").await;
@@ -214,7 +216,7 @@
 
     session.note("router-1 has applied revision 1, router-2 has not");
     router.apply(1, 0);
-    session.until(|list| is_missing(list, 11)).await;
+    session.wait_until(|list| missing_zones_are(list, 11)).await;
     session.run("list route").await;
     router.apply(1, 1);
     let (_, code) = weirctl(session.admin, "watch --until-in-force --timeout 60").await;
@@ -225,20 +227,22 @@
     session.run("drain runner-b1").await;
     router.apply(3, 2);
     session
-        .until(|list| in_state(list, "zone/lk-west-a", State::InForce) && is_missing(list, 1))
+        .wait_until(|list| {
+            in_state(list, "zone/lk-west-a", State::InForce) && missing_zones_are(list, 1)
+        })
         .await;
     session.run("list zone").await;
     session.run("get drain/runner-b1").await;
     router.apply(3, 3);
     session
-        .until(|list| in_state(list, "drain/runner-b1", State::InForce))
+        .wait_until(|list| in_state(list, "drain/runner-b1", State::InForce))
         .await;
     session.run("status").await;
 
     session.note("the platform is down");
     platform.fault(Fault::Down);
     session
-        .until(|list| list.freshness.platform == "down")
+        .wait_until(|list| list.freshness.platform == "down")
         .await;
     session.run("list zone").await;
     session.run("zone in lk-west-a").await;
@@ -246,7 +250,9 @@
 
     session.note("the platform is up again");
     platform.fault(Fault::Normal);
-    session.until(|list| list.freshness.platform == "up").await;
+    session
+        .wait_until(|list| list.freshness.platform == "up")
+        .await;
     session.run("zone in lk-west-a").await;
     session.run("undrain runner-b1").await;
     session.run("undrain runner-b1").await;
@@ -255,13 +261,13 @@
     session.run("list route").await;
     router.apply(6, 6);
     session
-        .until(|list| in_state(list, "zone/lk-west-a", State::InForce))
+        .wait_until(|list| in_state(list, "zone/lk-west-a", State::InForce))
         .await;
     session
-        .until(|list| {
+        .wait_until(|list| {
             list.removed
                 .iter()
-                .all(|gone| gone.state == State::Withdrawn)
+                .all(|removed_resource| removed_resource.state == State::Withdrawn)
         })
         .await;
     session.run("list route").await;
@@ -269,7 +275,7 @@
         .run("apply -f crates/ctl/tests/golden/faulty.toml")
         .await;
     session.run("history").await;
-    assert_eq!(Some(141), unread(session.admin).await);
+    assert_eq!(Some(141), exit_code_after_broken_pipe(session.admin).await);
     compare(&session.text);
     process.stop().await;
 }
