--- a/crates/admin/src/access.rs
+++ b/crates/admin/src/access.rs
@@ -1,36 +1,36 @@
-//! Who may read and change the configuration.
+//! Operators, their roles and the authentication of their tokens.
 
 use std::{error, fmt, net, str};
 
 use subtle::ConstantTimeEq;
 use units::operator;
 
-/// The name under which changes stand when no operators are set.
+/// Operator name recorded for changes when no operators are configured.
 const LOCAL_OPERATOR: &str = "local";
 
-/// The fewest bytes of a token that is worth guessing at.
+/// Minimum length of a token in bytes. Shorter tokens can be guessed.
 pub const MIN_TOKEN_BYTES: usize = 16;
 
-/// What an operator may do.
+/// The permissions of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Role {
-    /// Read the configuration and its state.
+    /// May read the configuration and its state.
     Read,
-    /// Change the configuration, and read it.
+    /// May read and change the configuration.
     Write,
 }
 
 /// An operator and the hash of its token.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Operator {
-    /// Its name, as it stands in the audit trail.
+    /// The name recorded in the audit trail.
     pub name: operator::Id,
-    /// What it may do.
+    /// The permissions of the operator.
     pub role: Role,
     hash: blake3::Hash,
 }
 
-/// A text that describes no operator.
+/// An invalid description of an operator.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Invalid;
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// All operators.
+/// The configured operators.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Operators {
     list: Vec<Operator>,
@@ -68,7 +68,8 @@
 impl str::FromStr for Operators {
     type Err = Invalid;
 
-    /// Reads operators separated by commas or line breaks; lines that begin with `#` are skipped.
+    /// Parses operators separated by commas or line breaks. Lines that begin with `#`
+    /// are ignored.
     fn from_str(text: &str) -> Result<Self, Self::Err> {
         let lines = text.lines().map(str::trim);
         let lines = lines.filter(|line| !line.starts_with('#'));
@@ -81,7 +82,7 @@
     }
 }
 
-/// Why a call is not allowed.
+/// Why a request is denied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Denial {
     /// The token is missing or unknown.
@@ -91,19 +92,19 @@
 }
 
 impl Operators {
-    /// Whether an administration without tokens may listen on `address`.
+    /// Returns whether the administration may listen on `address`.
     ///
-    /// Without operators anybody who reaches the port may change everything,
-    /// so the port must be reachable from its own host only.
+    /// Without operators, anyone who reaches the port may change the configuration, so
+    /// only loopback addresses are allowed.
     pub fn may_listen_on(&self, address: net::SocketAddr) -> bool {
         !self.list.is_empty() || address.ip().is_loopback()
     }
 
-    /// The operator with `token`, if its role reaches `required`.
+    /// Returns the operator with `token` if its role is at least `required`.
     ///
     /// # Errors
     ///
-    /// [`Denial`].
+    /// Returns a [`Denial`] if the token is missing or unknown or the role is too low.
     pub fn authorize(&self, token: Option<&str>, required: Role) -> Result<operator::Id, Denial> {
         if self.list.is_empty() {
             return LOCAL_OPERATOR.parse().map_err(|_| Denial::Unauthenticated);
@@ -115,8 +116,8 @@
         Ok(operator.name.clone())
     }
 
-    /// Compares with every hash in a time that does not depend on the token,
-    /// so that the time of an answer does not help to guess one.
+    /// Finds the operator with `token`. Compares all hashes in constant time, so that
+    /// the response time reveals nothing about valid tokens.
     fn authenticate(&self, token: &str) -> Result<&Operator, Denial> {
         let hash = blake3::hash(token.as_bytes());
         let mut found = None;
--- a/crates/admin/src/api.rs
+++ b/crates/admin/src/api.rs
@@ -23,7 +23,7 @@
 use propose::Propose;
 use read::{Change, Changes, Ready, Resource, Resources, Scrape, Status, healthz};
 
-/// The paths of the administration over `store`.
+/// Returns the routes of the administration API.
 pub(crate) fn router<T: Table + 'static, O: Objects + 'static>(
     store: Arc<Store<T>>,
     objects: Arc<O>,
--- a/crates/admin/src/api/auth.rs
+++ b/crates/admin/src/api/auth.rs
@@ -1,4 +1,4 @@
-//! Lets operators through.
+//! Authentication and authorization of operators.
 
 use std::sync::Arc;
 
@@ -12,14 +12,14 @@
 use super::failure::fail;
 use crate::access::{Denial, Operators, Role};
 
-/// Lets operators through whose role reaches the needed one.
+/// Middleware that admits operators with at least the required role.
 #[derive(Clone)]
 pub(super) struct Guard {
     pub(super) operators: Arc<Operators>,
     pub(super) required: Role,
 }
 
-/// The operator whom the gate let through.
+/// The authenticated operator of a request.
 #[derive(Clone, Debug)]
 pub(super) struct Caller(pub(super) operator::Id);
 
--- a/crates/admin/src/api/failure.rs
+++ b/crates/admin/src/api/failure.rs
@@ -1,4 +1,4 @@
-//! Answers to calls that failed.
+//! Responses to requests that failed.
 
 use config::{
     answer::{Code, Error, Failure, Verdict},
@@ -12,7 +12,7 @@
 
 use crate::store;
 
-/// When a caller may come back after the platform was down, in seconds.
+/// `Retry-After` in seconds when the platform is unavailable.
 const RETRY_AFTER_S: u64 = 1;
 
 pub(super) fn invalid(faults: Vec<check::Fault>) -> Error {
--- a/crates/admin/src/api/order.rs
+++ b/crates/admin/src/api/order.rs
@@ -1,4 +1,4 @@
-//! Takes orders to engines.
+//! The endpoint that accepts orders to engines.
 
 use std::{sync::Arc, time};
 
@@ -29,18 +29,18 @@
     store::Store,
 };
 
-/// How long an order may take, the wait for another holder's lease included.
+/// Timeout of an order, including the wait until another holder's lease expires.
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(45);
 
-/// When to come back after another administration held the lease, in seconds.
+/// `Retry-After` in seconds when another administration holds the lease.
 const RETRY_AFTER_S: u64 = 10;
 
-/// What it takes to give orders.
+/// Submits orders and resolves the engines that they address.
 #[derive(Clone, Debug)]
 pub(crate) struct Dispatcher {
-    /// The task that holds the lease.
+    /// Handle of the task that holds the lease.
     pub(crate) orders: Orders,
-    /// Where engines that no pool declares are found.
+    /// Client of the host list, for engines that no pool declares.
     pub(crate) hosts: Arc<hosts::Client>,
 }
 
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Where the engine called `server` is, from its pool or the host list.
+    /// Looks up the engine named `server` in the declared pools, then in the host list.
     async fn resolve(&self, server: &backend::Server) -> Result<Option<Target>, storage::Error> {
         let version = self.0.view().version;
         if let Some(target) = declared_target(&version.snapshot, server) {
@@ -135,7 +135,7 @@
     }
 }
 
-/// What is missing from an order.
+/// Returns a fault if a field that the kind of the order requires is missing.
 fn missing_field(order: &Order) -> Option<Fault> {
     let (field, value) = match order.kind {
         engine_orders::Kind::Load | engine_orders::Kind::Unload => ("order.model", &order.model),
--- a/crates/admin/src/api/propose.rs
+++ b/crates/admin/src/api/propose.rs
@@ -1,4 +1,4 @@
-//! Takes changes.
+//! The endpoint that accepts proposed changes.
 
 use std::{sync::Arc, time};
 
@@ -24,10 +24,10 @@
     store::{self, Author, Store},
 };
 
-/// The largest body of a change, in bytes.
+/// Maximum size of a request body in bytes.
 const MAX_BODY: usize = 4 * 1024 * 1024;
 
-/// How long a caller may take to send a body.
+/// Timeout of receiving a request body.
 const BODY_TIMEOUT: time::Duration = time::Duration::from_secs(10);
 
 /// `POST /v1/changes`.
@@ -75,7 +75,7 @@
 }
 
 impl<T: Table + 'static> Propose<T> {
-    /// Leaves a line in the audit trail, if the platform takes it.
+    /// Records a refused proposal in the audit trail. A failure is only logged.
     async fn record_refusal(
         &self,
         proposal: &proposal::Proposal,
@@ -91,7 +91,7 @@
     }
 }
 
-/// Reads the proposal in a request.
+/// Reads the proposal from a request.
 async fn read(request: &mut Request) -> Result<proposal::Proposal, Error> {
     let value = body(request).await?;
     proposal::Proposal::read(&value).map_err(invalid)
@@ -100,7 +100,7 @@
 /// Reads the JSON body of a request.
 pub(super) async fn body<B: DeserializeOwned>(request: &mut Request) -> Result<B, Error> {
     let malformed = |reason: String| Error::not_run(Code::Malformed, reason);
-    // A caller that sends its body byte by byte would hold a connection for good.
+    // A caller that sends its body byte by byte would occupy a connection indefinitely.
     let body = tokio::time::timeout(BODY_TIMEOUT, request.payload_with_max_size(MAX_BODY))
         .await
         .map_err(|_| malformed(String::from("the body took too long")))?
--- a/crates/admin/src/api/read.rs
+++ b/crates/admin/src/api/read.rs
@@ -1,4 +1,4 @@
-//! Answers what is held and what the fleet tells.
+//! The read endpoints: configuration, fleet status, audit trail, health and metrics.
 
 use std::{str::FromStr, sync::Arc};
 
@@ -24,7 +24,7 @@
     store::{self, Store},
 };
 
-/// The most changes in one answer.
+/// Maximum number of changes in one response.
 const MAX_CHANGES: u64 = 1_000;
 
 /// `GET /v1/resources`.
@@ -97,7 +97,8 @@
 }
 
 impl<T: Table + 'static, O: Objects + 'static> Changes<T, O> {
-    /// The trail from the revision `first` on; its refused changes if it is the `is_latest` part.
+    /// Returns the audit trail from revision `first` on. Refused changes are included
+    /// only if `is_latest`.
     async fn history(
         &self,
         first: revision::Id,
@@ -109,7 +110,8 @@
         let changes = archive::history(table, &*self.1, first, limit, deadline).await?;
         let mut refused = Vec::new();
         if is_latest {
-            // Refused changes before the first accepted one belong to it as well.
+            // If the page starts with the first change ever accepted, it also includes the
+            // refused changes before that change.
             let oldest = changes.first().filter(|change| change.from.0 > 0);
             let since = oldest.map_or(0, |change| change.when);
             refused = refusals::since(table, since, deadline).await?;
@@ -140,7 +142,7 @@
     }
 }
 
-/// The body of a health check.
+/// The response body of a health check.
 #[derive(Serialize)]
 pub(super) struct Check {
     ok: bool,
@@ -151,7 +153,7 @@
     response.render(Json(Check { ok: true }));
 }
 
-/// `GET /readyz`: whether anything is held.
+/// `GET /readyz`: succeeds once the configuration was loaded from the table.
 pub(super) struct Ready<T>(pub(super) Arc<Store<T>>);
 
 #[handler]
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -1,4 +1,4 @@
-//! What the routers tell of the fleet.
+//! The state of the fleet, polled from routers.
 
 use std::{
     collections::BTreeMap,
@@ -20,45 +20,45 @@
 use tokio::{sync::watch, task, time};
 use units::{availability, host, revision};
 
-/// The page of a router at which it tells of its state.
+/// Path of the status endpoint of a router.
 const STATUS_PATH: &str = "/weir/status";
 
-/// The most routers that are asked for their own backend servers at once.
+/// Maximum number of routers that are queried at once.
 ///
-/// At the size of a thousand nodes asking all would cost too much; the others
-/// are known by what these tell of them.
+/// In a fleet of a thousand nodes, querying all routers would cost too much; the
+/// state of the others is taken from the reports of these.
 const MAX_POLLED: usize = 16;
 
-/// The most that looks at the fleet may cost each router that is asked, in bytes a second.
+/// Maximum bandwidth of status responses per queried router, in bytes per second.
 ///
-/// The answer grows with the fleet; asked each second for a thousand routers,
-/// it would cost the router many times what it may spend on control traffic.
+/// The response grows with the fleet. With a thousand routers and one query per
+/// second, it would exceed the control traffic budget of a router many times over.
 const BUDGET_BYTES_PER_S: u64 = 1_000;
 
-/// What one router tells.
+/// The status report of one router.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Report {
-    /// Its host.
+    /// The host of the router.
     pub host: host::Id,
-    /// Its availability zone.
+    /// The availability zone of the router.
     pub zone: availability::Zone,
-    /// The revision that it applied.
+    /// The revision that the router has applied.
     pub revision: revision::Id,
-    /// Whether it takes callers.
+    /// Whether the router accepts requests of callers.
     pub ready: bool,
-    /// The routers that it knows of.
+    /// The members of the fleet that the router has in its membership list.
     #[serde(default)]
     pub members: Vec<Router>,
-    /// The backend servers that it owns.
+    /// The backend servers that the router owns.
     #[serde(default)]
     pub engines: Vec<Engine>,
-    /// What it refused.
+    /// The numbers of requests that the router refused, by code and verdict.
     #[serde(default)]
     pub refusals: Vec<Refusals>,
 }
 
 impl Report {
-    /// The routers that it knows of and itself.
+    /// Returns the other members followed by the reporting router itself.
     fn routers(&self) -> Vec<Router> {
         let mut routers = self.members.clone();
         routers.retain(|router| router.host != self.host);
@@ -73,43 +73,44 @@
     }
 }
 
-/// The routers at one moment.
+/// The routers of the fleet as of the last poll.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// The routers.
+    /// All known routers.
     pub routers: Arc<Vec<Router>>,
-    /// When a router told of them. `None`: never.
+    /// When a router last responded. `None`: never.
     pub updated_at: Option<time::Instant>,
-    /// The size of the longest answer in bytes.
+    /// Size of the largest response of the last poll in bytes.
     response_bytes: u64,
 }
 
-/// What some routers answered to one question.
+/// The combined reports of several routers.
 #[derive(Clone, Debug, Default)]
 pub struct Survey {
-    /// How many were asked.
+    /// Number of routers queried.
     pub asked: usize,
-    /// How many answered.
+    /// Number of routers that responded.
     pub answered: usize,
-    /// The backend servers that they own.
+    /// The backend servers that these routers own.
     pub engines: Vec<Engine>,
-    /// What they refused.
+    /// The numbers of requests that these routers refused, by code and verdict.
     pub refusals: Vec<Refusals>,
 }
 
-/// A view of the fleet that is brought up to date by asking routers.
+/// A view of the fleet that is refreshed by polling routers.
 #[derive(Debug)]
 pub struct Fleet {
     clients: Vec<Arc<http::Client>>,
-    /// The zones of the routers as far as they answered when asked last.
+    /// The zone of each router. `None` if the router was not queried or did not
+    /// respond to its last query.
     zones: Mutex<Vec<Option<availability::Zone>>>,
-    /// Counts the looks.
+    /// Number of polls so far, for round-robin selection.
     round: AtomicUsize,
     view: watch::Sender<View>,
 }
 
 impl Fleet {
-    /// A view through the routers at `addresses`.
+    /// Returns an empty view that is refreshed from the routers at `addresses`.
     pub fn new(addresses: &[net::SocketAddr]) -> Self {
         let clients = addresses.iter().copied().map(http::Client::new);
         let (view, _) = watch::channel(View::default());
@@ -121,27 +122,28 @@
         }
     }
 
-    /// The routers as they were told of last.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Looks at the fleet through one router of each zone.
+    /// Refreshes the view from one router of each zone.
     ///
-    /// Routers know well what those of their own zone have applied, and late
-    /// what the others have, so each zone is to be asked.
+    /// A router learns early which revisions the routers of its own zone have applied
+    /// and late those of other zones, so each zone is queried.
     pub async fn poll(&self, timeout: time::Duration) {
         let round = self.round.fetch_add(1, Ordering::Relaxed);
         let selected = select_routers(&self.zones(), round);
         self.query(&selected, timeout).await;
     }
 
-    /// How long to wait between two looks, so that they stay within the budget.
+    /// Returns the shortest interval between two polls that stays within the bandwidth
+    /// budget.
     pub fn min_poll_interval(&self) -> time::Duration {
         min_poll_interval(self.view().response_bytes, &self.zones())
     }
 
-    /// Asks the first 16 routers at once.
+    /// Queries the first 16 routers concurrently.
     pub async fn survey(&self, timeout: time::Duration) -> Survey {
         let all: Vec<usize> = (0..self.clients.len().min(MAX_POLLED)).collect();
         let reports = self.query(&all, timeout).await;
@@ -156,10 +158,10 @@
         }
     }
 
-    /// Asks the routers with these numbers and holds what they tell.
+    /// Queries the routers at these indices and updates the view from their reports.
     ///
-    /// Where they disagree about another router, the higher revision is the
-    /// later news, and a router's own word goes before that of others.
+    /// If reports about a router differ, the higher revision is the newer one. What a
+    /// router reports about itself takes precedence over the reports of others.
     async fn query(&self, indices: &[usize], timeout: time::Duration) -> Vec<Report> {
         let deadline = time::Instant::now() + timeout;
         let mut requests = task::JoinSet::new();
@@ -179,7 +181,7 @@
                 reports.push(report);
             }
         }
-        // Answers come in any order; the view must not depend on it.
+        // Responses arrive in any order; the view must not depend on it.
         reports.sort_by(|a: &Report, b: &Report| a.host.cmp(&b.host));
         if !reports.is_empty() {
             self.update(merge_routers(&reports), response_bytes);
@@ -208,8 +210,8 @@
     }
 }
 
-/// The numbers of the routers to ask: one of each zone in turn, and those whose
-/// zone is not known, since they have not answered.
+/// Returns the indices of the routers to query: one router per zone, chosen round
+/// robin, and all routers of unknown zone, since these have not responded.
 fn select_routers(zones: &[Option<availability::Zone>], round: usize) -> Vec<usize> {
     let mut by_zone: BTreeMap<&availability::Zone, Vec<usize>> = BTreeMap::new();
     let mut selected = Vec::new();
@@ -228,8 +230,8 @@
     selected
 }
 
-/// The time between two looks whose answers have `response_bytes` bytes, so that the
-/// router that is asked most often stays within the budget.
+/// Returns the interval between two polls with responses of `response_bytes` bytes at
+/// which the router that is queried most often stays within the bandwidth budget.
 pub fn min_poll_interval(
     response_bytes: u64,
     zones: &[Option<availability::Zone>],
@@ -244,7 +246,7 @@
     )
 }
 
-/// What a router tells, and the size of its answer in bytes.
+/// Fetches the report of a router. Returns the report and the response size in bytes.
 async fn fetch(client: &http::Client, deadline: time::Instant) -> Option<(Report, u64)> {
     let request = http::request(Method::GET, STATUS_PATH, Bytes::new()).ok()?;
     let response = client.call(request, deadline).await.ok()?;
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts `weir-admin`.
+//! The entry point of `weir-admin`.
 
 use std::{
     fs,
@@ -14,7 +14,7 @@
 const ABOUT: &str = "Serves the administration API of a fleet of routers. Operators may also be \
 given in the environment variable WEIR_OPERATORS, as NAME:ROLE:HASH,...";
 
-/// What was given, unchecked.
+/// The raw command-line arguments and environment variables before validation.
 struct Arguments {
     listen: settings::Raw,
     platform: settings::Raw,
@@ -24,7 +24,7 @@
     operators_file: settings::Raw,
 }
 
-/// The administration could not be started.
+/// The error of an administration that could not start.
 #[derive(Debug)]
 struct StartError;
 
@@ -48,7 +48,7 @@
     Ok(())
 }
 
-/// Tells scripts the bound address, as one line on standard output.
+/// Prints the bound address as one line on standard output, for scripts.
 fn print_address(address: net::SocketAddr) -> io::Result<()> {
     let mut output = io::stdout().lock();
     writeln!(output, "listening={address}")?;
@@ -57,7 +57,7 @@
     Ok(())
 }
 
-/// Waits for a signal that asks the process to end.
+/// Waits for SIGINT or SIGTERM.
 async fn wait_for_signal() -> io::Result<()> {
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
@@ -69,19 +69,24 @@
 }
 
 fn arguments() -> impl Parser<Arguments> {
-    let listen = settings::text("listen", "WEIR_LISTEN", "IP:PORT", "Where to listen");
-    let platform = settings::text("platform", "WEIR_PLATFORM", "IP:PORT", "The platform");
+    let listen = settings::text("listen", "WEIR_LISTEN", "IP:PORT", "Address to listen on");
+    let platform = settings::text(
+        "platform",
+        "WEIR_PLATFORM",
+        "IP:PORT",
+        "Address of the platform",
+    );
     let routers = settings::text(
         "routers",
         "WEIR_ROUTERS",
         "IP:PORT,...",
-        "Caller addresses of some routers, which tell of the others",
+        "Caller addresses of some routers, which report the state of the others",
     );
     let host = settings::text(
         "host",
         "WEIR_HOST",
         "NAME",
-        "Name of this host, shown while it gives orders to engines",
+        "Name of this host, shown as the holder of the lease while it sends orders to engines",
     );
     let operators = settings::secret("WEIR_OPERATORS");
     let operators_file = settings::text(
@@ -91,7 +96,7 @@
         "A file of operators, one a line: NAME:ROLE:HASH, with the role read or write and the BLAKE3 hash of the token in hex",
     );
     let addresses = construct!(listen, platform, routers, host).group_help("Addresses:");
-    let access = construct!(operators, operators_file).group_help("Who may read and change:");
+    let access = construct!(operators, operators_file).group_help("Operators:");
     construct!(addresses, access).map(|(addresses, access)| {
         let (listen, platform, routers, host) = addresses;
         let (operators, operators_file) = access;
--- a/crates/admin/src/metrics.rs
+++ b/crates/admin/src/metrics.rs
@@ -20,7 +20,7 @@
     outcome: &'static str,
 }
 
-/// How a change ended, in one word.
+/// Returns the `outcome` label of a change.
 fn outcome_label(result: &Result<Outcome, Failure>) -> &'static str {
     match result {
         Ok(Outcome::Accepted(_)) => "accepted",
@@ -33,7 +33,7 @@
     }
 }
 
-/// All metrics.
+/// The metrics of the process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Registry,
@@ -78,13 +78,13 @@
 }
 
 impl Metrics {
-    /// Counts the end of a change.
+    /// Counts a change by its outcome.
     pub fn count_outcome(&self, result: &Result<Outcome, Failure>) {
         let outcome = outcome_label(result);
         self.changes.get_or_create(&Labels { outcome }).inc();
     }
 
-    /// All metrics as text, the gauges as `view` and `fleet` tell them now.
+    /// Encodes all metrics as text after setting the gauges from `view` and `fleet`.
     pub fn encode(&self, view: &View, fleet: &fleet::View) -> String {
         let revision = view.version.snapshot.revision();
         let zones = state::coverage(revision, &fleet.routers);
@@ -100,7 +100,7 @@
         self.missing.set(i64::try_from(missing).unwrap_or(i64::MAX));
         self.lost.set(i64::try_from(lost).unwrap_or(i64::MAX));
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
--- a/crates/admin/src/orders.rs
+++ b/crates/admin/src/orders.rs
@@ -1,4 +1,4 @@
-//! Gives orders to engines under a lease.
+//! Sends orders to engines while holding a lease.
 
 mod driver;
 
@@ -21,20 +21,20 @@
 
 /// The key of the row that holds the lease.
 ///
-/// One lease serves the whole deployment: orders are rare, and operators who
-/// order at two hosts at once are to come one after the other.
+/// One lease covers the whole deployment: orders are rare, and concurrent orders
+/// that operators send through different hosts have to be serialized.
 pub const LEASE_KEY: &str = "lease/orders";
 
-/// How many orders may wait for the lease.
+/// Capacity of the channel between API calls and the task that holds the lease.
 const MAX_QUEUED: usize = 64;
 
-/// What an order does.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Kind {
     /// Loads a model, an adapter or a version.
     Load,
-    /// Unloads it.
+    /// Unloads a model, an adapter or a version.
     Unload,
     /// Changes the engine's role.
     Role,
@@ -44,43 +44,45 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// What it does.
+    /// The kind of the order.
     pub kind: Kind,
-    /// The model.
+    /// The model to load or unload.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub model: Option<String>,
-    /// The adapter.
+    /// The adapter to load or unload.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<String>,
-    /// The version.
+    /// The version to load or unload.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub version: Option<String>,
-    /// The new role.
+    /// The engine's new role.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub role: Option<String>,
 }
 
-/// Where an order goes.
+/// The engine that receives an order.
 #[derive(Clone, Copy, Debug)]
 pub struct Target {
     /// The engine's address.
     pub address: net::SocketAddr,
-    /// Whether it refuses an old fencing number.
+    /// Whether the engine rejects orders with an outdated fencing token.
     pub fencing: Fencing,
 }
 
 /// Why an order failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Nothing was sent, since the lease could not be had in time.
+    /// The lease could not be acquired before the deadline, or too many orders are
+    /// queued; the order was not sent.
+    /// Contains the current holder if it is known.
     NotHeld(Option<host::Id>),
-    /// Nothing was sent, since the platform cannot be reached.
+    /// The platform cannot be reached; the order was not sent.
     Unavailable(String),
-    /// The engine refused it, for this reason; it has not run.
+    /// The engine refused the order for this reason; the order has not run.
     Refused(String),
-    /// The engine could not be reached; it has not run.
+    /// The engine could not be reached; the order has not run.
     Unreachable(String),
-    /// It was sent and its answer was lost. It may have run.
+    /// The order was sent and its response was lost; the order may have run.
     Unknown(String),
 }
 
@@ -97,7 +99,7 @@
     }
 }
 
-/// An order that waits for the lease.
+/// An order that is queued until the lease is held.
 #[derive(Debug)]
 struct Queued {
     target: Target,
@@ -106,14 +108,14 @@
     reply: oneshot::Sender<Result<orders::Fence, Failure>>,
 }
 
-/// Hands orders to the task that holds the lease.
+/// Handle that submits orders to the task that holds the lease.
 #[derive(Clone, Debug)]
 pub struct Orders {
     sender: mpsc::Sender<Queued>,
 }
 
 impl Orders {
-    /// Starts the task on `tasks`.
+    /// Spawns the task that holds the lease on `tasks`.
     pub fn start<T: Table + 'static>(
         table: Arc<T>,
         host: host::Id,
@@ -135,11 +137,11 @@
         Self { sender }
     }
 
-    /// Gives `order` to the engine at `target` once the lease is held.
+    /// Sends `order` to the engine at `target` once the lease is held.
     ///
     /// # Errors
     ///
-    /// [`Failure`], which tells whether the order may have run.
+    /// Returns a [`Failure`], whose variant shows whether the order may have run.
     pub async fn submit(
         &self,
         target: Target,
@@ -156,19 +158,19 @@
         if self.sender.try_send(queued).is_err() {
             return Err(Failure::NotHeld(None));
         }
-        // The task ends only with the process, which then answers nobody.
+        // The task ends only with the process, after which no response is sent.
         response.await.unwrap_or(Err(Failure::NotHeld(None)))
     }
 }
 
-/// The task that holds the lease while there are orders.
+/// The task that queues orders and holds the lease while there are any.
 struct Worker<T> {
     clock: Clock,
     driver: Driver<T>,
     lease: Lease,
     settings: settings::Orders,
     queue: Vec<Queued>,
-    /// When the lease is given back. `None`: it is not wanted.
+    /// When the lease is released. `None` if the lease is not needed.
     release_at: Option<Instant>,
 }
 
@@ -195,7 +197,8 @@
         self.lease.acquire();
     }
 
-    /// Refuses what waits: nobody can tell who holds the lease, nor for how long.
+    /// Fails all queued orders: while the table cannot be read, neither the holder of
+    /// the lease nor its expiry is known.
     fn fail_queued(&mut self, error: &storage::Error) {
         for queued in self.queue.drain(..) {
             let failure = Failure::Unavailable(error.to_string());
@@ -203,14 +206,15 @@
         }
     }
 
-    /// Sends the orders that may be sent and gives up those that are late.
+    /// Sends the orders that the lease permits and fails those past their deadline.
     fn dispatch(&mut self) {
         let now = Instant::now();
         for queued in std::mem::take(&mut self.queue) {
             if queued.reply.is_closed() {
                 continue;
             }
-            // The permit is asked for last: the order leaves right after it.
+            // The permit is requested last, so that the order is sent immediately after it
+            // is granted.
             match self.lease.permit(queued.target.fencing, self.clock.now()) {
                 Ok(permit) => self.send(queued, permit),
                 Err(Denial::NotHeld | Denial::Wait(_)) if now < queued.deadline => {
@@ -236,11 +240,11 @@
         });
     }
 
-    /// When there is something to do without a new order.
+    /// Returns when the task has to wake up if no new order arrives.
     fn wake_at(&self) -> Option<Instant> {
         let lease = self.clock.to_tokio_deadline(self.lease.wake_at());
         let earliest_deadline = self.queue.iter().map(|queued| queued.deadline).min();
-        // While orders wait, the lease may become clear at any time.
+        // While orders are queued, a permit may become available at any time.
         let poll = (!self.queue.is_empty()).then(|| Instant::now() + driver::POLL_INTERVAL);
         [lease, earliest_deadline, poll, self.release_at]
             .into_iter()
@@ -256,15 +260,15 @@
     }
 }
 
-/// The body of an order.
+/// The body of the request that carries an order.
 #[derive(Serialize)]
 struct Body<'a> {
     fence: orders::Fence,
     order: &'a Order,
 }
 
-/// Sends one order. Its connection is closed when the call ends, so that
-/// nothing of it arrives after the deadline of the permit.
+/// Sends one order. The connection is closed when the call ends, so that no part of
+/// the order arrives after the deadline of the permit.
 async fn post(
     target: &Target,
     fence: orders::Fence,
--- a/crates/admin/src/orders/driver.rs
+++ b/crates/admin/src/orders/driver.rs
@@ -1,4 +1,4 @@
-//! Carries out what a lease asks of the table.
+//! Executes the reads and writes that the lease state machine requests from the table.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,43 +12,43 @@
 
 use super::LEASE_KEY;
 
-/// How long one call to the table may take.
+/// Timeout of one call to the table.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// The time between two looks while something may become due.
+/// Interval at which the lease is checked while orders are queued.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Turns the process's clock into the instants of decisions.
+/// Converts between tokio's clock and the instants of the lease state machine.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Clock {
     origin: Instant,
 }
 
 impl Clock {
-    /// A clock whose origin is now.
+    /// Returns a clock whose origin is the current time.
     pub(super) fn start() -> Self {
         Self {
             origin: Instant::now(),
         }
     }
 
-    /// The present instant.
+    /// Returns the current instant.
     pub(super) fn now(self) -> time::Instant {
         time::Instant::ZERO + self.origin.elapsed()
     }
 
-    /// The instant of the process's clock.
+    /// Converts an instant of the lease state machine into one of tokio's clock.
     pub(super) fn to_tokio(self, instant: time::Instant) -> Instant {
         self.origin + instant.since(time::Instant::ZERO)
     }
 
-    /// The same, `None` for never.
+    /// Like [`Self::to_tokio`], but `None` for [`time::Instant::NEVER`].
     pub(super) fn to_tokio_deadline(self, instant: time::Instant) -> Option<Instant> {
         (instant < time::Instant::NEVER).then(|| self.to_tokio(instant))
     }
 }
 
-/// Reads and writes the row of the lease.
+/// Reads and writes the row that stores the lease.
 #[derive(Debug)]
 pub(super) struct Driver<T> {
     table: Arc<T>,
@@ -60,11 +60,12 @@
         Self { table, clock }
     }
 
-    /// Does what the lease asks for until it asks for nothing more now.
+    /// Executes the requests of the lease state machine until none is pending.
     ///
     /// # Errors
     ///
-    /// When the row could not be read. The lease asks for it again later.
+    /// Returns an error if the row could not be read. The lease state machine requests
+    /// the read again later.
     pub(super) async fn drive(&self, lease: &mut Lease) -> Result<(), Error> {
         while let Some(operation) = lease.next_operation(self.clock.now()) {
             match operation {
--- a/crates/admin/src/process.rs
+++ b/crates/admin/src/process.rs
@@ -1,4 +1,4 @@
-//! The tasks of the administration.
+//! The background tasks and the HTTP server of the administration.
 
 use std::{io, net, sync::Arc};
 
@@ -21,13 +21,14 @@
     store::{Health, Store},
 };
 
-/// The most open connections. Operators are few; more would be a leak or an attack.
+/// Maximum number of open connections. There are few operators, so more connections
+/// would indicate a leak or an attack.
 const MAX_CONNECTIONS: usize = 256;
 
-/// How long calls under way may take after the process was told to end.
+/// How long requests in flight may take after shutdown was requested.
 const SHUTDOWN_TIMEOUT: time::Duration = time::Duration::from_secs(5);
 
-/// A running administration. Dropping it ends its tasks.
+/// A running administration. Dropping it aborts its tasks.
 #[derive(Debug)]
 pub struct Process {
     address: net::SocketAddr,
@@ -37,12 +38,13 @@
 }
 
 impl Process {
-    /// Where it listens.
+    /// Returns the address on which the administration listens.
     pub fn address(&self) -> net::SocketAddr {
         self.address
     }
 
-    /// Stops listening, finishes the calls under way and ends.
+    /// Stops listening and waits until the requests in flight are finished or the
+    /// shutdown timeout expires.
     pub async fn stop(mut self) {
         self.handle.stop_graceful(SHUTDOWN_TIMEOUT);
         while self.server.join_next().await.is_some() {}
@@ -53,7 +55,7 @@
 ///
 /// # Errors
 ///
-/// When it cannot listen.
+/// Returns an error if the listen address cannot be bound.
 pub async fn start(settings: &Settings) -> io::Result<Process> {
     let table = table::Client::new(settings.platform);
     let store = Arc::new(Store::new(table, settings.store.clone()));
@@ -103,7 +105,8 @@
     })
 }
 
-/// The name of a process that was given none: its address in allowed characters.
+/// Returns the host name of a process without a configured one. It is derived from
+/// the listen address; characters that are not allowed in a name become `-`.
 fn default_host(address: net::SocketAddr) -> host::Id {
     let text: String = address
         .to_string()
@@ -129,7 +132,7 @@
         .ok_or_else(|| io::Error::other("the listener has no address"))
 }
 
-/// Keeps what is held up to the table.
+/// Refreshes the cached configuration from the table periodically.
 async fn poll_table(store: Arc<Store<table::Client>>) {
     let mut ticks = time::interval(store.settings().poll_interval);
     ticks.set_missed_tick_behavior(time::MissedTickBehavior::Delay);
@@ -137,7 +140,7 @@
         ticks.tick().await;
         let deadline = time::Instant::now() + store.settings().read_timeout;
         let health_before = store.view().health;
-        // The outcome is held by the store; here it only leaves a line in the log.
+        // The store keeps the result; here only changes of health are logged.
         let result = store.refresh(deadline).await;
         match (health_before, result) {
             (Health::Down(_), Ok(_)) => logging::event!(info, "platform_up"),
@@ -149,8 +152,8 @@
     }
 }
 
-/// Keeps the view of the fleet up to date: often while a change is on its way,
-/// else rarely, since the answer grows with the number of routers.
+/// Refreshes the view of the fleet: frequently while a change is being rolled out,
+/// otherwise rarely, since the size of a response grows with the number of routers.
 async fn poll_fleet(store: Arc<Store<table::Client>>, fleet: Arc<Fleet>) {
     let settings = store.settings().clone();
     let mut changes = store.subscribe();
@@ -172,7 +175,7 @@
     }
 }
 
-/// Moves old changes to the object store from time to time.
+/// Moves old changes to the object store and trims recorded refusals periodically.
 async fn compact(
     store: Arc<Store<table::Client>>,
     objects: Arc<objects::Client>,
--- a/crates/admin/src/responses.rs
+++ b/crates/admin/src/responses.rs
@@ -1,4 +1,4 @@
-//! Puts together what is held and what the fleet tells.
+//! Builds API responses from the cached configuration and the view of the fleet.
 
 use config::{
     answer::{Engine, Freshness, List, Listed, Pending, Removed, Status, Zone},
@@ -13,7 +13,7 @@
     store::{Health, View},
 };
 
-/// How fresh `view` is, `None` when nothing is held.
+/// Returns the freshness of `view`. `None` if no configuration was loaded.
 pub fn freshness(view: &View, fleet: &fleet::View) -> Option<Freshness> {
     let confirmed_at = view.confirmed_at?;
     Some(Freshness {
@@ -31,7 +31,7 @@
     u64::try_from(instant.elapsed().as_millis()).unwrap_or(u64::MAX)
 }
 
-/// All resources with their states, `None` when nothing is held.
+/// Returns all resources with their states. `None` if no configuration was loaded.
 pub fn list(view: &View, fleet: &fleet::View) -> Option<List> {
     let resources = view.version.snapshot.resources();
     Some(List {
@@ -74,7 +74,8 @@
     }
 }
 
-/// Whether `revision` is `reached` or still `in_progress`, and where it is missing.
+/// Returns `reached` if all routers have applied `revision`, otherwise `in_progress`,
+/// and the zones with routers that have not applied it or are lost.
 fn progress(
     revision: revision::Id,
     fleet: &fleet::View,
@@ -91,13 +92,13 @@
     (state, zones)
 }
 
-/// Whether every change held is in force as far as the fleet tells.
+/// Returns whether the routers have applied the cached revision, as far as known.
 pub fn is_rolled_out(view: &View, fleet: &fleet::View) -> bool {
     let revision = view.version.snapshot.revision();
     state::is_applied(&state::coverage(revision, &fleet.routers))
 }
 
-/// The fleet at a glance, `None` when nothing is held.
+/// Returns the status of the fleet. `None` if no configuration was loaded.
 pub fn status(view: &View, fleet: &fleet::View, survey: Survey) -> Option<Status> {
     let snapshot = &view.version.snapshot;
     let mut coverage = state::coverage(snapshot.revision(), &fleet.routers);
--- a/crates/admin/src/settings.rs
+++ b/crates/admin/src/settings.rs
@@ -8,22 +8,22 @@
 
 use crate::access::Operators;
 
-/// How the configuration is read and written.
+/// Settings of reading and writing the configuration.
 #[derive(Clone, Debug)]
 pub struct Store {
-    /// How often a change is tried when others come first.
+    /// Maximum number of attempts to commit a change, for example after conflicts.
     pub max_attempts: u32,
-    /// The time between two reads of the table.
+    /// Interval between two reads of the table.
     pub poll_interval: time::Duration,
-    /// The time between two looks at the fleet while nothing is on its way.
+    /// Interval between two polls of the fleet while no change is being rolled out.
     pub idle_poll_interval: time::Duration,
-    /// The time between two looks for changes that move to the object store.
+    /// Interval between two runs of moving old changes to the object store.
     pub compaction_interval: time::Duration,
-    /// How long one look at the table or the fleet may take.
+    /// Timeout of one read of the table or poll of the fleet.
     pub read_timeout: time::Duration,
-    /// How long one call that serves a change may take.
+    /// Timeout of one call to the table on behalf of a change.
     pub call_timeout: time::Duration,
-    /// How long a change may take in all.
+    /// Timeout of a change including its retries.
     pub write_timeout: time::Duration,
 }
 
@@ -41,12 +41,12 @@
     }
 }
 
-/// How orders are given to engines.
+/// Settings of sending orders to engines.
 #[derive(Clone, Debug)]
 pub struct Orders {
-    /// How long leases last and orders take.
+    /// Durations of leases and orders.
     pub lease: orders::Settings,
-    /// How long the lease is kept after the last order.
+    /// How long the lease is kept after the last order was queued.
     pub idle_timeout: time::Duration,
 }
 
@@ -62,21 +62,21 @@
 /// The settings of the process.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Where it listens.
+    /// The address to listen on.
     pub listen: net::SocketAddr,
-    /// Where the platform is.
+    /// The address of the platform.
     pub platform: net::SocketAddr,
-    /// The caller addresses of some routers, which know the others.
+    /// The caller addresses of some routers, which report the state of the others.
     pub routers: Vec<net::SocketAddr>,
-    /// The name under which it holds the lease for orders. Unset: from its address.
+    /// The holder name of the lease for orders. `None`: derived from the listen address.
     pub host: Option<host::Id>,
-    /// How orders are given.
+    /// Settings of sending orders to engines.
     pub orders: Orders,
-    /// Who may read and change the configuration.
+    /// The operators who may read or change the configuration.
     pub operators: Operators,
-    /// How the configuration is read and written.
+    /// Settings of reading and writing the configuration.
     pub store: Store,
-    /// How many changes stay in the table.
+    /// Settings of moving old changes from the table to the object store.
     pub archive: Archive,
 }
 
--- a/crates/admin/src/store.rs
+++ b/crates/admin/src/store.rs
@@ -1,4 +1,4 @@
-//! The configuration as this process holds it, and the writing of changes.
+//! The cached configuration of this process and the commit of changes.
 
 mod view;
 
@@ -18,40 +18,41 @@
 use crate::settings;
 pub use view::{Health, View};
 
-/// Who makes a change, and when.
+/// The author of a change and the time of the proposal.
 #[derive(Clone, Debug)]
 pub struct Author {
     /// The operator.
     pub who: operator::Id,
-    /// The present time in milliseconds since 1970.
+    /// Milliseconds since the Unix epoch.
     pub when: u64,
 }
 
-/// How a proposal ended well.
+/// The outcome of a proposal that succeeded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was committed and made this revision.
+    /// The change was committed as this revision.
     Accepted(revision::Id),
-    /// An earlier try with its id had been committed and made this revision.
+    /// An earlier attempt with the same id had been committed as this revision.
     Repeated(revision::Id),
-    /// Everything was as it asks at this revision.
+    /// The configuration at this revision already matches the proposal.
     Unchanged(revision::Id),
 }
 
-/// How a proposal failed.
+/// Why a proposal failed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// It was refused and has changed nothing.
+    /// The proposal was refused. Nothing was changed.
     Refused(proposal::Refusal),
     /// The platform cannot be reached. Nothing was changed.
     Unavailable(String),
-    /// An answer of the platform was lost and could not be settled in time.
-    /// A repeat with the same id tells, and changes nothing twice.
+    /// A response of the platform was lost and the outcome could not be determined in
+    /// time. Repeating the proposal with the same id returns the outcome and does not
+    /// apply the change twice.
     Unknown(String),
 }
 
 impl Failure {
-    /// One sentence about it.
+    /// Returns a description for the log.
     pub fn reason(&self) -> String {
         match self {
             Self::Refused(proposal::Refusal::Invalid(faults)) => {
@@ -59,7 +60,10 @@
                 format!("{} faults: {}", faults.len(), first.unwrap_or_default())
             }
             Self::Refused(proposal::Refusal::Conflict(conflicts)) => {
-                format!("{} resources were changed first", conflicts.len())
+                format!(
+                    "{} resources have changed since they were read",
+                    conflicts.len()
+                )
             }
             Self::Unavailable(reason) => format!("platform: {reason}"),
             Self::Unknown(reason) => format!("outcome unknown, may have run: {reason}"),
@@ -67,10 +71,11 @@
     }
 }
 
-/// The configuration held by this process over the platform's table.
+/// A cache of the configuration in the platform's table, through which changes are
+/// committed.
 ///
-/// It is a cache: all that counts is in the table, so any number of processes
-/// may serve the same configuration.
+/// The table is the only source of truth, so any number of processes may serve the
+/// same configuration.
 #[derive(Debug)]
 pub struct Store<T> {
     table: T,
@@ -78,25 +83,25 @@
     view: watch::Sender<View>,
 }
 
-/// How many reads without an answer a change outlasts. It is refused at the
-/// next, so that an operator learns of an outage at once.
+/// Number of reads without a response that are retried per change. The change fails
+/// at the next one, so that the operator learns of an outage quickly.
 const MAX_READ_TIMEOUTS: u32 = 1;
 
-/// How one try at a proposal ended.
+/// The result of one attempt to commit a proposal.
 enum Attempt {
     Done(Result<Outcome, Failure>),
-    /// Another change came first.
+    /// Another change was committed first.
     Superseded,
-    /// The answer of the platform was lost.
+    /// The response to the write was lost.
     OutcomeUnknown(String),
-    /// The platform did not answer a read.
+    /// The platform did not respond to a read.
     ReadTimedOut(String),
-    /// The platform is down, and nothing was written.
+    /// The platform is unavailable and nothing was written.
     PlatformDown(String),
 }
 
 impl<T: Table> Store<T> {
-    /// A store over `table` that holds nothing yet.
+    /// Returns a store over `table` with no configuration loaded.
     pub fn new(table: T, settings: settings::Store) -> Self {
         let (view, _) = watch::channel(View {
             version: Arc::new(Version::default()),
@@ -112,31 +117,32 @@
         }
     }
 
-    /// The table.
+    /// Returns the table.
     pub fn table(&self) -> &T {
         &self.table
     }
 
-    /// The settings.
+    /// Returns the settings.
     pub fn settings(&self) -> &settings::Store {
         &self.settings
     }
 
-    /// What is held now.
+    /// Returns the current view.
     pub fn view(&self) -> View {
         self.view.borrow().clone()
     }
 
-    /// Tells of each change of what is held.
+    /// Returns a receiver that is notified when the view changes.
     pub fn subscribe(&self) -> watch::Receiver<View> {
         self.view.subscribe()
     }
 
-    /// Brings what is held up to the table.
+    /// Updates the view from the table.
     ///
     /// # Errors
     ///
-    /// [`reader::Error`], and what is held stands.
+    /// Returns a [`reader::Error`] if the table cannot be read. The cached configuration
+    /// is then kept.
     pub async fn refresh(&self, deadline: time::Instant) -> Result<Arc<Version>, reader::Error> {
         let current = self.view();
         let requested_at = time::Instant::now();
@@ -154,11 +160,11 @@
         }
     }
 
-    /// Commits `proposal`, or says why not and whether it may have been.
+    /// Commits `proposal`. A failure shows whether the proposal may have been committed.
     ///
     /// # Errors
     ///
-    /// [`Failure`].
+    /// Returns a [`Failure`] if the proposal was not committed or its outcome is unknown.
     pub async fn submit(
         &self,
         proposal: &Proposal,
@@ -189,7 +195,7 @@
             match self.attempt(proposal, author, deadline).await {
                 Attempt::Done(result) => return result,
                 Attempt::Superseded => {}
-                // The connection may have gone silent; the next try opens a fresh one.
+                // The connection may be unresponsive; the next attempt opens a new one.
                 Attempt::ReadTimedOut(_) if read_timeouts < MAX_READ_TIMEOUTS => read_timeouts += 1,
                 Attempt::ReadTimedOut(reason) => return Err(aborted(lost_response, reason)),
                 Attempt::OutcomeUnknown(reason) => lost_response = Some(reason),
@@ -202,7 +208,7 @@
         ))
     }
 
-    /// Until when one call that serves a change may take.
+    /// Returns the deadline of one call within a change that has to end by `deadline`.
     fn call_deadline(&self, deadline: time::Instant) -> time::Instant {
         deadline.min(time::Instant::now() + self.settings.call_timeout)
     }
@@ -213,11 +219,11 @@
         author: &Author,
         deadline: time::Instant,
     ) -> Attempt {
-        // The configuration is read first and the id second. If an earlier try
-        // is still on its way, it either shows under its id now or fails later,
-        // because this try judges the revision that the earlier one checks too.
-        // In the other order it could land between the two reads, and its own
-        // change would look like another operator's.
+        // The configuration is read first and the id second. If the write of an earlier
+        // attempt is still in flight, either its id is found now or that write fails
+        // later, because this attempt is based on the same revision that the earlier
+        // write checks. In the other order the write could be committed between the
+        // two reads, and the operator's own change would look like a conflicting one.
         let version = match self.refresh(self.call_deadline(deadline)).await {
             Ok(version) => version,
             Err(error) => return read_failure(&error),
@@ -242,12 +248,12 @@
         self.commit(&version, change, deadline).await
     }
 
-    /// Reads the table again if what is held is older than `revision`.
+    /// Reads the table again if the cached configuration is older than `revision`.
     ///
-    /// An earlier try of a change can land after the configuration was read and
-    /// before its id was. The operator is told that the change is made, and
-    /// would not find it in the list; a next change made from that list would
-    /// meet a conflict. The outcome is known whether this read succeeds or not.
+    /// An earlier attempt of a change can be committed after the configuration was
+    /// read and before its id is read. Without this read, the change would be reported
+    /// as committed but missing from the list of resources, and a change based on that
+    /// list would fail with a conflict. The outcome is known even if this read fails.
     async fn catch_up(&self, revision: revision::Id, deadline: time::Instant) {
         if self.view().version.snapshot.revision() >= revision {
             return;
@@ -297,19 +303,20 @@
         }
     }
 
-    /// Holds `version`, for which the table was asked at `requested_at`, unless a later
-    /// one is held. Gives `version` back.
+    /// Caches `version`, which was requested from the table at `requested_at`, unless a
+    /// newer version is cached. Returns `version`.
     fn update(&self, version: Version, requested_at: time::Instant) -> Arc<Version> {
         let version = Arc::new(version);
         let candidate = Arc::clone(&version);
         self.view.send_modify(|view| {
-            // Two tasks may read the table at once and come back in either order.
+            // Concurrent reads of the table may complete in any order.
             if view.confirmed_at.is_none()
                 || candidate.snapshot.revision() >= view.version.snapshot.revision()
             {
                 view.advance(candidate);
             }
-            // A slow answer shows the table as it stood at some time since it was asked.
+            // The response shows the table at some time after the request was sent, so
+            // only the time of the request is certain.
             view.confirmed_at = view.confirmed_at.max(Some(requested_at));
             view.health = Health::Up;
         });
@@ -329,7 +336,7 @@
     }
 }
 
-/// The end of a try that could not read.
+/// Returns the result of an attempt whose read failed.
 fn read_failure(error: &reader::Error) -> Attempt {
     match error {
         reader::Error::Platform(storage::Error::MayHaveRun(reason)) => {
@@ -339,7 +346,8 @@
     }
 }
 
-/// The failure of a proposal that was given up for `reason`.
+/// Returns the failure of a proposal that was aborted for `reason`. Its outcome is
+/// unknown if the response to an earlier write was lost.
 fn aborted(lost_response: Option<String>, reason: String) -> Failure {
     match lost_response {
         Some(lost_response) => Failure::Unknown(format!("{lost_response}; {reason}")),
@@ -347,7 +355,8 @@
     }
 }
 
-/// All writes of `change`, none of which takes effect if another change came first.
+/// Returns the transaction that writes `change`. It is not applied if another change
+/// was committed first.
 fn transaction(version: &Version, change: &Change) -> Result<Transaction, serde_json::Error> {
     let check = |key: String, generation| Check { key, generation };
     let absent = revision::Generation::default();
--- a/crates/admin/src/store/view.rs
+++ b/crates/admin/src/store/view.rs
@@ -1,4 +1,4 @@
-//! What a store holds, and how fresh it is.
+//! The state cached by a store: the configuration, its freshness and pending changes.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -7,49 +7,51 @@
 use tokio::time;
 use units::{change, revision};
 
-/// Whether the platform answered when it was last asked.
+/// The health of the platform, according to the last refresh or commit.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// It has not been asked.
+    /// The platform was not called yet.
     Unchecked,
-    /// It answered.
+    /// The platform responded.
     Up,
-    /// It did not, for this reason.
+    /// The refresh failed for this reason.
     Down(String),
 }
 
-/// The configuration held, and how fresh it is.
+/// The cached configuration and its freshness.
 #[derive(Clone, Debug)]
 pub struct View {
     /// The configuration.
     pub version: Arc<Version>,
-    /// When the table last confirmed it. `None`: never.
+    /// When the last successful read of the table was started, or when the last change
+    /// was committed. `None`: never.
     pub confirmed_at: Option<time::Instant>,
-    /// Whether the platform answers.
+    /// The health of the platform.
     pub health: Health,
-    /// The resources deleted lately and the revisions without them.
+    /// Recently deleted resources and the revisions that deleted them.
     pub removed: BTreeMap<key::Key, revision::Id>,
-    /// The changes that are not known to be committed.
+    /// Changes that are in flight or whose outcome is unknown.
     pub pending: BTreeMap<change::Id, Pending>,
 }
 
-/// A change that is not known to be committed.
+/// A change that is in flight or whose outcome is unknown.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Pending {
-    /// The resources that it puts and deletes.
+    /// The resources that the change puts or deletes.
     pub keys: Vec<key::Key>,
-    /// The revision held when it was given up with an unknown outcome.
+    /// The cached revision when the change ended with an unknown outcome. `None`: the
+    /// change is in flight.
     abandoned_at: Option<revision::Id>,
 }
 
-/// The most deleted resources that are remembered.
+/// Maximum number of deleted resources in [`View::removed`].
 const MAX_REMOVED: usize = 200;
 
-/// The most changes of unknown outcome that are remembered.
+/// Maximum number of changes in [`View::pending`].
 const MAX_PENDING: usize = 100;
 
 impl View {
-    /// Moves on to `version` and remembers what it deleted.
+    /// Replaces the configuration with `version` and records the resources it deleted.
     pub(super) fn advance(&mut self, version: Arc<Version>) {
         let revision = version.snapshot.revision();
         for declared in self.version.snapshot.resources() {
@@ -67,8 +69,9 @@
             };
             self.removed.remove(&key);
         }
-        // A change of unknown outcome is settled by the next revision, be it its
-        // own or another's: it checks that there is none.
+        // The next revision resolves a change of unknown outcome: either the change
+        // itself made it, or another change did, and then the transaction of the
+        // first can no longer commit, since it requires that this revision is absent.
         self.pending.retain(|_, pending| {
             pending
                 .abandoned_at
@@ -77,7 +80,7 @@
         self.version = version;
     }
 
-    /// Remembers that a change of `keys` was proposed.
+    /// Adds a pending change of `keys`.
     pub(super) fn insert_pending(&mut self, id: change::Id, keys: Vec<key::Key>) {
         let abandoned_at = None;
         self.pending.insert(id, Pending { keys, abandoned_at });
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Notes that the change `id` was given up with an unknown outcome.
+    /// Marks the change `id` as ended with an unknown outcome.
     pub(super) fn mark_outcome_unknown(&mut self, id: &change::Id) {
         let current = self.version.snapshot.revision();
         if let Some(pending) = self.pending.get_mut(id) {
--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -1,14 +1,14 @@
-//! Builds changes from what is declared and what is wanted.
+//! Builds changes from the declared and the desired resources.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use config::{answer::List, key, proposal::Proposal, resource::Resource};
 use units::{change, revision};
 
-/// The change that leads from `list` to the `desired` resources.
+/// Returns the change from the resources in `list` to the `desired` resources.
 ///
-/// It expects the generations that were read, so that it fails if another
-/// operator's change comes in between.
+/// It is conditional on the generations in `list`, so it fails if another operator's
+/// change is committed in between.
 pub(crate) fn difference(
     list: &List,
     desired: Vec<Resource>,
@@ -40,10 +40,10 @@
     }
 }
 
-/// Whether operators keep resources of this type in files.
+/// Returns whether resources of this type are managed in files.
 ///
-/// Drains and zones are switched by hand: a file that is silent about them must
-/// not bring a drained server or a zone that is out back into service.
+/// Drains and zones are managed by commands: a file that omits them must not return a
+/// drained backend server or a zone out of service to service.
 fn is_file_managed(kind: key::Type) -> bool {
     match kind {
         key::Type::Workspace | key::Type::Pool | key::Type::Route => true,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The change that deletes `keys` as they stand in `list`.
+/// Returns the change that deletes `keys`, conditional on their generations in `list`.
 pub(crate) fn deletion(list: &List, keys: Vec<key::Key>, id: Option<change::Id>) -> Proposal {
     let expected = |key: &key::Key| (key.clone(), generation(list, key));
     Proposal {
@@ -62,7 +62,7 @@
     }
 }
 
-/// The change that puts one resource, whatever stands there.
+/// Returns the change that puts one resource unconditionally.
 pub(crate) fn single(resource: Resource, id: Option<change::Id>) -> Proposal {
     Proposal {
         id: id.unwrap_or_else(random_id),
@@ -72,7 +72,7 @@
     }
 }
 
-/// The generation of a resource in `list`, zero when it is absent.
+/// Returns the generation of a resource in `list`, or zero if it is absent.
 pub(crate) fn generation(list: &List, key: &key::Key) -> revision::Generation {
     let declared = list
         .resources
@@ -83,8 +83,8 @@
         .unwrap_or_default()
 }
 
-/// A new name for a change.
+/// Returns a random change id.
 fn random_id() -> change::Id {
     let id = format!("{:016x}", rand::random::<u64>());
-    id.parse().expect("hex digits are a name")
+    id.parse().expect("hex digits are a valid id")
 }
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! A client of the administration.
+//! The HTTP client of the administration API.
 
 use std::net;
 
@@ -14,19 +14,21 @@
 
 use crate::exit::{self, Error};
 
-/// How long one call may take.
+/// Timeout of one call.
 const TIMEOUT: time::Duration = time::Duration::from_secs(6);
 
-/// How long an order may take: another holder's lease has to be waited out first.
+/// Timeout of an order. It is longer because an order may have to wait until another
+/// holder's lease expires.
 const ORDER_TIMEOUT: time::Duration = time::Duration::from_secs(60);
 
-/// How often a change whose answer was lost is sent again under its id.
+/// Maximum number of attempts to send a change whose response was lost. All attempts
+/// use the same id.
 const MAX_ATTEMPTS: u32 = 4;
 
-/// The time between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: time::Duration = time::Duration::from_millis(500);
 
-/// A client of the administration at one address.
+/// A client of one administration, or of one router for its status page.
 #[derive(Debug)]
 pub struct Client {
     http: http::Client,
@@ -34,7 +36,7 @@
 }
 
 impl Client {
-    /// A client of the administration at `address` with an operator's token.
+    /// Returns a client of the process at `address` that sends an operator's token.
     pub fn new(address: net::SocketAddr, token: Option<String>) -> Self {
         Self {
             http: http::Client::new(address),
@@ -42,11 +44,11 @@
         }
     }
 
-    /// Proposes a change, again under the same id while its outcome is unknown.
+    /// Proposes a change and retries with the same id while its outcome is unknown.
     ///
     /// # Errors
     ///
-    /// [`Error`] with the exit code that tells whether it was accepted.
+    /// [`Error`], whose exit code shows whether the change was accepted.
     pub async fn propose(&self, proposal: &proposal::Proposal) -> Result<Accepted, Error> {
         let body = serde_json::to_vec(proposal)
             .map_err(|error| Error::new(exit::Code::InvalidInput, error.to_string()))?;
@@ -58,7 +60,8 @@
                 .await
             {
                 Err(error) if error.code == exit::Code::Unknown => outcome_unknown = true,
-                // An earlier try may have been accepted, so a try that did not run says nothing.
+                // An earlier attempt may have been accepted, so this failure does not show that
+                // nothing was changed.
                 Err(error) if outcome_unknown && error.code == exit::Code::Unavailable => {}
                 result => return result,
             }
@@ -100,7 +103,7 @@
         self.read("/v1/status").await
     }
 
-    /// Reads the audit trail from the revision `from`, without it the latest changes.
+    /// Reads the audit trail from revision `from` on, or the latest changes if it is `None`.
     ///
     /// # Errors
     ///
@@ -110,7 +113,7 @@
         self.read(&format!("/v1/changes?limit={limit}{from}")).await
     }
 
-    /// Reads a page of text, such as a router's status.
+    /// Reads a text page of a router, such as its status.
     ///
     /// # Errors
     ///
@@ -124,17 +127,17 @@
             .await
             .map_err(transport_error)?;
         if !response.status.is_success() {
-            let message = format!("the router answers {}", response.status);
+            let message = format!("the router responded with status {}", response.status);
             return Err(Error::new(exit::Code::Unavailable, message));
         }
         Ok(String::from_utf8_lossy(&response.body).into_owned())
     }
 
-    /// Gives an order to an engine, once.
+    /// Sends an order to an engine, without retries.
     ///
     /// # Errors
     ///
-    /// [`Error`] with the exit code that tells whether it may have run.
+    /// [`Error`], whose exit code shows whether the order may have run.
     pub async fn order(&self, order: &impl Serialize) -> Result<Ordered, Error> {
         let body = serde_json::to_vec(order)
             .map_err(|error| Error::new(exit::Code::InvalidInput, error.to_string()))?;
@@ -146,7 +149,7 @@
     async fn read<A: DeserializeOwned>(&self, path: &str) -> Result<A, Error> {
         let response = self.call(Method::GET, path, Bytes::new(), TIMEOUT).await;
         response.map_err(|error| match error.code {
-            // A read changes nothing, whether it ran or not.
+            // A read changes nothing, so its outcome is never unknown.
             exit::Code::Unknown => Error::new(exit::Code::Unavailable, error.message),
             _ => error,
         })
@@ -161,8 +164,13 @@
     ) -> Result<A, Error> {
         let mut request = http::request(method, path, body).map_err(transport_error)?;
         if let Some(token) = &self.token {
-            let value = header::HeaderValue::from_str(&format!("Bearer {token}"))
-                .map_err(|_| Error::new(exit::Code::Denied, "the token is no header value"))?;
+            let value =
+                header::HeaderValue::from_str(&format!("Bearer {token}")).map_err(|_| {
+                    Error::new(
+                        exit::Code::Denied,
+                        "the token contains characters that are not allowed in an HTTP header",
+                    )
+                })?;
             request.headers_mut().insert(header::AUTHORIZATION, value);
         }
         let deadline = time::Instant::now() + timeout;
@@ -179,7 +187,7 @@
     }
 }
 
-/// The error for a call that got no answer.
+/// Returns the error of a call without a valid response.
 fn transport_error(error: storage::Error) -> Error {
     let code = match error {
         storage::Error::NotRun(_) => exit::Code::Unavailable,
@@ -189,7 +197,7 @@
     Error::new(code, format!("administration: {error}"))
 }
 
-/// The error for a call that was refused.
+/// Returns the error of a call that was refused.
 fn response_error(error: &ApiError) -> Error {
     let code = match (error.code, error.verdict) {
         (_, Verdict::MayHaveRun) => exit::Code::Unknown,
--- a/crates/ctl/src/command.rs
+++ b/crates/ctl/src/command.rs
@@ -1,4 +1,4 @@
-//! Commands and their flags.
+//! The commands and flags of the command line.
 
 use std::net;
 
@@ -7,13 +7,13 @@
 use serde::Serialize;
 use units::{availability, backend, change};
 
-/// How answers are printed.
+/// The output format.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Output {
-    /// Tables for people.
+    /// Human-readable tables.
     #[default]
     Table,
-    /// JSON for programs.
+    /// JSON for scripts.
     Json,
 }
 
@@ -29,70 +29,70 @@
     }
 }
 
-/// An order to an engine, as the administration takes it.
+/// An order to an engine, as the body of `POST /v1/orders`.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Order {
     server: backend::Server,
     order: Content,
 }
 
-/// What the engine is to do.
+/// The kind and the arguments of an order.
 #[derive(Clone, Debug, PartialEq, Serialize, Bpaf)]
 struct Content {
-    /// The model
+    /// The model to load or unload
     #[bpaf(argument("MODEL"), optional)]
     model: Option<String>,
-    /// The adapter
+    /// The adapter to load or unload
     #[bpaf(argument("ADAPTER"), optional)]
     adapter: Option<String>,
-    /// The version
+    /// The version to load or unload
     #[bpaf(argument("VERSION"), optional)]
     version: Option<String>,
-    /// The new role
+    /// The engine's new role
     #[bpaf(argument("ROLE"), optional)]
     role: Option<String>,
-    /// `load`, `unload` or `role`
+    /// The kind of the order: `load`, `unload` or `role`
     #[bpaf(positional("load|unload|role"))]
     kind: String,
 }
 
 fn order() -> impl Parser<Order> {
-    let server = bpaf::positional("SERVER").help("The engine");
+    let server = bpaf::positional("SERVER").help("The name of the engine");
     let order = content();
     construct!(Order { order, server })
 }
 
-/// What to do.
+/// A command with its arguments.
 #[derive(Clone, Debug, PartialEq, Bpaf)]
 pub enum Command {
-    /// Declare the resources in a file; what is declared as written stays untouched
+    /// Declare the resources in a file; resources that already match stay unchanged
     #[bpaf(command)]
     Apply {
-        /// The file, `-` for standard input
+        /// The file of resources, `-` for standard input
         #[bpaf(short, long, argument("FILE"))]
         file: String,
-        /// Delete what is declared and not in the file
+        /// Delete declared resources that are not in the file
         prune: bool,
-        /// The name of the change.
+        /// The id of the change.
         #[bpaf(external(id))]
         id: Option<change::Id>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
     },
-    /// Show what applying a file would change; exits with 1 if anything
+    /// Show what applying a file would change; the exit code is 1 if there are differences
     #[bpaf(command)]
     Diff {
-        /// The file, `-` for standard input
+        /// The file of resources, `-` for standard input
         #[bpaf(short, long, argument("FILE"))]
         file: String,
-        /// Delete what is declared and not in the file
+        /// Delete declared resources that are not in the file
         prune: bool,
     },
     /// Show one resource
     #[bpaf(command)]
     Get {
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
         /// The resource
@@ -102,84 +102,84 @@
     /// List resources and their states
     #[bpaf(command)]
     List {
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
-        /// Only those of one type
+        /// List only resources of this type
         #[bpaf(positional("TYPE"))]
         kind: Option<key::Type>,
     },
     /// Delete resources
     #[bpaf(command)]
     Delete {
-        /// The name of the change.
+        /// The id of the change.
         #[bpaf(external(id))]
         id: Option<change::Id>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
-        /// The resources
+        /// The resources to delete
         #[bpaf(positional("TYPE/NAME"), some("name at least one resource"))]
         keys: Vec<key::Key>,
     },
-    /// Print changes of state as they come
+    /// Print state changes of resources as they occur
     #[bpaf(command)]
     Watch {
-        /// Stop when everything declared is in force and everything deleted withdrawn
+        /// Stop when all declared resources are in force and all deleted ones are withdrawn
         until_in_force: bool,
-        /// Give up after this many seconds, with exit code 3
+        /// Timeout in seconds, after which the exit code is 3
         #[bpaf(argument("SECONDS"), optional)]
         timeout: Option<u64>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
     },
-    /// Show the audit trail: who changed what, and when
+    /// Show the audit trail of changes
     #[bpaf(command)]
     History {
-        /// The earliest revision
+        /// The first revision to show
         #[bpaf(argument("REVISION"), optional)]
         from: Option<u64>,
-        /// The most changes
+        /// The maximum number of changes to show
         #[bpaf(argument("N"), fallback(50))]
         limit: u64,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
     },
-    /// Give a backend server no new work
+    /// Drain a backend server: send it no new requests
     #[bpaf(command)]
     Drain {
-        /// The name of the change.
+        /// The id of the change.
         #[bpaf(external(id))]
         id: Option<change::Id>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
         /// The backend server
         #[bpaf(positional("SERVER"))]
         server: backend::Server,
     },
-    /// Give a drained backend server work again
+    /// Return a drained backend server to service
     #[bpaf(command)]
     Undrain {
-        /// The name of the change.
+        /// The id of the change.
         #[bpaf(external(id))]
         id: Option<change::Id>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
         /// The backend server
         #[bpaf(positional("SERVER"))]
         server: backend::Server,
     },
-    /// Take an availability zone out of service or in again
+    /// Take an availability zone out of service or return it to service
     #[bpaf(command)]
     Zone {
-        /// The name of the change.
+        /// The id of the change.
         #[bpaf(external(id))]
         id: Option<change::Id>,
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
         /// `out` or `in`
@@ -192,36 +192,36 @@
     /// Order an engine to load or unload a model, or to change its role
     #[bpaf(command)]
     Order {
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
-        /// The order.
+        /// The order to send.
         #[bpaf(external(order))]
         order: Order,
     },
-    /// Show zones, routers, backend servers and refusals on one screen
+    /// Show a summary of zones, routers, backend servers and refusals
     #[bpaf(command)]
     Status {
-        /// How the answer is printed.
+        /// The output format.
         #[bpaf(external(output))]
         output: Output,
     },
-    /// Show what a router on the users' platform believes of itself and of its servers
+    /// Show a router's view of itself and of its backend servers
     #[bpaf(command)]
     Router {
-        /// Its metrics address
+        /// The metrics address of the router
         #[bpaf(positional("IP:PORT"))]
         address: net::SocketAddr,
     },
     /// Print the hash of a token or caller key that is read from standard input
     #[bpaf(command)]
     Hash,
-    /// Show where requests were lost, by the log lines of routers
+    /// Show where requests were lost, according to the log lines of routers
     #[bpaf(command)]
     Losses {
-        /// Print JSON
+        /// Print the report as JSON
         json: bool,
-        /// Draw first bytes and losses over time into a file
+        /// Plot times to first byte and losses over time into a file
         #[bpaf(argument("FILE.svg"), optional)]
         plot: Option<String>,
         /// Files of log lines, `-` for standard input
@@ -240,7 +240,7 @@
 
 fn id() -> impl Parser<Option<change::Id>> {
     bpaf::long("id")
-        .help("The name of the change; a repeat with the same one is not applied twice")
+        .help("The id of the change; a change that is repeated with the same id is applied once")
         .argument("ID")
         .optional()
 }
@@ -253,20 +253,25 @@
     })
 }
 
-/// What was given on the command line, the connection unchecked.
+/// The parsed command line with the connection settings not yet validated.
 #[derive(Clone, Debug)]
 pub struct Arguments {
     /// The address of the administration.
     pub admin: settings::Raw,
     /// The operator's token.
     pub token: settings::Raw,
-    /// What to do.
+    /// The command.
     pub command: Command,
 }
 
-/// The parser of the whole command line.
+/// Returns the parser of the whole command line.
 pub fn parser() -> impl Parser<Arguments> {
-    let admin = settings::text("admin", "WEIR_ADMIN", "IP:PORT", "The administration");
+    let admin = settings::text(
+        "admin",
+        "WEIR_ADMIN",
+        "IP:PORT",
+        "Address of the administration",
+    );
     let token = settings::secret("WEIR_TOKEN");
     let command = command();
     construct!(Arguments {
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,4 +1,4 @@
-//! Exit codes, and the errors that lead to them.
+//! Exit codes and errors of commands.
 
 use std::{error, fmt};
 
@@ -6,35 +6,35 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub enum Code {
-    /// Done.
+    /// The command succeeded.
     Success = 0,
     /// `diff` found differences.
     Different = 1,
-    /// A flag, a file or a change is faulty. Nothing was changed.
+    /// A flag, a file or a change is invalid. Nothing was changed.
     InvalidInput = 2,
     /// The administration or the platform cannot be reached. Nothing was changed.
     Unavailable = 3,
-    /// Another operator's change came first. Nothing was changed.
+    /// Another operator's change was committed first. Nothing was changed.
     Conflict = 4,
-    /// The outcome is unknown. A repeat with the same `--id` is safe.
+    /// The outcome is unknown. Repeating the command with the same `--id` is safe.
     Unknown = 5,
-    /// There is no such resource.
+    /// The resource does not exist.
     NotFound = 6,
-    /// The token is missing, unknown or not allowed to do this.
+    /// The token is missing or unknown, or its operator lacks the required role.
     Denied = 7,
 }
 
-/// A command that failed.
+/// The error of a command.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Error {
     /// The exit code.
     pub code: Code,
-    /// What the operator is shown, one line or more.
+    /// The message printed to the operator, one or more lines.
     pub message: String,
 }
 
 impl Error {
-    /// A failure with `code`.
+    /// Returns an error with `code` and `message`.
     pub fn new(code: Code, message: impl Into<String>) -> Self {
         Self {
             code,
--- a/crates/ctl/src/input.rs
+++ b/crates/ctl/src/input.rs
@@ -1,4 +1,4 @@
-//! Reads files and secrets.
+//! Reading of resource files and secrets.
 
 use std::{
     fs,
@@ -9,7 +9,7 @@
 
 use crate::exit::{Code, Error};
 
-/// Reads the resources in `file`, `-` for standard input.
+/// Reads the resources in `file`, or from standard input if `file` is `-`.
 pub(crate) fn resources(file: &str) -> Result<Vec<Resource>, Error> {
     let text = read_text(file).map_err(|error| {
         let message = format!("{file} cannot be read: {error}");
@@ -22,7 +22,8 @@
 }
 
 fn read_text(file: &str) -> io::Result<String> {
-    // One byte more than allowed shows that the file is too large.
+    // Reads one byte more than allowed, so that the parser detects a file that is too
+    // large.
     let limit = file::MAX_SIZE as u64 + 1;
     let mut text = String::new();
     if file == "-" {
@@ -35,7 +36,7 @@
     Ok(text)
 }
 
-/// Reads a secret from standard input and gives its hash.
+/// Reads a secret from standard input and returns its BLAKE3 hash in hex.
 pub(crate) fn hash() -> Result<String, Error> {
     let mut secret = String::new();
     io::stdin()
--- a/crates/ctl/src/local.rs
+++ b/crates/ctl/src/local.rs
@@ -1,4 +1,4 @@
-//! Commands that ask no process.
+//! Commands that run locally, without a connection.
 
 use std::{fs, io, path};
 
@@ -10,15 +10,15 @@
     output::print_line,
 };
 
-/// Carries out a command that asks no process.
+/// Runs a local command.
 ///
 /// # Errors
 ///
-/// [`Code::InvalidInput`] when a file cannot be read or written.
+/// [`Code::InvalidInput`] if a file cannot be read or written.
 pub fn run(command: Command) -> Result<Code, Error> {
     match command {
         Command::Losses { json, plot, files } => losses(&files, json, plot.as_deref()),
-        _ => Err(invalid_input("this command asks a process")),
+        _ => Err(invalid_input("this command needs a connection")),
     }
 }
 
--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts `weirctl`.
+//! The entry point of `weirctl`.
 
 use std::process;
 
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Standard output.
+//! Printing to standard output.
 
 use std::{
     fmt,
@@ -6,13 +6,13 @@
     process,
 };
 
-/// The exit code of a program whose reader went away, as shells show it.
+/// The exit code that shells report for a process that ended by SIGPIPE.
 const BROKEN_PIPE_CODE: i32 = 141;
 
 /// Prints one line.
 ///
-/// The reader may go away, as `head` does after ten lines. `println!` would
-/// panic then, and the operator would see a backtrace in place of the end.
+/// The reader may close the pipe early, as `head` does after ten lines. `println!`
+/// would then panic with a backtrace.
 pub(crate) fn write_line(text: fmt::Arguments<'_>) {
     if writeln!(io::stdout(), "{text}").is_err() {
         process::exit(BROKEN_PIPE_CODE);
--- a/crates/ctl/src/render.rs
+++ b/crates/ctl/src/render.rs
@@ -1,4 +1,4 @@
-//! Prints answers as tables or JSON.
+//! Prints responses as tables or JSON.
 
 mod status;
 
@@ -24,19 +24,19 @@
 fn json(value: &impl Serialize) {
     match serde_json::to_string_pretty(value) {
         Ok(text) => print_line!("{text}"),
-        Err(error) => eprintln!("the answer cannot be printed: {error}"),
+        Err(error) => eprintln!("the response cannot be serialized as JSON: {error}"),
     }
 }
 
-/// Prints `value` as JSON on one line, for programs that read a stream.
+/// Prints `value` as JSON on one line, for scripts that read a stream.
 fn json_line(value: &impl Serialize) {
     match serde_json::to_string(value) {
         Ok(text) => print_line!("{text}"),
-        Err(error) => eprintln!("the answer cannot be printed: {error}"),
+        Err(error) => eprintln!("the response cannot be serialized as JSON: {error}"),
     }
 }
 
-/// Prints `rows` under `headers` in columns.
+/// Prints a table of `rows` under `headers`.
 fn table(headers: &[&str], rows: &[Vec<String>]) {
     let widths: Vec<usize> = (0..headers.len())
         .map(|column| {
@@ -51,7 +51,7 @@
     }
 }
 
-/// Prints one line of a table.
+/// Prints one row of a table.
 fn table_row<'a>(cells: impl Iterator<Item = &'a str>, widths: &[usize]) {
     let padded = cells
         .zip(widths)
@@ -91,7 +91,7 @@
     print_line!("carried out by {} fence={}", ordered.server, ordered.fence);
 }
 
-/// Prints how fresh an answer is.
+/// Prints the freshness of a response.
 fn freshness(freshness: &Freshness) {
     let fleet = freshness
         .fleet_age_ms
@@ -104,10 +104,10 @@
     );
 }
 
-/// The most zones that one cell names; of more it gives the sum.
+/// Maximum number of zones listed in one cell. More zones are summed up.
 const MAX_ZONES: usize = 2;
 
-/// The state of a resource and where it is missing, in one cell.
+/// Formats the state of a resource and the zones in which it is missing as one cell.
 fn progress(state: State, zones: &Zones) -> String {
     if zones.is_empty() {
         return String::from(state.as_str());
@@ -125,7 +125,7 @@
     format!("{} ({})", state.as_str(), zones.join("; "))
 }
 
-/// How far one zone has come.
+/// Formats how many routers of a zone have applied a revision.
 fn zone_progress((name, zone): (&availability::Zone, &Coverage)) -> String {
     let mut text = format!("{name} {}/{}", zone.applied, zone.routers);
     if !zone.missing.is_empty() {
@@ -174,7 +174,7 @@
     table(&["RESOURCE", "GENERATION", "STATE", "SUMMARY"], &rows);
 }
 
-/// Prints one resource whole.
+/// Prints one resource with all its fields.
 pub(crate) fn resource(list: &List, output: Output) {
     if output == Output::Json {
         return json(list);
@@ -222,7 +222,7 @@
     }
 }
 
-/// One line about a resource.
+/// Formats the summary of a resource.
 fn summary(resource: &Resource) -> String {
     match resource {
         Resource::Workspace(workspace) => {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Prints what would change of a resource.
+/// Prints the differences between the declared and the desired resource.
 pub(crate) fn difference(declared: Option<&Resource>, desired: &Resource) {
     let Some(declared) = declared else {
         print_line!("+ {}", desired.key());
@@ -262,7 +262,7 @@
     }
 }
 
-/// One word about a resource that was put.
+/// Formats a resource that a change put.
 fn put_summary(resource: &Resource) -> String {
     match resource {
         Resource::Zone(zone) => format!("+{}={}", resource.key(), service(zone.service)),
@@ -277,13 +277,13 @@
     }
 }
 
-/// The time `millis` milliseconds after 1970.
+/// Formats a time in milliseconds since the Unix epoch.
 fn timestamp(millis: u64) -> String {
     let time = SystemTime::UNIX_EPOCH + Duration::from_millis(millis);
     humantime::format_rfc3339_seconds(time).to_string()
 }
 
-/// Prints the audit trail in the order of time.
+/// Prints the audit trail in chronological order.
 pub(crate) fn history(history: &History, output: Output) {
     if output == Output::Json {
         return json(history);
--- a/crates/ctl/src/render/status.rs
+++ b/crates/ctl/src/render/status.rs
@@ -1,11 +1,11 @@
-//! Prints the fleet on one screen.
+//! Prints the status of the fleet.
 
 use config::answer::{Engine, Refusals, Status, Zone};
 
 use super::{freshness, json, service, table};
 use crate::{command::Output, output::print_line};
 
-/// Prints the fleet on one screen.
+/// Prints the status of the fleet.
 pub(crate) fn status(status: &Status, output: Output) {
     if output == Output::Json {
         return json(status);
@@ -42,11 +42,11 @@
     table(&["ZONE", "SERVICE", "APPLIED", "LOST"], &rows);
 }
 
-/// The most routers in the table; the others are counted.
+/// Maximum number of routers in the table. The others are only counted.
 const MAX_ROUTERS: usize = 20;
 
 fn routers(status: &Status) {
-    // Those that an operator has to look at come first.
+    // Routers that need attention are listed first.
     let mut routers: Vec<_> = status.routers.iter().collect();
     routers.sort_by_key(|router| (router.state == "ready", router.revision, &router.host));
     let rows: Vec<Vec<String>> = routers
@@ -67,11 +67,11 @@
     }
 }
 
-/// The most backend servers in the table; the others are counted.
+/// Maximum number of backend servers in the table. The others are only counted.
 const MAX_ENGINES: usize = 30;
 
 fn engines(engines: &[Engine]) {
-    // Those that an operator has to look at come first.
+    // Backend servers that need attention are listed first.
     let mut engines: Vec<_> = engines.iter().collect();
     engines.sort_by(|a, b| {
         let ordering = is_healthy(a).cmp(&is_healthy(b));
@@ -98,7 +98,7 @@
     }
 }
 
-/// Whether a backend server needs no look: warm, in service and without a queue.
+/// Returns whether a backend server is warm, not drained and has no queued requests.
 fn is_healthy(engine: &Engine) -> bool {
     engine.state == "warm" && !engine.drained && engine.queued == 0
 }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carries out commands.
+//! Execution of commands.
 
 use config::{
     answer::{Accepted, List},
@@ -19,11 +19,11 @@
     render, watch,
 };
 
-/// Carries out `command` and gives its exit code.
+/// Runs `command` and returns its exit code.
 ///
 /// # Errors
 ///
-/// [`Error`] with the exit code and what the operator is shown.
+/// [`Error`] with the exit code and the message for the operator.
 pub async fn run(client: &Client, command: Command) -> Result<Code, Error> {
     match command {
         Command::Apply {
@@ -101,7 +101,7 @@
     }
 }
 
-/// What is declared, and the change that leads from there to the file.
+/// Returns the declared resources and the change that makes them match the file.
 async fn file_difference(
     client: &Client,
     file: &str,
@@ -124,7 +124,7 @@
     Ok(Code::Success)
 }
 
-/// The change that gives `server` work again, empty if it is not drained.
+/// Returns the change that ends the drain of `server`, empty if it is not drained.
 async fn undrain(
     client: &Client,
     server: backend::Server,
@@ -150,13 +150,13 @@
     Ok(Code::Success)
 }
 
-/// Names the id under which a change of unknown outcome may be repeated.
+/// Adds the id with which to repeat a change to an error of unknown outcome.
 fn add_retry_hint(error: Error, id: &units::change::Id) -> Error {
     if error.code != Code::Unknown {
         return error;
     }
     let message = format!(
-        "{}\n  to settle it, repeat it with --id {id}",
+        "{}\n  to learn the outcome, repeat the command with --id {id}",
         error.message
     );
     Error::new(Code::Unknown, message)
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -1,4 +1,4 @@
-//! Follows the states of resources.
+//! Watches the states of resources.
 
 use config::{answer::List, state::State};
 use tokio::time::{self, Instant};
@@ -10,14 +10,16 @@
     render,
 };
 
-/// The time between two looks.
+/// Interval between two reads of the list.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Prints changes of state as they come, until all is settled if `until_settled`.
+/// Prints state changes as they occur. With `until_settled`, stops when all resources
+/// are in force or withdrawn.
 ///
 /// # Errors
 ///
-/// [`Code::Unavailable`] when `deadline` comes first, or a refusal that does not pass.
+/// [`Code::Unavailable`] if `deadline` passes first, or the error of a read that failed
+/// for another reason than an outage.
 pub(crate) async fn run(
     client: &Client,
     until_settled: bool,
@@ -34,12 +36,12 @@
                 }
                 previous = Some(list);
             }
-            // An outage passes; whoever watches wants to see what comes after it.
+            // Outages are temporary, so watching continues through them.
             Err(error) if error.code == Code::Unavailable => eprintln!("weirctl: {error}"),
             Err(error) => return Err(error),
         }
         if deadline.is_some_and(|deadline| Instant::now() >= deadline) {
-            let message = "not everything is in force";
+            let message = "timed out before all changes were in force";
             return Err(Error::new(Code::Unavailable, message));
         }
         time::sleep(POLL_INTERVAL).await;
