--- a/crates/admin/tests/fakes/table.rs
+++ b/crates/admin/tests/fakes/table.rs
@@ -1,4 +1,4 @@
-//! A table in memory whose calls wait and fail as a script says.
+//! An in-memory table whose calls are delayed and fail according to a script.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -12,25 +12,25 @@
 use tokio::{task, time};
 use units::revision;
 
-/// What becomes of one call.
+/// How the table handles one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behavior {
-    /// It is carried out and answered.
+    /// Executes the call and responds.
     Answered,
-    /// It is not carried out, and the caller knows.
+    /// Does not execute the call and reports this to the caller.
     Refused,
-    /// It is carried out and its answer is lost.
+    /// Executes the call, but the response is lost.
     ResponseLost,
-    /// It is never carried out and the caller does not know.
+    /// Never executes the call; its outcome is unknown to the caller.
     RequestLost,
-    /// The caller gives up, and it is carried out some steps later.
+    /// Executes the call this many steps after the caller gave up.
     Delayed(u8),
 }
 
-/// How many steps a call waits before it is carried out, and its fate.
+/// The number of steps by which a call is delayed, and its behavior.
 pub type Step = (u8, Behavior);
 
-/// A table in memory; its clones are the same table.
+/// An in-memory table. Clones share the rows.
 #[derive(Clone, Debug, Default)]
 pub struct Fake {
     rows: Arc<Mutex<BTreeMap<String, Row>>>,
@@ -39,8 +39,8 @@
 }
 
 impl Fake {
-    /// A table whose calls follow `script` in the order in which they are made,
-    /// and are answered at once after its end.
+    /// Returns an empty table whose calls follow `script` in call order. Calls after the
+    /// end of the script succeed immediately.
     pub fn new(script: Vec<Step>) -> Self {
         Self {
             script: Arc::new(Mutex::new(script.into())),
@@ -48,15 +48,15 @@
         }
     }
 
-    /// Waits for the calls that are carried out late.
+    /// Waits for the calls whose execution is delayed.
     pub async fn join_delayed(&self) {
         let delayed: Vec<_> = self.delayed.lock().expect("lock").drain(..).collect();
         for call in delayed {
-            call.await.expect("late call");
+            call.await.expect("delayed call");
         }
     }
 
-    /// The same table, whose calls are answered at once.
+    /// Returns a handle to the same rows whose calls succeed immediately.
     pub fn without_faults(&self) -> Self {
         Self {
             rows: Arc::clone(&self.rows),
@@ -71,7 +71,8 @@
         behavior
     }
 
-    /// A read changes nothing, so whether it was carried out makes no difference.
+    /// Fails a read according to the script. A read changes nothing, so whether it was
+    /// executed makes no difference.
     async fn check_read(&self) -> Result<(), Error> {
         match self.next_step().await {
             Behavior::Answered => Ok(()),
--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -1,4 +1,4 @@
-//! The administration over a platform that fails.
+//! The HTTP API of an administration whose platform fails.
 
 use std::time::Duration;
 
@@ -18,7 +18,7 @@
 use storage::http::{self, Response};
 use tokio::time::{self, Instant};
 
-/// A platform, an administration over it and a client of the latter.
+/// A platform stand-in, an administration that uses it and a client of the latter.
 struct Fixture {
     platform: platform_standin::Handle,
     _process: Process,
@@ -51,7 +51,7 @@
     fixture
 }
 
-/// How often a change is repeated until it must have been accepted.
+/// Maximum number of repeats until a change has to be accepted.
 const MAX_REPEATS: usize = 100;
 
 fn deadline() -> Instant {
@@ -111,8 +111,8 @@
     http::parse::<Failure>(response).expect("failure").error
 }
 
-// Two operators read the same workspace and change it at the same moment.
-// Without conditional writes the earlier change would silently be gone.
+// Two operators read the same workspace and change it concurrently. Without
+// conditional writes the earlier change would be overwritten silently.
 #[tokio::test]
 async fn of_two_concurrent_changes_one_commits_and_the_other_gets_the_current_generation() {
     let fixture = start("").await;
@@ -137,11 +137,15 @@
     assert_eq!(20, history.changes.len());
     let conflicts = history.refused.iter();
     let conflicts = conflicts.filter(|refused| refused.reason == Reason::Conflict);
-    assert_eq!(19, conflicts.count(), "the losers stand in the trail");
+    assert_eq!(
+        19,
+        conflicts.count(),
+        "the conflicts are recorded in the audit trail"
+    );
 }
 
-// The platform commits a change and its answer gets lost. The operator repeats
-// the change, since nobody told whether it landed, and must not find it twice.
+// The platform commits a change and its response is lost. The operator repeats the
+// change, since its outcome is unknown, and it must not be applied twice.
 #[tokio::test]
 async fn a_change_whose_response_was_lost_is_applied_once() {
     let fixture = start("").await;
@@ -155,8 +159,9 @@
     assert_eq!(1, fixture.history().await.changes.len());
 }
 
-// Every answer of the platform to a write gets lost, so that a change can't be
-// settled in time. It must not be called refused, for it is in force later.
+// All responses of the platform to writes are lost, so the outcome of a change cannot
+// be determined in time. The change must not be reported as not run, since it may be
+// in force later.
 #[tokio::test]
 async fn a_change_of_unknown_outcome_is_not_reported_as_not_run() {
     let fixture = start("").await;
@@ -172,9 +177,9 @@
     assert_eq!(1, fixture.history().await.changes.len());
 }
 
-// The platform's store is down or answers nobody for a long stretch. Operators
-// still see what is in force and how old that is, and a change that cannot be
-// committed is refused and has not run.
+// The platform is down or does not respond for a long time. Operators can still read
+// the configuration in force and its age, and a change that cannot be committed is
+// refused as not run.
 #[yare::parameterized(
     down = { Fault::Down },
     silent = { Fault::Silent },
@@ -217,8 +222,9 @@
     assert_eq!(2, fixture.history().await.changes.len());
 }
 
-// Something between the administration and the platform loses track of the open
-// connections, while new ones work. Operators would see an outage that is none.
+// A middlebox between the administration and the platform drops the state of open
+// connections, while new ones work. Without new connections, operators would see an
+// outage although the platform is up.
 #[tokio::test]
 async fn unresponsive_connections_are_replaced() {
     let fixture = start("").await;
@@ -290,8 +296,8 @@
     assert_eq!(0, fixture.history().await.changes.len());
 }
 
-// A fleet grows, and with it the answer of the routers that are asked about it.
-// What they spend on control traffic must not grow with it.
+// The status responses of routers grow with the fleet. The bandwidth that routers spend
+// on them must not grow as well.
 #[yare::parameterized(
     three_zones_with_two_routers_each = { 2_000, "a a b b c c", 1_000 },
     one_zone_with_a_single_router = { 2_000, "a a b", 2_000 },
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to engines from two administrations at once.
+//! Concurrent orders to engines through two administrations.
 
 use std::time::Duration;
 
@@ -49,7 +49,7 @@
     client.call(request, deadline).await.expect("answer")
 }
 
-/// Declares the engine, on the administration that is ready first.
+/// Declares the engine through `process`.
 async fn declare(process: &Process, engine: &engine::Handle, checks: bool) {
     let change = json!({"id": "declare", "puts": [{
         "type": "pool", "name": "engines", "kind": "engine", "checks_fencing": checks,
@@ -59,7 +59,7 @@
     assert_eq!(StatusCode::OK, response.status, "{response:?}");
 }
 
-/// Waits until `process` knows the engine.
+/// Waits until `process` has loaded the pool of the engine.
 async fn wait_for_engine(process: &Process) {
     let client = http::Client::new(process.address());
     loop {
@@ -73,7 +73,7 @@
     }
 }
 
-/// Gives one order, again while the other one holds the lease.
+/// Sends one order and retries it while the other administration holds the lease.
 async fn submit(process: &Process, model: String) -> String {
     let order = json!({"server": "e1", "order": {"kind": "load", "model": model}});
     loop {
@@ -88,9 +88,9 @@
     }
 }
 
-// Two operators order the same engine at two hosts at the same moment. Without a
-// lease an order of the earlier one could arrive last and undo the later one's,
-// and where the engine does not check fencing numbers nobody would notice.
+// Two operators send orders to the same engine through two administrations
+// concurrently. Without a lease, an earlier order could arrive after a later one and
+// undo it, which would go unnoticed if the engine does not check fencing tokens.
 #[yare::parameterized(
     checked = { true },
     ignored = { false },
@@ -119,7 +119,7 @@
     let executed = engine.orders();
     let fences: Vec<u64> = executed.iter().map(|fenced| fenced.fence).collect();
     assert!(fences.is_sorted(), "{fences:?}");
-    // No fencing number was used by both.
+    // No fencing token was used by both administrations.
     for pair in executed.windows(2) {
         let name = |fenced: &engine::Fenced| fenced.order.model.clone().unwrap_or_default();
         let (before, after) = (name(&pair[0]), name(&pair[1]));
@@ -132,11 +132,11 @@
         .filter_map(|fenced| fenced.order.model.clone())
         .collect();
     models.sort();
-    assert_eq!(submitted, models, "each once");
+    assert_eq!(submitted, models, "each order is executed once");
 }
 
-// The platform is down, so nobody can tell who holds the lease. An order sent
-// all the same could cross one of the true holder.
+// The platform is down, so the holder of the lease is unknown. An order that is sent
+// anyway could conflict with an order of the holder.
 #[tokio::test]
 async fn no_order_is_sent_while_the_platform_is_down() {
     let platform = platform_standin::start(platform_standin::Settings::default())
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -1,4 +1,4 @@
-//! Administrations that are killed or paused in the middle of a change.
+//! Administrations that are paused, killed or shut down during a change.
 
 use std::{
     io::{BufRead, BufReader},
@@ -27,7 +27,7 @@
 
 const ROUNDS: u64 = 24;
 
-/// A `weir-admin` that is to be paused and killed.
+/// A `weir-admin` child process that can be paused and killed.
 struct Instance {
     child: Child,
     address: SocketAddr,
@@ -53,7 +53,7 @@
     }
 
     fn signal(&self, name: &str) {
-        // The shell has `kill` built in; the program is not on every machine.
+        // Uses the `kill` builtin of the shell, since the program may not be installed.
         let kill = format!("kill -s {name} {}", self.child.id());
         let sent = Command::new("sh").args(["-c", &kill]).status();
         assert!(sent.expect("shell").success());
@@ -75,7 +75,7 @@
     client.call(request, deadline).await.expect("answer")
 }
 
-/// Sends `change` to `instance` and nobody waits for the answer.
+/// Sends `change` to `instance` without waiting for the response.
 fn send_and_forget(instance: &Instance, change: &Value) {
     let (address, body) = (instance.address, Bytes::from(change.to_string()));
     task::spawn(async move {
@@ -97,7 +97,7 @@
     http::parse(&response).expect("list")
 }
 
-/// The change that sets the weight of the workspace to `weight`.
+/// Returns the change that sets the weight of the workspace to `weight`.
 fn change(weight: u64, list: &List) -> Value {
     let generation = list
         .resources
@@ -110,10 +110,10 @@
     })
 }
 
-// An operator's change goes to an administration that is paused or killed at some
-// moment on the way, and the operator repeats it at another one. The paused one
-// wakes up in the middle of the next change and goes on with what it was doing.
-// Operators would notice a change that counts twice or undoes a later one.
+// An administration is paused or killed at some point of a change, and the operator
+// repeats the change at another one. The paused administration resumes during the next
+// change and continues its own. Guards against changes that are applied twice or that
+// undo a later one.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn a_change_interrupted_by_a_pause_or_a_kill_is_applied_once() {
     let platform = platform_standin::start(platform_standin::Settings::default())
@@ -143,7 +143,7 @@
         send_and_forget(&instances[now], &change);
         time::sleep(Duration::from_millis(round)).await;
         instances[now].signal(if round % 5 == 0 { "KILL" } else { "STOP" });
-        // The one that was paused in the last round wakes up.
+        // Resumes the instance that was paused in the last round.
         instances[next].signal("CONT");
         let response = call(healthy.address(), Method::POST, "/v1/changes", &change).await;
         assert_eq!(
@@ -158,7 +158,7 @@
     for instance in &instances {
         instance.signal("CONT");
     }
-    // What is still on its way lands or fails before the last change is made.
+    // Writes in flight are committed or fail before the last change is committed.
     platform.fault(Fault::Normal);
     let last = change(ROUNDS + 1, &list(&healthy).await);
     let response = call(healthy.address(), Method::POST, "/v1/changes", &last).await;
@@ -167,8 +167,8 @@
     check(&healthy).await;
 }
 
-// An administration is told to end while a change is under way. If it ended at
-// once, the operator would not know what became of the change.
+// An administration receives SIGTERM while a change is in flight. If it exited
+// immediately, the outcome of the change would be unknown to the operator.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn graceful_shutdown_completes_changes_in_flight() {
     let platform = platform_standin::start(platform_standin::Settings::default())
@@ -202,7 +202,7 @@
     assert_eq!(Some(0), ended.unwrap().code());
 }
 
-/// Checks that each round was applied once, in order.
+/// Checks that the change of each round was applied once, in order.
 async fn check(process: &Process) {
     let path = "/v1/changes?from=1";
     let response = call(process.address(), Method::GET, path, &Value::Null).await;
--- a/crates/admin/tests/race.rs
+++ b/crates/admin/tests/race.rs
@@ -1,4 +1,4 @@
-//! Operators who race one another while answers of the platform are lost.
+//! Concurrent changes by several operators while responses of the platform are lost.
 
 #[path = "fakes/table.rs"]
 mod table;
@@ -33,7 +33,7 @@
 const OPERATORS: u64 = 3;
 const CHANGES: u64 = 3;
 
-/// More tries than a script has failures.
+/// More attempts than a script has failures.
 const MAX_ATTEMPTS: usize = 100;
 
 fn deadline() -> time::Instant {
@@ -53,7 +53,7 @@
     workspace(1).key()
 }
 
-/// The change that adds one to the weight in `snapshot`.
+/// Returns the change that increments the weight in `snapshot`.
 fn increment(id: &change::Id, snapshot: &Snapshot) -> Proposal {
     let weight = match snapshot.resource(&key()).map(|declared| &declared.resource) {
         Some(Resource::Workspace(workspace)) => workspace.weight,
@@ -67,15 +67,15 @@
     }
 }
 
-/// What the operators were told.
+/// The outcomes that were reported to the operators.
 #[derive(Debug, Default)]
 struct Reported {
     accepted: BTreeMap<change::Id, revision::Id>,
     refused: BTreeSet<change::Id>,
 }
 
-/// An operator that adds one to a shared weight again and again, each time
-/// from what it has read, and repeats a change of unknown outcome.
+/// Simulates an operator that repeatedly increments a shared weight, each time based on
+/// a fresh read, and repeats a change of unknown outcome.
 async fn run_operator(operator: u64, store: Arc<Store<Fake>>, reported: Arc<Mutex<Reported>>) {
     let author = Author {
         who: format!("operator-{operator}").parse().expect("name"),
@@ -83,7 +83,8 @@
     };
     for number in 0..CHANGES {
         let id: change::Id = format!("{operator}-{number}").parse().expect("name");
-        // A failed read leaves what is held; a change from it then meets a conflict.
+        // A failed refresh keeps the cached configuration; a change based on it then
+        // fails with a conflict.
         drop(store.refresh(deadline()).await);
         let proposal = increment(&id, &store.view().version.snapshot);
         let mut outcome_unknown = false;
@@ -100,8 +101,8 @@
                     reported.refused.insert(id.clone());
                     break;
                 }
-                // Every second operator believes that its change was not run,
-                // unless an earlier try may have been.
+                // Operators with an odd number treat an unavailable platform as not run,
+                // unless an earlier attempt may have run.
                 Err(Failure::Unavailable(_)) if operator % 2 == 1 && !outcome_unknown => {
                     reported.refused.insert(id.clone());
                     break;
@@ -115,14 +116,14 @@
     }
 }
 
-/// Fails when what `store` holds goes back, until nothing changes it any more.
+/// Asserts that the revision of a view never decreases, until its store is dropped.
 async fn assert_revisions_never_decrease(mut view: watch::Receiver<View>) {
     let mut highest = revision::Id::default();
     while view.changed().await.is_ok() {
         let current = view.borrow_and_update().version.snapshot.revision();
         assert!(
             current >= highest,
-            "a store went back from {highest} to {current}"
+            "the revision of a store decreased from {highest} to {current}"
         );
         highest = current;
     }
@@ -155,7 +156,7 @@
     check(&table, &reported).await
 }
 
-/// Compares the table with what the operators were told.
+/// Compares the table with the outcomes reported to the operators.
 async fn check(table: &Fake, reported: &Reported) -> Result<(), TestCaseError> {
     let faultless = table.without_faults();
     let range = reader::range(revision::Id(1), None);
@@ -164,25 +165,33 @@
     let version = reader::load(&faultless, deadline()).await.expect("load");
     let mut replayed = Snapshot::default();
     for change in &log {
-        prop_assert_eq!(Ok(()), replayed.apply(change), "one order without gaps");
+        prop_assert_eq!(
+            Ok(()),
+            replayed.apply(change),
+            "the log has one order without gaps"
+        );
     }
     prop_assert_eq!(&replayed, &version.snapshot);
     let logged: BTreeMap<_, _> = log
         .iter()
         .map(|change| (change.id.clone(), change.to))
         .collect();
-    prop_assert_eq!(logged.len(), log.len(), "no change twice");
+    prop_assert_eq!(logged.len(), log.len(), "no change is applied twice");
     prop_assert_eq!(
         &reported.accepted,
         &logged,
-        "accepted changes and no others"
+        "the log contains exactly the accepted changes"
     );
     for id in &reported.refused {
-        prop_assert!(!logged.contains_key(id), "{} was said not to have run", id);
+        prop_assert!(!logged.contains_key(id), "{} was reported as not run", id);
     }
     let expected = increment(&"x".parse().expect("name"), &version.snapshot);
     let weight = u32::try_from(log.len()).expect("few") + 1;
-    prop_assert_eq!(&expected.puts, &vec![workspace(weight)], "no lost update");
+    prop_assert_eq!(
+        &expected.puts,
+        &vec![workspace(weight)],
+        "no update is lost"
+    );
     Ok(())
 }
 
@@ -205,10 +214,10 @@
         ..ProptestConfig::default()
     })]
 
-    // Three operators at two hosts change the same workspace while the platform
-    // refuses calls, loses calls and answers, and carries some out after their
-    // caller gave up. Operators would notice an update that is gone, one that
-    // counts twice, or a change that was said not to have run and is in force.
+    // Three operators at two administrations change the same workspace while the
+    // platform refuses calls, loses calls and responses, and executes some calls after
+    // their caller gave up. Guards against lost updates, updates that are applied
+    // twice, and changes that were reported as not run but are in force.
     #[test]
     fn racing_operators_lose_no_update_when_responses_are_lost(script in steps()) {
         let runtime = runtime::Builder::new_current_thread().enable_time().build()?;
@@ -216,13 +225,13 @@
     }
 }
 
-// The answer to a write is lost and the platform goes down, so that nobody can
-// say what became of the change. An operator would see it as declared for ever,
-// although it was in force.
+// The response to a write is lost and the platform goes down, so the outcome of the
+// change is unknown. Guards against listing the change as pending forever although it
+// is in force.
 #[tokio::test]
 async fn a_change_of_unknown_outcome_is_pending_until_the_next_revision() {
     let behaviors = [
-        // The configuration is loaded by two reads and the id is read.
+        // Two reads load the configuration, the third looks up the id.
         Behavior::Answered,
         Behavior::Answered,
         Behavior::Answered,
@@ -241,7 +250,7 @@
     assert!(store.view().pending.is_empty());
 }
 
-/// A table on which another administration makes a change just before its id is read.
+/// A table on which another administration commits a change just before its id is read.
 #[derive(Debug)]
 struct Interleaved {
     table: Fake,
@@ -274,10 +283,10 @@
     }
 }
 
-// An operator gives a change up at one administration and repeats it at another,
-// and the first try lands while the second is on its way. The operator is told
-// that the change is made, lists the resources, does not find it, and the next
-// change made from that list meets a conflict.
+// An operator aborts a change at one administration and repeats it at another, and the
+// first attempt is committed while the second is in progress. Guards against reporting
+// the change as committed while the list of resources does not contain it, since the
+// next change based on that list would fail with a conflict.
 #[tokio::test]
 async fn a_change_reported_as_committed_is_listed() {
     let table = Fake::new(Vec::new());
--- a/crates/ctl/tests/command.rs
+++ b/crates/ctl/tests/command.rs
@@ -1,10 +1,10 @@
-//! The command line can be parsed as it is declared.
+//! Consistency checks of the command-line parser.
 
 use bpaf::Parser;
 use ctl::command;
 
-// A flag declared behind a positional argument makes the parser panic, but only
-// once somebody uses that command.
+// A flag that is declared after a positional argument makes the parser panic, but only
+// when that command is used.
 #[test]
 fn command_line_parser_invariants_hold() {
     command::parser().to_options().check_invariants(true);
--- a/crates/ctl/tests/lost_responses.rs
+++ b/crates/ctl/tests/lost_responses.rs
@@ -1,4 +1,4 @@
-//! What the command line makes of answers that get lost.
+//! Behavior of the client when responses of the administration are lost.
 
 use std::sync::{Arc, Mutex};
 
@@ -11,18 +11,18 @@
     task,
 };
 
-/// What the administration does with one call.
+/// How the fake administration replies to one request.
 #[derive(Clone, Copy, Debug)]
 enum Reply {
-    /// It ends the connection without an answer.
+    /// Closes the connection without a response.
     Disconnect,
-    /// It says that the change was accepted.
+    /// Reports that the change was accepted.
     Accept,
-    /// It says that the platform is down and nothing was run.
+    /// Reports that the platform is down and that the change has not run.
     PlatformDown,
-    /// It says that the outcome is unknown.
+    /// Reports that the outcome is unknown.
     OutcomeUnknown,
-    /// It says that another change came first.
+    /// Reports that another change was committed first.
     Conflict,
 }
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// Reads one request and gives its body.
+/// Reads one request and returns its body.
 async fn read(stream: &mut TcpStream) -> Option<Value> {
     let mut bytes = Vec::new();
     loop {
@@ -57,7 +57,8 @@
     }
 }
 
-/// Does one deed after the other, the last one again and again, and notes the ids.
+/// Replies to each request with the next of `replies`, repeating the last one, and
+/// records the change ids.
 async fn serve(listener: TcpListener, replies: Vec<Reply>, ids: Arc<Mutex<Vec<String>>>) {
     let mut index = 0;
     while let Ok((mut stream, _)) = listener.accept().await {
@@ -79,8 +80,8 @@
     }
 }
 
-// The answer to a change gets lost on its way to the operator, who must neither
-// be told that nothing was changed nor send the same change under a second name.
+// The response to a change is lost. The client must not report that nothing was
+// changed, and must not send the same change under a second id.
 #[yare::parameterized(
     accepted = { &[Reply::Accept], Code::Success, 1 },
     lost_then_accepted = { &[Reply::Disconnect, Reply::Accept], Code::Success, 2 },
--- a/crates/ctl/tests/session.rs
+++ b/crates/ctl/tests/session.rs
@@ -1,4 +1,4 @@
-//! A whole session of an operator, compared byte by byte with a golden file.
+//! The output of a whole operator session, compared byte by byte with a golden file.
 //!
 //! `WEIR_GOLDEN=write cargo test -p ctl` rewrites the file.
 
@@ -27,7 +27,7 @@
     task, time,
 };
 
-/// A router that tells of itself, another one and two engines.
+/// A fake router that reports itself, another router and two engines.
 #[derive(Clone, Default)]
 struct Router {
     first: Arc<AtomicU64>,
@@ -56,7 +56,7 @@
         .to_string()
     }
 
-    /// Answers every request with the page.
+    /// Responds to every request with the status page.
     async fn serve(self, listener: TcpListener) {
         while let Ok((mut stream, _)) = listener.accept().await {
             let mut request = [0; 2048];
@@ -73,14 +73,14 @@
     }
 }
 
-/// The session so far.
+/// The recorded session.
 struct Session {
     admin: SocketAddr,
     text: String,
 }
 
 impl Session {
-    /// Runs `weirctl` and notes its output and exit code.
+    /// Runs `weirctl` and records its output and exit code.
     async fn run(&mut self, arguments: &str) {
         let (output, code) = weirctl(self.admin, arguments).await;
         self.text.push_str(&format!("$ weirctl {arguments}\n"));
@@ -91,7 +91,7 @@
         self.text.push('\n');
     }
 
-    /// Waits until the list of resources is as expected.
+    /// Waits until the list of resources satisfies `expected`.
     async fn wait_until(&self, expected: impl Fn(&List) -> bool) {
         loop {
             let (output, _) = weirctl(self.admin, "list -o json").await;
@@ -124,7 +124,7 @@
     (text, output.status.code().unwrap_or(-1))
 }
 
-/// The exit code of `weirctl list` whose reader went away before it printed.
+/// Returns the exit code of `weirctl list` if its output pipe is closed before it prints.
 async fn exit_code_after_broken_pipe(admin: SocketAddr) -> Option<i32> {
     let run = move || {
         let mut child = Command::new(env!("CARGO_BIN_EXE_weirctl"))
@@ -144,7 +144,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
 }
 
-/// Replaces what differs from run to run: drawn ids, ages, times and ports.
+/// Masks values that differ between runs: random ids, ages and times.
 fn mask(text: &str) -> String {
     let masked = text.lines().map(|line| {
         let words: Vec<String> = line.split(' ').map(mask_word).collect();
@@ -182,8 +182,8 @@
     zones.filter(|zone| !zone.missing.is_empty()).count() == count
 }
 
-// An operator declares everything, takes a zone out, drains a server, meets an
-// outage of the platform and a faulty file, and reads what was done.
+// An operator declares resources, takes a zone out of service, drains a server, works
+// through an outage of the platform, applies an invalid file and reads the history.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn session_output_matches_the_golden_file() {
     let platform = platform_standin::start(platform_standin::Settings::default())
