--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -88,9 +88,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Survey {
     /// Number of routers queried.
-    pub asked: usize,
+    pub queried: usize,
     /// Number of routers that responded.
-    pub answered: usize,
+    pub responded: usize,
     /// The backend servers that these routers own.
     pub engines: Vec<Engine>,
     /// The numbers of requests that these routers refused, by code and verdict.
@@ -148,8 +148,8 @@
         let all: Vec<usize> = (0..self.clients.len().min(MAX_POLLED)).collect();
         let reports = self.query(&all, timeout).await;
         Survey {
-            asked: all.len(),
-            answered: reports.len(),
+            queried: all.len(),
+            responded: reports.len(),
             engines: reports
                 .iter()
                 .flat_map(|report| report.engines.clone())
--- a/crates/admin/src/responses.rs
+++ b/crates/admin/src/responses.rs
@@ -118,8 +118,8 @@
     };
     Some(Status {
         freshness: freshness(view, fleet)?,
-        asked: survey.asked,
-        answered: survey.answered,
+        asked: survey.queried,
+        answered: survey.responded,
         zones: coverage.into_iter().map(zone).collect(),
         routers: fleet.routers.to_vec(),
         engines: survey.engines.into_iter().map(drained).collect(),
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -13,7 +13,7 @@
 /// Interval between two reads of the list.
 const POLL_INTERVAL: time::Duration = time::Duration::from_millis(500);
 
-/// Prints state changes as they occur. With `until_settled`, stops when all resources
+/// Prints state changes as they occur. With `until_rolled_out`, stops when all resources
 /// are in force or withdrawn.
 ///
 /// # Errors
@@ -22,7 +22,7 @@
 /// for another reason than an outage.
 pub(crate) async fn run(
     client: &Client,
-    until_settled: bool,
+    until_rolled_out: bool,
     deadline: Option<Instant>,
     output: Output,
 ) -> Result<Code, Error> {
@@ -31,7 +31,7 @@
         match client.list().await {
             Ok(list) => {
                 render::changes(previous.as_ref(), &list, output);
-                if until_settled && is_settled(&list) {
+                if until_rolled_out && is_rolled_out(&list) {
                     return Ok(Code::Success);
                 }
                 previous = Some(list);
@@ -48,7 +48,7 @@
     }
 }
 
-fn is_settled(list: &List) -> bool {
+fn is_rolled_out(list: &List) -> bool {
     let declared = list.resources.iter().map(|listed| listed.state);
     let removed = list.removed.iter().map(|removed| removed.state);
     list.pending.is_empty()
