--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -64,7 +64,10 @@
         let mut request = http::request(method, path, body).expect("request");
         let token = format!("Bearer {token}").parse().expect("header");
         request.headers_mut().insert(header::AUTHORIZATION, token);
-        self.client.call(request, deadline()).await.expect("answer")
+        self.client
+            .call(request, deadline())
+            .await
+            .expect("response")
     }
 
     async fn get(&self, path: &str) -> Response {
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -46,7 +46,7 @@
     let request = http::request(Method::POST, path, body).expect("request");
     let deadline = Instant::now() + Duration::from_secs(60);
     let client = http::Client::new(process.address());
-    client.call(request, deadline).await.expect("answer")
+    client.call(request, deadline).await.expect("response")
 }
 
 /// Declares the engine through `process`.
@@ -66,7 +66,7 @@
         let request = http::request(Method::GET, "/v1/resources/pool/engines", Bytes::new());
         let deadline = Instant::now() + Duration::from_secs(60);
         let response = client.call(request.expect("request"), deadline).await;
-        if response.expect("answer").status == StatusCode::OK {
+        if response.expect("response").status == StatusCode::OK {
             return;
         }
         time::sleep(Duration::from_millis(5)).await;
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -72,7 +72,7 @@
     let request = http::request(method, path, body).expect("request");
     let deadline = Instant::now() + Duration::from_secs(60);
     let client = http::Client::new(address);
-    client.call(request, deadline).await.expect("answer")
+    client.call(request, deadline).await.expect("response")
 }
 
 /// Sends `change` to `instance` without waiting for the response.
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -164,13 +164,8 @@
     ) -> Result<A, Error> {
         let mut request = http::request(method, path, body).map_err(transport_error)?;
         if let Some(token) = &self.token {
-            let value =
-                header::HeaderValue::from_str(&format!("Bearer {token}")).map_err(|_| {
-                    Error::new(
-                        exit::Code::Denied,
-                        "the token contains characters that are not allowed in an HTTP header",
-                    )
-                })?;
+            let value = header::HeaderValue::from_str(&format!("Bearer {token}"))
+                .map_err(|_| Error::new(exit::Code::Denied, "token is not a valid header value"))?;
             request.headers_mut().insert(header::AUTHORIZATION, value);
         }
         let deadline = time::Instant::now() + timeout;
