--- a/crates/admin/src/api/auth.rs
+++ b/crates/admin/src/api/auth.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use config::answer::{Code, Error};
+use config::response::{Code, Error};
 use salvo::{
     Depot, FlowCtrl, Request, Response, handler,
     http::{StatusCode, header},
--- a/crates/admin/src/api/failure.rs
+++ b/crates/admin/src/api/failure.rs
@@ -1,8 +1,8 @@
 //! Responses to requests that failed.
 
 use config::{
-    answer::{Code, Error, Failure, Verdict},
     check, proposal,
+    response::{Code, Error, Failure, Verdict},
 };
 use salvo::{
     Response,
--- a/crates/admin/src/api/order.rs
+++ b/crates/admin/src/api/order.rs
@@ -3,9 +3,9 @@
 use std::{sync::Arc, time};
 
 use config::{
-    answer::{Code, Error, Ordered, Verdict},
     check::Fault,
     resource::{Kind, Pool},
+    response::{Code, Error, Ordered, Verdict},
     snapshot::Snapshot,
 };
 use orders::Fencing;
--- a/crates/admin/src/api/propose.rs
+++ b/crates/admin/src/api/propose.rs
@@ -4,9 +4,9 @@
 
 use audit::refusals;
 use config::{
-    answer::{Accepted, Code, Error, Outcome},
     proposal,
     refused::Refused,
+    response::{Accepted, Code, Error, Outcome},
 };
 use salvo::{Depot, Request, Response, handler, http::StatusCode, writing::Json};
 use serde::de::DeserializeOwned;
@@ -85,7 +85,7 @@
         let revision = self.0.view().version.snapshot.revision();
         let refused = Refused::new(proposal, refusal, &author.who, author.when, revision);
         let deadline = Instant::now() + self.0.settings().call_timeout;
-        if let Err(error) = refusals::note(self.0.table(), &refused, deadline).await {
+        if let Err(error) = refusals::record(self.0.table(), &refused, deadline).await {
             logging::event!(warn, "trail_failed", change = refused.id, reason = error);
         }
     }
--- a/crates/admin/src/api/read.rs
+++ b/crates/admin/src/api/read.rs
@@ -3,7 +3,7 @@
 use std::{str::FromStr, sync::Arc};
 
 use audit::{archive, reader, refusals};
-use config::{answer::History, key};
+use config::{key, response::History};
 use salvo::{
     Request, Response, handler,
     writing::{Json, Text},
@@ -131,7 +131,7 @@
             return not_found(response, "no change has such an id");
         };
         let deadline = Instant::now() + self.0.settings().read_timeout;
-        match reader::settled(self.0.table(), &id, deadline).await {
+        match reader::committed_revision(self.0.table(), &id, deadline).await {
             Ok(Some(revision)) => {
                 let outcome = store::Outcome::Accepted(revision);
                 response.render(Json(accepted(id, outcome)));
--- a/crates/admin/src/fleet.rs
+++ b/crates/admin/src/fleet.rs
@@ -11,7 +11,7 @@
 
 use bytes::Bytes;
 use config::{
-    answer::{Engine, Refusals},
+    response::{Engine, Refusals},
     state::Router,
 };
 use hyper::Method;
--- a/crates/admin/src/main.rs
+++ b/crates/admin/src/main.rs
@@ -113,7 +113,7 @@
 
 fn validate(arguments: Arguments, faults: &mut settings::Faults) -> Option<Settings> {
     let defaults = Settings::default();
-    let listen = faults.or(&arguments.listen, defaults.listen, settings::ADDRESS);
+    let listen = faults.or_default(&arguments.listen, defaults.listen, settings::ADDRESS);
     let platform = faults.required(&arguments.platform, settings::ADDRESS);
     let routers = routers(&arguments.routers, faults);
     let host = faults.optional(
--- a/crates/admin/src/responses.rs
+++ b/crates/admin/src/responses.rs
@@ -1,8 +1,8 @@
 //! Builds API responses from the cached configuration and the view of the fleet.
 
 use config::{
-    answer::{Engine, Freshness, List, Listed, Pending, Removed, Status, Zone},
     resource::Resource,
+    response::{Engine, Freshness, List, Listed, Pending, Removed, Status, Zone},
     state::{self, State},
 };
 use tokio::time;
--- a/crates/admin/src/store.rs
+++ b/crates/admin/src/store.rs
@@ -7,7 +7,7 @@
 use audit::reader::{self, Version};
 use config::{
     change::Change,
-    proposal::{self, Judgement, Proposal},
+    proposal::{self, Evaluation, Proposal},
     resource::Resource,
     rows,
 };
@@ -229,7 +229,7 @@
             Err(error) => return read_failure(&error),
         };
         let read_deadline = self.call_deadline(deadline);
-        match reader::settled(&self.table, &proposal.id, read_deadline).await {
+        match reader::committed_revision(&self.table, &proposal.id, read_deadline).await {
             Ok(Some(revision)) => {
                 self.catch_up(revision, deadline).await;
                 return Attempt::Done(Ok(Outcome::Repeated(revision)));
@@ -237,10 +237,10 @@
             Ok(None) => {}
             Err(error) => return read_failure(&error),
         }
-        let judgement = proposal.judge(&version.snapshot, &author.who, author.when);
-        let change = match judgement {
-            Ok(Judgement::Change(change)) => change,
-            Ok(Judgement::Unchanged) => {
+        let evaluation = proposal.evaluate(&version.snapshot, &author.who, author.when);
+        let change = match evaluation {
+            Ok(Evaluation::Change(change)) => change,
+            Ok(Evaluation::Unchanged) => {
                 return Attempt::Done(Ok(Outcome::Unchanged(version.snapshot.revision())));
             }
             Err(refusal) => return Attempt::Done(Err(Failure::Refused(refusal))),
--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -9,8 +9,8 @@
 };
 use bytes::Bytes;
 use config::{
-    answer::{Accepted, Code, Failure, History, List, Outcome, Verdict},
     refused::Reason,
+    response::{Accepted, Code, Failure, History, List, Outcome, Verdict},
 };
 use hyper::{Method, StatusCode, header};
 use serde_json::{Value, json};
@@ -110,7 +110,7 @@
     http::parse(response).expect("accepted")
 }
 
-fn failure(response: &Response) -> config::answer::Error {
+fn failure(response: &Response) -> config::response::Error {
     http::parse::<Failure>(response).expect("failure").error
 }
 
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -7,7 +7,7 @@
     settings::{self, Settings},
 };
 use bytes::Bytes;
-use config::answer::{Code, Failure, Verdict};
+use config::response::{Code, Failure, Verdict};
 use hyper::{Method, StatusCode};
 use serde_json::{Value, json};
 use standin::{
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -13,7 +13,7 @@
 };
 use bytes::Bytes;
 use config::{
-    answer::{History, List},
+    response::{History, List},
     snapshot::Snapshot,
 };
 use hyper::{Method, StatusCode};
--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -42,7 +42,7 @@
     settings: &Archive,
     deadline: time::Instant,
 ) -> Result<u64, Error> {
-    let Some(block) = oldest(table, settings, deadline).await? else {
+    let Some(block) = oldest_block(table, settings, deadline).await? else {
         return Ok(0);
     };
     let Some(first) = block.first() else {
@@ -50,7 +50,7 @@
     };
     let key = key(first.to);
     match objects
-        .put(&key, lines(&block)?, &Condition::Absent, deadline)
+        .put(&key, to_json_lines(&block)?, &Condition::Absent, deadline)
         .await
     {
         // Another process came first, or this one in a try whose answer was lost.
@@ -81,7 +81,7 @@
 }
 
 /// The oldest block of changes in the table, if it is beyond those to be kept.
-async fn oldest<T: Table>(
+async fn oldest_block<T: Table>(
     table: &T,
     settings: &Archive,
     deadline: time::Instant,
@@ -151,7 +151,7 @@
         .map_err(|error| Error::Malformed(rows::Malformed::new(key, error)))
 }
 
-fn lines(changes: &[Change]) -> Result<Bytes, Error> {
+fn to_json_lines(changes: &[Change]) -> Result<Bytes, Error> {
     let mut lines = Vec::new();
     for change in changes {
         let line = serde_json::to_vec(change)
--- a/crates/audit/src/reader.rs
+++ b/crates/audit/src/reader.rs
@@ -64,10 +64,10 @@
 }
 
 /// How many rows one scan asks for.
-const PAGE: usize = 1_000;
+const PAGE_SIZE: usize = 1_000;
 
 /// How often a load starts again because changes came in between its scans.
-const LOAD_TRIES: u32 = 5;
+const MAX_LOAD_ATTEMPTS: u32 = 5;
 
 /// Reads the whole configuration.
 ///
@@ -75,9 +75,9 @@
 ///
 /// [`Error`], and nothing has been read.
 pub async fn load<T: Table>(table: &T, deadline: time::Instant) -> Result<Version, Error> {
-    for _ in 0..LOAD_TRIES {
+    for _ in 0..MAX_LOAD_ATTEMPTS {
         let (before, _) = revision(table, deadline).await?;
-        let found = pages(table, deadline).await?;
+        let found = scan_snapshot(table, deadline).await?;
         let listed = found.iter().map(|row| (row.key.as_str(), &row.value));
         let snapshot = Snapshot::from_rows(listed)?;
         // Each page shows its own moment. The row of the revision stands on the
@@ -97,17 +97,17 @@
 }
 
 /// Reads all rows of the snapshot, page by page.
-async fn pages<T: Table>(table: &T, deadline: time::Instant) -> Result<Vec<Row>, Error> {
+async fn scan_snapshot<T: Table>(table: &T, deadline: time::Instant) -> Result<Vec<Row>, Error> {
     let mut found: Vec<Row> = Vec::new();
     loop {
         let last = found.last().map(|row| row.key.clone());
         let range = Range {
             prefix: String::from(rows::SNAPSHOT_PREFIX),
             from: last.clone().unwrap_or_default(),
-            limit: Some(PAGE),
+            limit: Some(PAGE_SIZE),
         };
         let page = table.scan(&range, deadline).await?;
-        let full = page.len() == PAGE;
+        let full = page.len() == PAGE_SIZE;
         // The range begins with the last row of the page before, which is known.
         found.extend(
             page.into_iter()
@@ -191,7 +191,7 @@
 /// # Errors
 ///
 /// [`Error`], and nothing is known.
-pub async fn settled<T: Table>(
+pub async fn committed_revision<T: Table>(
     table: &T,
     id: &change::Id,
     deadline: time::Instant,
--- a/crates/audit/src/refusals.rs
+++ b/crates/audit/src/refusals.rs
@@ -7,17 +7,17 @@
 use crate::reader::{Error, parse};
 
 /// The most refused changes that are kept.
-pub const KEEP: usize = 1_000;
+pub const MAX_KEPT: usize = 1_000;
 
 /// How many are deleted at once.
-const BLOCK: usize = 500;
+const MAX_DELETES: usize = 500;
 
 /// Writes `refused` to the trail.
 ///
 /// # Errors
 ///
 /// [`Error`]. The trail may lack it; the change stays refused.
-pub async fn note<T: Table>(
+pub async fn record<T: Table>(
     table: &T,
     refused: &Refused,
     deadline: time::Instant,
@@ -52,7 +52,7 @@
     found.iter().map(parse).collect()
 }
 
-/// Deletes the earliest refused changes beyond [`KEEP`] and gives their number.
+/// Deletes the earliest refused changes beyond [`MAX_KEPT`] and gives their number.
 ///
 /// # Errors
 ///
@@ -63,7 +63,7 @@
         ..Range::default()
     };
     let found = table.scan(&range, deadline).await?;
-    let excess = found.len().saturating_sub(KEEP).min(BLOCK);
+    let excess = found.len().saturating_sub(MAX_KEPT).min(MAX_DELETES);
     if excess == 0 {
         return Ok(0);
     }
--- a/crates/audit/tests/archive.rs
+++ b/crates/audit/tests/archive.rs
@@ -9,7 +9,7 @@
     rows,
     snapshot::Snapshot,
 };
-use standin::platform::{self as stand, Fault};
+use standin::platform::{self as standin_platform, Fault};
 use storage::{
     Error, objects,
     table::{self, Put, Range, Row, Table, Transaction},
@@ -19,8 +19,8 @@
 
 const CHANGES: u64 = 43;
 
-struct Bench {
-    platform: stand::Handle,
+struct Fixture {
+    platform: standin_platform::Handle,
     table: table::Client,
     objects: objects::Client,
 }
@@ -43,11 +43,11 @@
 }
 
 /// A platform whose table holds [`CHANGES`] changes.
-async fn start() -> Bench {
-    let platform = stand::start(stand::Settings::default())
+async fn start() -> Fixture {
+    let platform = standin_platform::start(standin_platform::Settings::default())
         .await
         .expect("platform");
-    let bench = Bench {
+    let fixture = Fixture {
         table: table::Client::new(platform.address()),
         objects: objects::Client::new(platform.address()),
         platform,
@@ -67,13 +67,13 @@
             puts,
             ..Transaction::default()
         };
-        let done = bench.table.transact(&transaction, deadline()).await;
+        let done = fixture.table.transact(&transaction, deadline()).await;
         done.expect("change");
     }
-    bench
+    fixture
 }
 
-impl Bench {
+impl Fixture {
     async fn compact(&self, block: u64) -> Result<u64, reader::Error> {
         let settings = Archive { keep: 10, block };
         archive::compact(&self.table, &self.objects, &settings, deadline()).await
@@ -86,7 +86,7 @@
         read.iter().map(|change| change.to.0).collect()
     }
 
-    async fn in_table(&self) -> usize {
+    async fn changes_in_table(&self) -> usize {
         let range = reader::range(revision::Id(0), None);
         let read = reader::changes(&self.table, &range, deadline()).await;
         read.expect("changes").len()
@@ -104,32 +104,36 @@
     smaller_first = { Some(3), 2, 8 },
 )]
 #[test_macro(tokio::test)]
-async fn moving_changes_loses_none(lose: Option<u64>, one: u64, other: u64) {
-    let bench = start().await;
+async fn compaction_loses_no_changes(
+    lost_answers: Option<u64>,
+    first_block: u64,
+    second_block: u64,
+) {
+    let fixture = start().await;
     let all: Vec<u64> = (1..=CHANGES).collect();
     loop {
-        if let Some(count) = lose {
-            bench
+        if let Some(count) = lost_answers {
+            fixture
                 .platform
                 .fault(Fault::LoseAnswer { count: Some(count) });
         }
-        let moved = tokio::join!(bench.compact(one), bench.compact(other));
-        assert_eq!(all, bench.history(1, 100).await, "after {moved:?}");
+        let moved = tokio::join!(fixture.compact(first_block), fixture.compact(second_block));
+        assert_eq!(all, fixture.history(1, 100).await, "after {moved:?}");
         if matches!(moved, (Ok(0), Ok(0))) {
             break;
         }
-        bench.platform.fault(Fault::Normal);
+        fixture.platform.fault(Fault::Normal);
     }
-    assert!(bench.in_table().await < 10 + 8);
-    assert_eq!(vec![3, 4, 5, 6], bench.history(3, 4).await);
-    assert_eq!(vec![42, 43], bench.history(42, 10).await);
+    assert!(fixture.changes_in_table().await < 10 + 8);
+    assert_eq!(vec![3, 4, 5, 6], fixture.history(3, 4).await);
+    assert_eq!(vec![42, 43], fixture.history(42, 10).await);
 }
 
 /// The table of a process that pauses before each write, while another process
 /// moves a block of changes.
-struct Paused<'a>(&'a Bench);
+struct PausedTable<'a>(&'a Fixture);
 
-impl Table for Paused<'_> {
+impl Table for PausedTable<'_> {
     async fn read(&self, key: &str, deadline: Instant) -> Result<Option<Row>, Error> {
         self.0.table.read(key, deadline).await
     }
@@ -151,29 +155,29 @@
 // A process pauses after it has read back its object and before it deletes the
 // rows, while another one moves a smaller block under the same name.
 #[tokio::test]
-async fn a_paused_process_deletes_only_what_is_kept() {
-    let bench = start().await;
+async fn paused_process_deletes_only_archived_changes() {
+    let fixture = start().await;
     let settings = Archive { keep: 10, block: 8 };
-    let paused = Paused(&bench);
-    let moved = archive::compact(&paused, &bench.objects, &settings, deadline()).await;
+    let paused_table = PausedTable(&fixture);
+    let moved = archive::compact(&paused_table, &fixture.objects, &settings, deadline()).await;
     assert_eq!(Ok(8), moved);
     let all: Vec<u64> = (1..=CHANGES).collect();
-    assert_eq!(all, bench.history(1, 100).await);
+    assert_eq!(all, fixture.history(1, 100).await);
 }
 
 // A process that held an old revision catches up after the changes in between
 // have moved away; it has to read the whole instead of going on with a gap.
 #[tokio::test]
-async fn a_reader_behind_the_archive_reads_the_whole() {
-    let bench = start().await;
+async fn reader_behind_the_archive_reloads_the_configuration() {
+    let fixture = start().await;
     let mut snapshot = Snapshot::default();
     snapshot.apply(&change(1)).expect("first change");
     let held = reader::Version {
         snapshot,
         ..reader::Version::default()
     };
-    while bench.compact(5).await.expect("compact") > 0 {}
-    let advanced = reader::advance(&bench.table, &held, deadline()).await;
+    while fixture.compact(5).await.expect("compact") > 0 {}
+    let advanced = reader::advance(&fixture.table, &held, deadline()).await;
     let advanced = advanced.expect("advance");
     assert_eq!(revision::Id(CHANGES), advanced.snapshot.revision());
 }
@@ -181,22 +185,24 @@
 // The table was restored from an old copy. Whoever follows it would put back in
 // force what operators have replaced.
 #[tokio::test]
-async fn a_table_that_went_back_is_not_followed() {
-    let bench = start().await;
-    let version = reader::load(&bench.table, deadline()).await.expect("load");
-    let old = Transaction {
+async fn reverted_table_is_rejected() {
+    let fixture = start().await;
+    let version = reader::load(&fixture.table, deadline())
+        .await
+        .expect("load");
+    let reverting = Transaction {
         puts: vec![Put {
             key: String::from(rows::REVISION),
             value: (CHANGES - 1).into(),
         }],
         ..Transaction::default()
     };
-    bench
+    fixture
         .table
-        .transact(&old, deadline())
+        .transact(&reverting, deadline())
         .await
         .expect("restore");
-    let advanced = reader::advance(&bench.table, &version, deadline()).await;
+    let advanced = reader::advance(&fixture.table, &version, deadline()).await;
     let reverted = reader::Error::Reverted {
         held: revision::Id(CHANGES),
         shown: revision::Id(CHANGES - 1),
@@ -207,9 +213,9 @@
 // Somebody repeats a faulty change for days. The trail of refused changes must
 // not fill the table.
 #[tokio::test]
-async fn of_refused_changes_the_latest_are_kept() {
-    let bench = start().await;
-    for when in 0..refusals::KEEP as u64 + 3 {
+async fn latest_refused_changes_are_kept() {
+    let fixture = start().await;
+    for when in 0..refusals::MAX_KEPT as u64 + 3 {
         let refused = Refused {
             id: "again".parse().unwrap(),
             who: "ann".parse().unwrap(),
@@ -219,14 +225,16 @@
             puts: Vec::new(),
             deletes: Vec::new(),
         };
-        let noted = refusals::note(&bench.table, &refused, deadline()).await;
-        assert_eq!(Ok(()), noted);
+        let recorded = refusals::record(&fixture.table, &refused, deadline()).await;
+        assert_eq!(Ok(()), recorded);
     }
-    assert_eq!(Ok(3), refusals::trim(&bench.table, deadline()).await);
-    assert_eq!(Ok(0), refusals::trim(&bench.table, deadline()).await);
-    let kept = refusals::since(&bench.table, 0, deadline()).await.unwrap();
-    assert_eq!((refusals::KEEP, 3), (kept.len(), kept[0].when));
-    let late = refusals::since(&bench.table, 1_000, deadline())
+    assert_eq!(Ok(3), refusals::trim(&fixture.table, deadline()).await);
+    assert_eq!(Ok(0), refusals::trim(&fixture.table, deadline()).await);
+    let kept = refusals::since(&fixture.table, 0, deadline())
+        .await
+        .unwrap();
+    assert_eq!((refusals::MAX_KEPT, 3), (kept.len(), kept[0].when));
+    let late = refusals::since(&fixture.table, 1_000, deadline())
         .await
         .unwrap();
     assert_eq!(3, late.len());
--- a/crates/config/benches/snapshot.rs
+++ b/crates/config/benches/snapshot.rs
@@ -84,7 +84,7 @@
         };
         let who = "bench".parse().expect("name");
         criterion.bench_function(&format!("judge/{count}"), |bencher| {
-            bencher.iter(|| black_box(proposal.judge(&snapshot, &who, 0)));
+            bencher.iter(|| black_box(proposal.evaluate(&snapshot, &who, 0)));
         });
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/check.rs
@@ -3,16 +3,16 @@
 //! All faults are found in one pass and named by the path of their field.
 
 mod fields;
-mod single;
-mod whole;
+mod resource;
+mod snapshot;
 
 use std::fmt;
 
 use serde::{Deserialize, Serialize};
 
 pub(crate) use fields::{Fields, elements};
-pub use single::resource;
-pub use whole::whole;
+pub use resource::resource;
+pub use snapshot::snapshot;
 
 /// The most faults that one check reports.
 ///
@@ -21,7 +21,7 @@
 pub const MAX_FAULTS: usize = 100;
 
 /// The longest message of a fault, in characters. Wrong values are quoted in it.
-const MAX_MESSAGE: usize = 200;
+const MAX_MESSAGE_CHARS: usize = 200;
 
 /// A fault of one field.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -50,7 +50,11 @@
         if self.list.len() >= MAX_FAULTS {
             return;
         }
-        let message = message.to_string().chars().take(MAX_MESSAGE).collect();
+        let message = message
+            .to_string()
+            .chars()
+            .take(MAX_MESSAGE_CHARS)
+            .collect();
         self.list.push(Fault {
             path: String::from(path),
             message,
--- a/crates/config/src/check/fields.rs
+++ b/crates/config/src/check/fields.rs
@@ -58,7 +58,7 @@
     }
 
     /// Reads a field that has a default.
-    pub(crate) fn or<T: Deserialize<'a>>(
+    pub(crate) fn or_default<T: Deserialize<'a>>(
         &mut self,
         name: &'static str,
         default: T,
@@ -81,7 +81,7 @@
     where
         T: Deserialize<'a> + PartialOrd + fmt::Display,
     {
-        let number = self.or(name, default, faults)?;
+        let number = self.or_default(name, default, faults)?;
         if range.contains(&number) {
             return Some(number);
         }
@@ -91,10 +91,10 @@
     }
 
     /// Notes the fields that nobody has asked for.
-    pub(crate) fn finish(self, faults: &mut Faults) {
+    pub(crate) fn reject_unknown(self, faults: &mut Faults) {
         for name in self.map.keys() {
             if !self.known.contains(&name.as_str()) {
-                let shown: String = name.chars().take(MAX_NAME).collect();
+                let shown: String = name.chars().take(MAX_NAME_CHARS).collect();
                 faults.add(&self.path(&shown), "is not a known field");
             }
         }
@@ -117,7 +117,7 @@
 }
 
 /// The longest unknown field name that is shown.
-const MAX_NAME: usize = 64;
+const MAX_NAME_CHARS: usize = 64;
 
 /// The elements of the list `value` with their paths, at most `max` of them.
 pub(crate) fn elements<'a>(
--- a/crates/config/src/check/single.rs
+++ b/crates/config/src/check/resource.rs
@@ -13,19 +13,19 @@
 
 const MAX_WEIGHT: u32 = 1_000;
 const MAX_IN_FLIGHT: u32 = 1_000_000;
-const MAX_KEYS: usize = 64;
+const MAX_KEY_HASHES: usize = 64;
 const MAX_SERVERS: usize = 20_000;
 const MAX_LOAD_BOUND: f64 = 100.0;
 const MAX_CONCURRENCY: u32 = 100_000;
 const MAX_TIMEOUT_MS: u64 = 3_600_000;
-const MAX_PATH: usize = 256;
-const MAX_MODEL: usize = 128;
+const MAX_PATH_LENGTH: usize = 256;
+const MAX_MODEL_LENGTH: usize = 128;
 
 /// The length of a BLAKE3 hash in hex digits.
 const HASH_DIGITS: usize = 64;
 
 /// The paths on which a router answers for itself.
-const RESERVED: [&str; 4] = ["/weir", "/healthz", "/readyz", "/metrics"];
+const RESERVED_PATHS: [&str; 4] = ["/weir", "/healthz", "/readyz", "/metrics"];
 
 /// Reads the resource in `value`, which stands at `path`.
 ///
@@ -40,14 +40,14 @@
         Type::Zone => zone(&mut fields, faults).map(Resource::Zone),
         Type::Drain => drain(&mut fields, faults).map(Resource::Drain),
     };
-    fields.finish(faults);
+    fields.reject_unknown(faults);
     read
 }
 
 fn workspace(fields: &mut Fields<'_>, faults: &mut Faults) -> Option<Workspace> {
     let name = fields.required("name", faults);
     let weight = fields.within("weight", 1, 1..=MAX_WEIGHT, faults);
-    let max_in_flight = fields.or("max_in_flight", None, faults);
+    let max_in_flight = fields.or_default("max_in_flight", None, faults);
     if let Some(Some(limit)) = max_in_flight
         && !(1..=MAX_IN_FLIGHT).contains(&limit)
     {
@@ -66,7 +66,7 @@
 fn key_hashes(fields: &mut Fields<'_>, faults: &mut Faults) -> Vec<String> {
     let path = fields.path("key_hashes");
     let mut hashes = Vec::new();
-    for (path, element) in elements(fields.value("key_hashes"), &path, MAX_KEYS, faults) {
+    for (path, element) in elements(fields.value("key_hashes"), &path, MAX_KEY_HASHES, faults) {
         match element.as_str() {
             Some(text) if is_hash(text) => hashes.push(text.to_ascii_lowercase()),
             // The text is not shown: it might be the key itself.
@@ -83,8 +83,8 @@
 fn pool(fields: &mut Fields<'_>, faults: &mut Faults) -> Option<Pool> {
     let name = fields.required("name", faults);
     let kind: Option<Kind> = fields.required("kind", faults);
-    let reports_load = fields.or("reports_load", false, faults);
-    let checks_fencing = fields.or("checks_fencing", false, faults);
+    let reports_load = fields.or_default("reports_load", false, faults);
+    let checks_fencing = fields.or_default("checks_fencing", false, faults);
     let load_bound = fields.within("load_bound", 1.25, 1.0..=MAX_LOAD_BOUND, faults);
     let max_concurrency = fields.within("max_concurrency", 64, 1..=MAX_CONCURRENCY, faults);
     let path = fields.path("servers");
@@ -113,7 +113,7 @@
         faults.add(&fields.path("address"), "port 0 cannot be reached");
     }
     let weight = fields.within("weight", 1, 1..=MAX_WEIGHT, faults);
-    fields.finish(faults);
+    fields.reject_unknown(faults);
     Some(Server {
         name: name?,
         zone: zone?,
@@ -131,17 +131,17 @@
     if let Some(fault) = path.as_deref().and_then(path_fault) {
         faults.add(&fields.path("path"), fault);
     }
-    let model: Option<Option<String>> = fields.or("model", None, faults);
+    let model: Option<Option<String>> = fields.or_default("model", None, faults);
     if let Some(Some(model)) = &model
         && !is_model(model)
     {
-        let message = format!("1 to {MAX_MODEL} visible characters are needed");
+        let message = format!("1 to {MAX_MODEL_LENGTH} visible characters are needed");
         faults.add(&fields.path("model"), message);
     }
     let pool = fields.required("pool", faults);
-    let idempotent = fields.or("idempotent", None, faults);
+    let idempotent = fields.or_default("idempotent", None, faults);
     let timeout_ms = fields.within("timeout_ms", 60_000, 1..=MAX_TIMEOUT_MS, faults);
-    let priority = fields.or("priority", request::Priority::default(), faults);
+    let priority = fields.or_default("priority", request::Priority::default(), faults);
     Some(Route {
         name: name?,
         path: path?,
@@ -154,16 +154,17 @@
 }
 
 fn is_model(model: &str) -> bool {
-    (1..=MAX_MODEL).contains(&model.len()) && model.bytes().all(|byte| byte.is_ascii_graphic())
+    (1..=MAX_MODEL_LENGTH).contains(&model.len())
+        && model.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
 /// What is wrong with the path prefix of a route.
 fn path_fault(path: &str) -> Option<String> {
-    let segment = |byte: u8| byte.is_ascii_alphanumeric() || b"/-._~%:@".contains(&byte);
-    if path.len() > MAX_PATH {
-        return Some(format!("is longer than {MAX_PATH} bytes"));
+    let is_path_byte = |byte: u8| byte.is_ascii_alphanumeric() || b"/-._~%:@".contains(&byte);
+    if path.len() > MAX_PATH_LENGTH {
+        return Some(format!("is longer than {MAX_PATH_LENGTH} bytes"));
     }
-    if !path.starts_with('/') || !path.bytes().all(segment) {
+    if !path.starts_with('/') || !path.bytes().all(is_path_byte) {
         return Some(String::from(
             "a path that begins with '/' and has no query is needed",
         ));
@@ -173,17 +174,17 @@
             "an empty segment or a '/' at the end is not allowed",
         ));
     }
-    let under = |reserved: &&str| {
+    let covers = |reserved: &&str| {
         let rest = path.strip_prefix(*reserved);
         rest.is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     };
-    let reserved = RESERVED.iter().find(|reserved| under(reserved))?;
+    let reserved = RESERVED_PATHS.iter().find(|reserved| covers(reserved))?;
     Some(format!("{reserved} belongs to the router itself"))
 }
 
 fn zone(fields: &mut Fields<'_>, faults: &mut Faults) -> Option<Zone> {
     let name = fields.required("name", faults);
-    let service = fields.or("service", Service::default(), faults);
+    let service = fields.or_default("service", Service::default(), faults);
     Some(Zone {
         name: name?,
         service: service?,
--- a/crates/config/src/check/whole.rs
+++ b/crates/config/src/check/snapshot.rs
@@ -6,14 +6,14 @@
 use crate::{resource::Pool, snapshot::Snapshot};
 
 /// Notes what does not fit together in `snapshot`.
-pub fn whole(snapshot: &Snapshot, faults: &mut Faults) {
-    references(snapshot, faults);
-    overlaps(snapshot, faults);
-    duplicates(snapshot, faults);
+pub fn snapshot(snapshot: &Snapshot, faults: &mut Faults) {
+    missing_pools(snapshot, faults);
+    duplicate_routes(snapshot, faults);
+    duplicate_servers(snapshot, faults);
 }
 
 /// A route to a pool that does not exist would refuse all its requests.
-fn references(snapshot: &Snapshot, faults: &mut Faults) {
+fn missing_pools(snapshot: &Snapshot, faults: &mut Faults) {
     for route in snapshot.routes() {
         if snapshot.pool(&route.pool).is_none() {
             let path = format!("route/{}.pool", route.name);
@@ -23,11 +23,11 @@
 }
 
 /// Of two routes with one path and model the second would never be taken.
-fn overlaps(snapshot: &Snapshot, faults: &mut Faults) {
-    let mut taken: BTreeMap<(&str, Option<&str>), &str> = BTreeMap::new();
+fn duplicate_routes(snapshot: &Snapshot, faults: &mut Faults) {
+    let mut seen: BTreeMap<(&str, Option<&str>), &str> = BTreeMap::new();
     for route in snapshot.routes() {
-        let served = (route.path.as_str(), route.model.as_deref());
-        if let Some(other) = taken.insert(served, &route.name) {
+        let target = (route.path.as_str(), route.model.as_deref());
+        if let Some(other) = seen.insert(target, &route.name) {
             let path = format!("route/{}.path", route.name);
             faults.add(&path, format!("route/{other} has the same path and model"));
         }
@@ -35,7 +35,7 @@
 }
 
 /// A server that stands twice would be owned and loaded twice.
-fn duplicates(snapshot: &Snapshot, faults: &mut Faults) {
+fn duplicate_servers(snapshot: &Snapshot, faults: &mut Faults) {
     let mut names: BTreeMap<&str, &Pool> = BTreeMap::new();
     let mut addresses: BTreeMap<net::SocketAddr, &Pool> = BTreeMap::new();
     for pool in snapshot.pools() {
--- a/crates/config/src/file.rs
+++ b/crates/config/src/file.rs
@@ -66,27 +66,27 @@
     let mut resources = Vec::new();
     for (name, list) in tables {
         match name.parse() {
-            Ok(kind) => section(kind, list, &mut resources, faults),
+            Ok(kind) => read_section(kind, list, &mut resources, faults),
             Err(error) => faults.add(&name, error),
         }
     }
-    note_repeated(&resources, faults);
+    report_duplicates(&resources, faults);
     resources
 }
 
-fn section(kind: Type, list: toml::Value, resources: &mut Vec<Resource>, faults: &mut Faults) {
+fn read_section(kind: Type, list: toml::Value, resources: &mut Vec<Resource>, faults: &mut Faults) {
     let list = match serde_json::to_value(list) {
         Ok(list) => list,
         Err(error) => return faults.add(kind.as_str(), error),
     };
     for (path, value) in check::elements(Some(&list), kind.as_str(), MAX_RESOURCES, faults) {
-        let read = tagged(kind, value, &path, faults);
+        let read = with_type(kind, value, &path, faults);
         resources.extend(read.and_then(|value| check::resource(&value, &path, faults)));
     }
 }
 
 /// The resource `value` with its type.
-fn tagged(kind: Type, value: &Value, path: &str, faults: &mut Faults) -> Option<Value> {
+fn with_type(kind: Type, value: &Value, path: &str, faults: &mut Faults) -> Option<Value> {
     let Value::Object(fields) = value else {
         faults.add(path, "a table is needed");
         return None;
@@ -100,7 +100,7 @@
     Some(Value::Object(fields))
 }
 
-fn note_repeated(resources: &[Resource], faults: &mut Faults) {
+fn report_duplicates(resources: &[Resource], faults: &mut Faults) {
     let mut seen = BTreeSet::new();
     for resource in resources {
         if let Some(key) = seen.replace(resource.key()) {
--- a/crates/config/src/key.rs
+++ b/crates/config/src/key.rs
@@ -98,7 +98,7 @@
     type Err = Invalid;
 
     fn from_str(text: &str) -> Result<Self, Self::Err> {
-        let invalid = || Invalid(text.chars().take(MAX_SHOWN).collect());
+        let invalid = || Invalid(text.chars().take(MAX_SHOWN_CHARS).collect());
         let (kind, rest) = text.split_once('/').ok_or_else(invalid)?;
         let kind = kind.parse().map_err(|_| invalid())?;
         name::check(rest).map_err(|_| invalid())?;
@@ -121,7 +121,7 @@
 }
 
 /// The longest part of a wrong key that is shown again.
-const MAX_SHOWN: usize = 80;
+const MAX_SHOWN_CHARS: usize = 80;
 
 /// A text that names no type or resource.
 #[derive(Clone, Debug, PartialEq, Eq)]
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -4,7 +4,6 @@
 //! is the configuration at one revision, [`change::Change`] leads from one
 //! revision to the next, and [`rows`] says how both are kept in the table.
 
-pub mod answer;
 pub mod change;
 pub mod check;
 pub mod file;
@@ -12,6 +11,7 @@
 pub mod proposal;
 pub mod refused;
 pub mod resource;
+pub mod response;
 pub mod rows;
 pub mod snapshot;
 pub mod state;
--- a/crates/config/src/proposal.rs
+++ b/crates/config/src/proposal.rs
@@ -50,7 +50,7 @@
 
 /// What a proposal comes to.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Judgement {
+pub enum Evaluation {
     /// It leads to the next revision by this change.
     Change(Change),
     /// Everything is as it asks already.
@@ -83,14 +83,14 @@
         let deletes = check::elements(fields.value("deletes"), "deletes", MAX_RESOURCES, faults);
         let deletes: Vec<Key> = deletes
             .iter()
-            .filter_map(|(path, value)| key(value, path, faults))
+            .filter_map(|(path, value)| read_key(value, path, faults))
             .collect();
-        let expect = fields.or("expect", BTreeMap::new(), faults);
-        fields.finish(faults);
+        let expect = fields.or_default("expect", BTreeMap::new(), faults);
+        fields.reject_unknown(faults);
         if puts.is_empty() && deletes.is_empty() && faults.is_empty() {
             faults.add("puts", "the change neither puts nor deletes anything");
         }
-        note_repeated(&puts, &deletes, faults);
+        report_duplicates(&puts, &deletes, faults);
         Some(Self {
             id: id?,
             puts,
@@ -107,17 +107,17 @@
     ///
     /// [`Refusal::Conflict`] when an expected generation is not the present
     /// one, [`Refusal::Invalid`] when the configuration would become faulty.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         snapshot: &Snapshot,
         who: &operator::Id,
         when: u64,
-    ) -> Result<Judgement, Refusal> {
-        self.check_expected(snapshot)?;
-        self.check_deleted(snapshot)?;
+    ) -> Result<Evaluation, Refusal> {
+        self.check_generations(snapshot)?;
+        self.check_deletes(snapshot)?;
         let puts = self.changed(snapshot);
         if puts.is_empty() && self.deletes.is_empty() {
-            return Ok(Judgement::Unchanged);
+            return Ok(Evaluation::Unchanged);
         }
         let change = Change {
             id: self.id.clone(),
@@ -129,10 +129,10 @@
             deletes: self.deletes.clone(),
         };
         check_result(snapshot, &change)?;
-        Ok(Judgement::Change(change))
+        Ok(Evaluation::Change(change))
     }
 
-    fn check_expected(&self, snapshot: &Snapshot) -> Result<(), Refusal> {
+    fn check_generations(&self, snapshot: &Snapshot) -> Result<(), Refusal> {
         let conflicts: Vec<Conflict> = self
             .expect
             .iter()
@@ -148,7 +148,7 @@
         Err(Refusal::Conflict(conflicts))
     }
 
-    fn check_deleted(&self, snapshot: &Snapshot) -> Result<(), Refusal> {
+    fn check_deletes(&self, snapshot: &Snapshot) -> Result<(), Refusal> {
         let mut faults = Faults::default();
         for (index, key) in self.deletes.iter().enumerate() {
             if snapshot.resource(key).is_none() {
@@ -158,7 +158,7 @@
                 );
             }
         }
-        valid(faults)
+        into_result(faults)
     }
 
     /// The puts that differ from what is declared.
@@ -175,20 +175,20 @@
     let mut faults = Faults::default();
     let mut result = snapshot.clone();
     match result.apply(change) {
-        Ok(()) => check::whole(&result, &mut faults),
+        Ok(()) => check::snapshot(&result, &mut faults),
         Err(mismatch) => faults.add("", mismatch),
     }
-    valid(faults)
+    into_result(faults)
 }
 
-fn valid(faults: Faults) -> Result<(), Refusal> {
+fn into_result(faults: Faults) -> Result<(), Refusal> {
     if faults.is_empty() {
         return Ok(());
     }
     Err(Refusal::Invalid(faults.into_vec()))
 }
 
-fn key(value: &Value, path: &str, faults: &mut Faults) -> Option<Key> {
+fn read_key(value: &Value, path: &str, faults: &mut Faults) -> Option<Key> {
     match Key::deserialize(value) {
         Ok(key) => Some(key),
         Err(error) => {
@@ -199,7 +199,7 @@
 }
 
 /// The order in which a change names a resource twice would decide what becomes of it.
-fn note_repeated(puts: &[Resource], deletes: &[Key], faults: &mut Faults) {
+fn report_duplicates(puts: &[Resource], deletes: &[Key], faults: &mut Faults) {
     let mut seen = BTreeSet::new();
     let put = puts.iter().map(Resource::key);
     for key in put.chain(deletes.iter().cloned()) {
--- a/crates/config/tests/check.rs
+++ b/crates/config/tests/check.rs
@@ -5,7 +5,7 @@
 use config::{
     check::{self, Fault},
     file, key,
-    proposal::{Judgement, Proposal, Refusal},
+    proposal::{Evaluation, Proposal, Refusal},
     snapshot::Snapshot,
 };
 use proptest::{prelude::*, test_runner::RngSeed};
@@ -120,8 +120,8 @@
     Ok(())
 }
 
-fn judge(proposal: &Proposal, snapshot: &Snapshot) -> Result<Judgement, Refusal> {
-    proposal.judge(snapshot, &"ann".parse().expect("name"), 0)
+fn evaluate(proposal: &Proposal, snapshot: &Snapshot) -> Result<Evaluation, Refusal> {
+    proposal.evaluate(snapshot, &"ann".parse().expect("name"), 0)
 }
 
 proptest! {
@@ -135,9 +135,9 @@
     // Somebody sends any JSON at all. A panic or an answer that grows with the
     // request would take the administration away from everybody else.
     #[test]
-    fn any_json_is_checked_without_a_panic_and_in_bounded_memory(value in any_json()) {
+    fn any_json_is_checked_without_panic_in_bounded_memory(value in any_json()) {
         match Proposal::read(&value) {
-            Ok(proposal) => drop(judge(&proposal, &Snapshot::default())),
+            Ok(proposal) => drop(evaluate(&proposal, &Snapshot::default())),
             Err(faults) => {
                 prop_assert!(!faults.is_empty());
                 assert_bounded(&faults)?;
@@ -147,15 +147,15 @@
 
     // A file is damaged, or is no file of ours.
     #[test]
-    fn any_file_is_checked_without_a_panic_and_in_bounded_memory(
-        cuts in prop::collection::vec((any::<prop::sample::Index>(), ".{0,3}"), 0..8),
+    fn any_file_is_checked_without_panic_in_bounded_memory(
+        replacements in prop::collection::vec((any::<prop::sample::Index>(), ".{0,3}"), 0..8),
         text in "[\\[\\]{}a-z\"=\\.,\n0-9 ]{0,200}",
     ) {
         let example = include_str!("../../../examples/dagbog.toml");
         let mut damaged: Vec<char> = example.chars().collect();
-        for (index, insert) in cuts {
-            let place = index.index(damaged.len());
-            damaged.splice(place..=place, insert.chars());
+        for (index, insert) in replacements {
+            let position = index.index(damaged.len());
+            damaged.splice(position..=position, insert.chars());
         }
         let damaged = String::from_iter(damaged);
         for text in [damaged, text] {
@@ -168,22 +168,22 @@
     // Operators declare resources one change after the other, good ones and bad
     // ones. What is accepted must fit together, or routers would have to guess.
     #[test]
-    fn what_is_accepted_fits_together(values in prop::collection::vec(proposal(), 1..12)) {
+    fn accepted_resources_are_consistent(values in prop::collection::vec(proposal(), 1..12)) {
         let mut snapshot = Snapshot::default();
         for value in values {
             let Ok(proposal) = Proposal::read(&value) else { continue };
             let sent = serde_json::to_value(&proposal)?;
             prop_assert_eq!(Ok(proposal.clone()), Proposal::read(&sent));
             let before = snapshot.clone();
-            match judge(&proposal, &snapshot) {
-                Ok(Judgement::Change(change)) => prop_assert_eq!(Ok(()), snapshot.apply(&change)),
-                Ok(Judgement::Unchanged) | Err(_) => prop_assert_eq!(&before, &snapshot),
+            match evaluate(&proposal, &snapshot) {
+                Ok(Evaluation::Change(change)) => prop_assert_eq!(Ok(()), snapshot.apply(&change)),
+                Ok(Evaluation::Unchanged) | Err(_) => prop_assert_eq!(&before, &snapshot),
             }
             let mut served = BTreeMap::new();
             for route in snapshot.routes() {
                 prop_assert!(snapshot.pool(&route.pool).is_some(), "{} has no pool", route.name);
-                let twin = served.insert((&route.path, &route.model), &route.name);
-                prop_assert_eq!(None, twin);
+                let duplicate = served.insert((&route.path, &route.model), &route.name);
+                prop_assert_eq!(None, duplicate);
             }
             let servers: Vec<_> = snapshot.pools().flat_map(|pool| &pool.servers).collect();
             for (index, one) in servers.iter().enumerate() {
@@ -204,7 +204,7 @@
     dotted_header = { "[", "a.", "a]", 100_000 },
     dotted_pool = { "[[pool]]\n", "a.", "a = 1", 100_000 },
 )]
-fn deep_nesting_is_a_fault(start: &str, level: &str, end: &str, depth: usize) {
+fn deeply_nested_file_is_a_fault(start: &str, level: &str, end: &str, depth: usize) {
     let text = format!("{start}{}{end}", level.repeat(depth));
     assert!(file::parse(&text).is_err());
 }
@@ -212,7 +212,7 @@
 // A change of a few kilobytes is wrong in every element. Its answer must not
 // grow with it.
 #[test]
-fn of_many_faults_the_first_are_reported() {
+fn number_of_reported_faults_is_bounded() {
     let value = json!({"id": "x", "puts": vec![json!({"type": "zone"}); 5_000]});
     let faults = Proposal::read(&value).unwrap_err();
     assert_eq!(check::MAX_FAULTS, faults.len());
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn the_examples_are_valid() {
+fn examples_are_valid() {
     for text in [
         include_str!("../../../examples/lankaclean.toml"),
         include_str!("../../../examples/dagbog.toml"),
@@ -231,21 +231,21 @@
             deletes: Vec::new(),
             expect: BTreeMap::new(),
         };
-        assert!(judge(&proposal, &Snapshot::default()).is_ok());
+        assert!(evaluate(&proposal, &Snapshot::default()).is_ok());
     }
 }
 
 #[test]
-fn a_conflict_names_the_present_generation() {
+fn conflict_reports_current_generation() {
     let mut snapshot = Snapshot::default();
     let value = json!({"id": "x", "puts": [{"type": "zone", "name": "a"}],
         "expect": {"zone/a": 0}});
     let proposal = Proposal::read(&value).unwrap();
-    let Ok(Judgement::Change(change)) = judge(&proposal, &snapshot) else {
+    let Ok(Evaluation::Change(change)) = evaluate(&proposal, &snapshot) else {
         panic!("refused");
     };
     snapshot.apply(&change).unwrap();
-    let Err(Refusal::Conflict(conflicts)) = judge(&proposal, &snapshot) else {
+    let Err(Refusal::Conflict(conflicts)) = evaluate(&proposal, &snapshot) else {
         panic!("accepted");
     };
     let zone: key::Key = "zone/a".parse().unwrap();
--- a/crates/config/tests/snapshot.rs
+++ b/crates/config/tests/snapshot.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn postcard_brings_changes_and_snapshots_back_unchanged() {
+fn changes_and_snapshots_round_trip() {
     let change = change(0);
     let mut snapshot = snapshot::Snapshot::default();
     snapshot.apply(&change).unwrap();
@@ -55,7 +55,7 @@
     part_of_a_segment = { "/v1/chatty", None, Some("all") },
     none = { "/v2", None, None },
 )]
-fn route_is_the_longest_that_matches(path: &str, model: Option<&str>, expected: Option<&str>) {
+fn longest_matching_route_is_chosen(path: &str, model: Option<&str>, expected: Option<&str>) {
     let mut snapshot = snapshot::Snapshot::default();
     snapshot.apply(&change(0)).unwrap();
     let route = snapshot.route(path, model);
@@ -63,7 +63,7 @@
 }
 
 /// The change that makes revision `to`, which takes zone `a` out or in.
-fn switch(to: u64) -> change::Change {
+fn toggle_zone(to: u64) -> change::Change {
     let service = if to.is_multiple_of(2) { "in" } else { "out" };
     let zone = format!(r#"[{{"type":"zone","name":"a","service":"{service}"}}]"#);
     change::Change {
@@ -82,13 +82,13 @@
     // Peers send changes late, twice and in any order. A zone that operators
     // took out must not get work again because an old change came last.
     #[test]
-    fn changes_in_any_order_never_revert_a_snapshot(
+    fn changes_in_any_order_never_revert_snapshot(
         order in prop::collection::vec(1_u64..12, 0..120),
     ) {
         let mut snapshot = snapshot::Snapshot::default();
         for to in order {
             let held = snapshot.revision();
-            let applied = snapshot.apply(&switch(to));
+            let applied = snapshot.apply(&toggle_zone(to));
             prop_assert_eq!(applied.is_ok(), to == held.0 + 1);
             let stale = matches!(applied, Err(snapshot::Mismatch::Stale { .. }));
             prop_assert_eq!(stale, to <= held.0);
@@ -120,14 +120,14 @@
     none = { &[], false, "" },
     all = { &["r1 a 7 ready", "r2 b 8 ready"], true, "a 1/1 lost=0 b 1/1 lost=0" },
     behind = { &["r1 a 7 ready", "r2 b 6 ready"], false, "a 1/1 lost=0 b 0/1 lost=0" },
-    unheard = { &["r1 a 7 ready", "r2 b 6 suspect"], false, "a 1/1 lost=0 b 0/1 lost=0" },
+    suspect = { &["r1 a 7 ready", "r2 b 6 suspect"], false, "a 1/1 lost=0 b 0/1 lost=0" },
     draining = { &["r1 a 7 ready", "r2 a 6 leaving"], false, "a 1/2 lost=0" },
-    starts = { &["r1 a 7 ready", "r2 a 0 starting"], true, "a 1/1 lost=0" },
+    starting = { &["r1 a 7 ready", "r2 a 0 starting"], true, "a 1/1 lost=0" },
     lost = { &["r1 a 7 ready", "r2 b 6 down"], true, "a 1/1 lost=0 b 0/0 lost=1" },
     left = { &["r1 a 7 ready", "r2 a 6 left"], true, "a 1/1 lost=0" },
     only_lost = { &["r2 b 7 down"], false, "b 0/0 lost=1" },
 )]
-fn a_change_is_in_force_when_all_reached_routers_applied_it(
+fn change_is_in_force_when_all_reachable_routers_applied_it(
     routers: &[&str],
     applied: bool,
     expected: &str,
@@ -150,7 +150,7 @@
 // Peers send each change to every router. One that grew with the configuration
 // would take the control traffic of a thousand nodes over its limit.
 #[test]
-fn a_small_change_is_small_on_the_wire() {
-    let sent = postcard::to_stdvec(&switch(10_000)).unwrap();
+fn small_change_has_small_encoding() {
+    let sent = postcard::to_stdvec(&toggle_zone(10_000)).unwrap();
     assert!(sent.len() <= 40, "{} bytes", sent.len());
 }
--- a/crates/ctl/src/change.rs
+++ b/crates/ctl/src/change.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use config::{answer::List, key, proposal::Proposal, resource::Resource};
+use config::{key, proposal::Proposal, resource::Resource, response::List};
 use units::{change, revision};
 
 /// Returns the change from the resources in `list` to the `desired` resources.
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -4,8 +4,10 @@
 
 use bytes::Bytes;
 use config::{
-    answer::{Accepted, Code, Error as ApiError, Failure, History, List, Ordered, Status, Verdict},
     key, proposal,
+    response::{
+        Accepted, Code, Error as ApiError, Failure, History, List, Ordered, Status, Verdict,
+    },
 };
 use hyper::{Method, header};
 use serde::{Serialize, de::DeserializeOwned};
--- a/crates/ctl/src/render.rs
+++ b/crates/ctl/src/render.rs
@@ -8,10 +8,10 @@
 };
 
 use config::{
-    answer::{Accepted, Freshness, History, List, Ordered, Outcome},
     proposal::Proposal,
     refused::Reason,
     resource::{Resource, Service},
+    response::{Accepted, Freshness, History, List, Ordered, Outcome},
     state::{Coverage, State, Zones},
 };
 use serde::Serialize;
--- a/crates/ctl/src/render/status.rs
+++ b/crates/ctl/src/render/status.rs
@@ -1,6 +1,6 @@
 //! Prints the status of the fleet.
 
-use config::answer::{Engine, Refusals, Status, Zone};
+use config::response::{Engine, Refusals, Status, Zone};
 
 use super::{freshness, json, service, table};
 use crate::{command::Output, output::print_line};
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,10 +1,10 @@
 //! Execution of commands.
 
 use config::{
-    answer::{Accepted, List},
     key,
     proposal::Proposal,
     resource::{Drain, Resource, Zone},
+    response::{Accepted, List},
 };
 use tokio::time::{Duration, Instant};
 use units::{backend, revision};
--- a/crates/ctl/src/watch.rs
+++ b/crates/ctl/src/watch.rs
@@ -1,6 +1,6 @@
 //! Watches the states of resources.
 
-use config::{answer::List, state::State};
+use config::{response::List, state::State};
 use tokio::time::{self, Instant};
 
 use crate::{
--- a/crates/ctl/tests/session.rs
+++ b/crates/ctl/tests/session.rs
@@ -18,7 +18,7 @@
     process,
     settings::{self, Settings},
 };
-use config::{answer::List, state::State};
+use config::{response::List, state::State};
 use serde_json::json;
 use standin::platform::{self as platform_standin, Fault};
 use tokio::{
--- a/crates/fleet/src/fleet/receive.rs
+++ b/crates/fleet/src/fleet/receive.rs
@@ -222,7 +222,7 @@
             let Some(member) = self.member_list.by_short_tag(summary.tag) else {
                 continue;
             };
-            if heartbeat::Summary::low(member.incarnation.boot) == summary.boot {
+            if heartbeat::Summary::low_bytes(member.incarnation.boot) == summary.boot {
                 member.apply_report(summary.version, summary.revision, summary.load, now);
             }
         }
--- a/crates/fleet/src/member.rs
+++ b/crates/fleet/src/member.rs
@@ -88,7 +88,7 @@
     pub(crate) fn summary(&self) -> heartbeat::Summary {
         heartbeat::Summary {
             tag: self.short_tag,
-            boot: heartbeat::Summary::low(self.incarnation.boot),
+            boot: heartbeat::Summary::low_bytes(self.incarnation.boot),
             version: self.version,
             revision: self.revision,
             load: self.load,
--- a/crates/gateway/src/link.rs
+++ b/crates/gateway/src/link.rs
@@ -207,11 +207,11 @@
     /// The write has a timeout: a peer that stops reading would otherwise block the task
     /// forever once the socket buffer is full.
     async fn write(&mut self, parts: &[&[u8]]) -> Result<(), Error> {
-        let head = self.seal.head(parts)?;
+        let header = self.seal.header(parts)?;
         let written = async {
             let (first, rest) = parts.split_first().unwrap_or((&EMPTY_PART, &[]));
-            let mut start = Vec::with_capacity(head.len() + first.len());
-            start.extend_from_slice(&head);
+            let mut start = Vec::with_capacity(header.len() + first.len());
+            start.extend_from_slice(&header);
             start.extend_from_slice(first);
             self.half.write_all(&start).await?;
             for part in rest {
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -41,7 +41,7 @@
 
 /// Waits a moment for the lines of [`init_stdout`] that are not written yet.
 pub fn flush() {
-    std::thread::sleep(sink::PAUSE * 2);
+    std::thread::sleep(sink::BATCH_INTERVAL * 2);
 }
 
 fn start(name: &'static str, target: env_logger::Target) {
@@ -51,7 +51,7 @@
         .format(move |buffer, record| {
             let time = buffer.timestamp_millis();
             let level = record.level().as_str().to_ascii_lowercase();
-            let body = body(record);
+            let body = format_record(record);
             writeln!(buffer, "time={time} level={level} process={name} {body}")
         })
         .try_init();
@@ -63,7 +63,7 @@
 ///
 /// A library's own message is free text, and text that reached it from a peer
 /// could hold a line break and so forge a line of ours. It is quoted as a value.
-fn body(record: &log::Record<'_>) -> String {
+fn format_record(record: &log::Record<'_>) -> String {
     let text = record.args().to_string();
     if text.starts_with("event=") {
         return text;
--- a/crates/logging/src/sink.rs
+++ b/crates/logging/src/sink.rs
@@ -14,11 +14,11 @@
 /// How many lines may wait. A line has 200 bytes or so: under a megabyte.
 const CAPACITY: usize = 4096;
 /// From this many waiting lines on only warnings and errors are taken.
-const CROWDED: usize = CAPACITY * 3 / 4;
+const HIGH_WATERMARK: usize = CAPACITY * 3 / 4;
 /// How long the writer collects lines, so that it wakes 50 times a second at most.
-pub(crate) const PAUSE: Duration = Duration::from_millis(20);
+pub(crate) const BATCH_INTERVAL: Duration = Duration::from_millis(20);
 /// The most bytes that are written at once.
-const BATCH: usize = 64 * 1024;
+const MAX_BATCH_BYTES: usize = 64 * 1024;
 
 /// Takes log lines without ever blocking.
 ///
@@ -28,7 +28,7 @@
 #[derive(Debug)]
 pub struct Sink {
     lines: SyncSender<Vec<u8>>,
-    waiting: Arc<AtomicUsize>,
+    queued: Arc<AtomicUsize>,
     dropped: Arc<AtomicU64>,
 }
 
@@ -38,12 +38,12 @@
         let (lines, receiver) = sync_channel(CAPACITY);
         let sink = Self {
             lines,
-            waiting: Arc::default(),
+            queued: Arc::default(),
             dropped: Arc::default(),
         };
-        let waiting = Arc::clone(&sink.waiting);
+        let queued = Arc::clone(&sink.queued);
         let dropped = Arc::clone(&sink.dropped);
-        thread::spawn(move || write_all(writer, &receiver, &waiting, &dropped));
+        thread::spawn(move || write_all(writer, &receiver, &queued, &dropped));
         sink
     }
 
@@ -55,14 +55,14 @@
 
 impl Write for Sink {
     fn write(&mut self, line: &[u8]) -> io::Result<usize> {
-        let is_crowded = self.waiting.load(Ordering::Relaxed) >= CROWDED;
-        if is_crowded && is_minor(line) {
+        let is_above_watermark = self.queued.load(Ordering::Relaxed) >= HIGH_WATERMARK;
+        if is_above_watermark && is_droppable(line) {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return Ok(line.len());
         }
-        self.waiting.fetch_add(1, Ordering::Relaxed);
+        self.queued.fetch_add(1, Ordering::Relaxed);
         if self.lines.try_send(line.to_vec()).is_err() {
-            self.waiting.fetch_sub(1, Ordering::Relaxed);
+            self.queued.fetch_sub(1, Ordering::Relaxed);
             self.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
@@ -74,29 +74,29 @@
 }
 
 /// Whether a line is neither a warning nor an error nor about a refusal.
-fn is_minor(line: &[u8]) -> bool {
+fn is_droppable(line: &[u8]) -> bool {
     let text = String::from_utf8_lossy(line);
-    let is_serious = text.contains("level=warn") || text.contains("level=error");
-    !is_serious && !text.contains("event=request_refused")
+    let is_important = text.contains("level=warn") || text.contains("level=error");
+    !is_important && !text.contains("event=request_refused")
 }
 
 fn write_all<W: Write>(
     mut writer: W,
     receiver: &Receiver<Vec<u8>>,
-    waiting: &AtomicUsize,
+    queued: &AtomicUsize,
     dropped: &AtomicU64,
 ) {
     while let Ok(first) = receiver.recv() {
-        thread::sleep(PAUSE);
+        thread::sleep(BATCH_INTERVAL);
         let mut batch = first;
         let mut taken = 1;
-        while batch.len() < BATCH
+        while batch.len() < MAX_BATCH_BYTES
             && let Ok(line) = receiver.try_recv()
         {
             batch.extend_from_slice(&line);
             taken += 1;
         }
-        waiting.fetch_sub(taken, Ordering::Relaxed);
+        queued.fetch_sub(taken, Ordering::Relaxed);
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
             let line = format!("level=warn event=log_lines_dropped count={lost}\n");
--- a/crates/logging/tests/catalog.rs
+++ b/crates/logging/tests/catalog.rs
@@ -22,10 +22,10 @@
         .collect()
 }
 
-/// The names that follow `mark` in `text`, up to the first character of another kind.
-fn names_after<'a>(text: &'a str, mark: &str) -> impl Iterator<Item = &'a str> {
+/// The names that follow `prefix` in `text`, up to the first character of another kind.
+fn names_after<'a>(text: &'a str, prefix: &str) -> impl Iterator<Item = &'a str> {
     let is_end = |c: char| !c.is_ascii_lowercase() && c != '_';
-    let parts = text.split(mark).skip(1);
+    let parts = text.split(prefix).skip(1);
     parts.map(move |rest| &rest[..rest.find(is_end).unwrap_or(rest.len())])
 }
 
@@ -33,15 +33,15 @@
 fn events(source: &str) -> BTreeSet<String> {
     let macros = source.split("logging::event!(").skip(1);
     let by_macro = macros.filter_map(|rest| names_after(rest, "\"").next());
-    let by_hand = names_after(source, "\"event=");
-    let names = by_macro.chain(by_hand).filter(|name| !name.is_empty());
+    let by_literal = names_after(source, "\"event=");
+    let names = by_macro.chain(by_literal).filter(|name| !name.is_empty());
     names.map(String::from).collect()
 }
 
 // An alarm is set on an event's name. Were a new one not on the page, operators
 // would not know of it, and nobody would know what it means at three at night.
 #[test]
-fn every_event_is_on_the_page() {
+fn every_event_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = fs::read_to_string(root.join("docs/LOGS.md")).unwrap();
     let crates = fs::read_dir(root.join("crates")).unwrap();
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -48,7 +48,7 @@
 pub const ADDRESS: &str = "an IP address and a port, such as 127.0.0.1:8080 or [::1]:8080";
 
 /// The exit code of a process whose settings are wrong.
-pub const FAULTY: i32 = 2;
+pub const INVALID_SETTINGS: i32 = 2;
 
 /// A setting as it was given, unchecked.
 #[derive(Clone, Debug)]
@@ -84,7 +84,7 @@
     }
 
     /// The value as it may be shown.
-    fn shown(&self) -> String {
+    fn display_value(&self) -> String {
         match &self.text {
             None => String::from("nothing"),
             Some(_) if self.secret => String::from("a hidden value"),
@@ -155,7 +155,12 @@
     }
 
     /// Checks a setting that has a default. None: there was a fault, now noted.
-    pub fn or<T: str::FromStr>(&mut self, raw: &Raw, default: T, allowed: &str) -> Option<T> {
+    pub fn or_default<T: str::FromStr>(
+        &mut self,
+        raw: &Raw,
+        default: T,
+        allowed: &str,
+    ) -> Option<T> {
         match raw.as_str() {
             None => Some(default),
             Some(_) => self.required(raw, allowed),
@@ -168,7 +173,7 @@
         T: str::FromStr + PartialOrd + fmt::Display,
     {
         let allowed = format!("{} to {}", range.start(), range.end());
-        let value = self.or(raw, default, &allowed)?;
+        let value = self.or_default(raw, default, &allowed)?;
         if range.contains(&value) {
             return Some(value);
         }
@@ -178,7 +183,11 @@
 
     /// Notes a fault of `raw`, of which only `allowed` is allowed.
     pub fn add(&mut self, raw: &Raw, allowed: &str) {
-        let line = format!("{}: got {}, allowed: {allowed}", raw.name(), raw.shown());
+        let line = format!(
+            "{}: got {}, allowed: {allowed}",
+            raw.name(),
+            raw.display_value()
+        );
         self.lines.push(line);
     }
 
@@ -205,7 +214,7 @@
 
 impl Exit {
     /// Shows the text and ends the process.
-    pub fn leave(&self) -> ! {
+    pub fn exit(&self) -> ! {
         // Whoever reads the text may have closed the pipe; the code still counts.
         let _ = if self.code == 0 {
             writeln!(io::stdout(), "{}", self.text)
@@ -229,7 +238,7 @@
 where
     G: 'static,
 {
-    parse(about, given, bpaf::Args::current_args(), check).unwrap_or_else(|exit| exit.leave())
+    parse(about, given, bpaf::Args::current_args(), check).unwrap_or_else(|exit| exit.exit())
 }
 
 /// Reads settings from `arguments` and the environment.
@@ -255,7 +264,7 @@
         .descr(about)
         .version(env!("CARGO_PKG_VERSION"))
         .run_inner(arguments);
-    let (only_check, given) = parsed.map_err(stopped)?;
+    let (only_check, given) = parsed.map_err(from_parse_failure)?;
     let mut faults = Faults::default();
     let settings = check(given, &mut faults);
     match settings {
@@ -265,17 +274,17 @@
         }),
         Some(settings) if faults.is_empty() => Ok(settings),
         _ => Err(Exit {
-            code: FAULTY,
+            code: INVALID_SETTINGS,
             text: faults.to_string(),
         }),
     }
 }
 
 /// The exit that belongs to an answer of the parser of flags.
-fn stopped(failure: bpaf::ParseFailure) -> Exit {
+fn from_parse_failure(failure: bpaf::ParseFailure) -> Exit {
     let code = match failure {
         bpaf::ParseFailure::Stdout(..) | bpaf::ParseFailure::Completion(_) => 0,
-        bpaf::ParseFailure::Stderr(_) => FAULTY,
+        bpaf::ParseFailure::Stderr(_) => INVALID_SETTINGS,
     };
     let text = match failure {
         bpaf::ParseFailure::Stdout(text, full) => text.monochrome(full),
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -18,7 +18,7 @@
 // An operator mistypes two flags. If only the first were told, the second
 // would stop the next start, and so on, one restart for each mistake.
 #[test]
-fn two_faults_are_told_together() {
+fn all_faults_are_reported_together() {
     let exit = read(&["--listen", "localhost", "--parallel", "65"]).expect_err("both are wrong");
     let expected = "--listen (TEST_LISTEN): got \"localhost\", allowed: an IP address and a port, \
                     such as 127.0.0.1:8080 or [::1]:8080\n\
@@ -27,14 +27,14 @@
 }
 
 #[test]
-fn unknown_flag_exits_with_two() {
+fn unknown_flag_exits_with_code_2() {
     let exit = read(&["--listne", "127.0.0.1:0"]).expect_err("no such flag");
     assert_eq!(exit.code, 2);
     assert!(exit.text.contains("--listne"), "{}", exit.text);
 }
 
 #[test]
-fn check_ends_with_zero_and_defaults_hold() {
+fn check_exits_with_code_0_and_defaults_apply() {
     assert_eq!(
         read(&["--listen", "127.0.0.1:0"]),
         Ok(("127.0.0.1:0".parse().unwrap(), 8))
--- a/crates/standin/src/arguments.rs
+++ b/crates/standin/src/arguments.rs
@@ -321,7 +321,7 @@
 }
 
 fn address(raw: &Raw, default: SocketAddr, faults: &mut Faults) -> Option<SocketAddr> {
-    faults.or(raw, default, settings::ADDRESS)
+    faults.or_default(raw, default, settings::ADDRESS)
 }
 
 fn millis(raw: &Raw, default: Duration, faults: &mut Faults) -> Option<Duration> {
--- a/crates/wire/benches/frames.rs
+++ b/crates/wire/benches/frames.rs
@@ -81,7 +81,7 @@
     let mut session = client.finish(&hello).expect("another nonce");
     let payload = vec![7; PAYLOAD];
     criterion.bench_function("hop/seal/16k", |bencher| {
-        bencher.iter(|| session.writer.head(&[black_box(&payload)]));
+        bencher.iter(|| session.writer.header(&[black_box(&payload)]));
     });
 }
 
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -160,7 +160,7 @@
 
 impl Summary {
     /// The low bytes of `boot`.
-    pub fn low(boot: seal::Boot) -> [u8; 2] {
+    pub fn low_bytes(boot: seal::Boot) -> [u8; 2] {
         let [a, b, ..] = boot.0.to_le_bytes();
         [a, b]
     }
@@ -261,7 +261,7 @@
     ///
     /// [`Error::TooMany`] or [`Error::TooLong`] when a list or the whole is over its limit.
     pub fn encode(&self) -> Result<Vec<u8>, Error> {
-        self.check()?;
+        self.check_limits()?;
         codec::encode(self, MAX_LENGTH)
     }
 
@@ -272,11 +272,11 @@
     /// [`Error`] for bytes that no sender of this version makes.
     pub fn decode(bytes: &[u8]) -> Result<Self, Error> {
         let frame: Self = codec::decode(bytes, MAX_LENGTH)?;
-        frame.check()?;
+        frame.check_limits()?;
         Ok(frame)
     }
 
-    fn check(&self) -> Result<(), Error> {
+    fn check_limits(&self) -> Result<(), Error> {
         let within = self.updates.len() <= MAX_UPDATES
             && self.summaries.len() <= MAX_SUMMARIES
             && self.totals.len() <= MAX_TOTALS
--- a/crates/wire/src/seal.rs
+++ b/crates/wire/src/seal.rs
@@ -15,7 +15,7 @@
 pub(crate) use datagram::short_hash;
 pub use datagram::{Audience, Boot, Opened, Opener, Sealer, Tag};
 pub use key::{Key, Malformed};
-pub use stream::{Handshake, Head, Reader, Role, Session, Writer};
+pub use stream::{Handshake, Header, Reader, Role, Session, Writer};
 
 /// Why sealed bytes were refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/wire/src/seal/datagram.rs
+++ b/crates/wire/src/seal/datagram.rs
@@ -160,7 +160,7 @@
         let parsed = Parsed::new(datagram)?;
         let fresh = self.is_fresh(&parsed)?;
         if fresh {
-            self.admit(parsed.tag, parsed.boot, parsed.counter)?;
+            self.accept(parsed.tag, parsed.boot, parsed.counter)?;
         }
         Ok(Opened {
             tag: parsed.tag,
@@ -178,7 +178,7 @@
     fn is_fresh(&self, parsed: &Parsed<'_>) -> Result<bool, Error> {
         let sealed = |audience: Audience| {
             self.key
-                .verify(&[&audience.bytes(), parsed.covered], parsed.mac)
+                .verify(&[&audience.bytes(), parsed.authenticated], parsed.mac)
         };
         if sealed(self.audience) {
             return Ok(true);
@@ -189,20 +189,23 @@
         Err(Error::Forged)
     }
 
-    fn admit(&mut self, tag: Tag, boot: Boot, counter: u64) -> Result<(), Error> {
+    fn accept(&mut self, tag: Tag, boot: Boot, counter: u64) -> Result<(), Error> {
         self.clock += 1;
         if !self.senders.contains_key(&tag) && self.senders.len() >= MAX_SENDERS {
             self.evict();
         }
         let window = self.senders.entry(tag).or_insert(Window::new(boot));
-        window.admit(boot, counter)?;
-        window.used = self.clock;
+        window.accept(boot, counter)?;
+        window.last_used = self.clock;
         Ok(())
     }
 
     /// Forgets the sender that was silent for longest, to bound the memory.
     fn evict(&mut self) {
-        let oldest = self.senders.iter().min_by_key(|(_, window)| window.used);
+        let oldest = self
+            .senders
+            .iter()
+            .min_by_key(|(_, window)| window.last_used);
         if let Some(tag) = oldest.map(|(tag, _)| *tag) {
             self.senders.remove(&tag);
         }
@@ -215,7 +218,7 @@
     boot: Boot,
     counter: u64,
     payload: &'a [u8],
-    covered: &'a [u8],
+    authenticated: &'a [u8],
     mac: &'a [u8],
 }
 
@@ -224,8 +227,8 @@
         if datagram.len() > MAX_DATAGRAM || datagram.len() < TAG_END + MAC_LENGTH {
             return Err(Error::Malformed);
         }
-        let (covered, mac) = datagram.split_at(datagram.len() - MAC_LENGTH);
-        let (head, rest) = covered.split_at(TAG_END);
+        let (authenticated, mac) = datagram.split_at(datagram.len() - MAC_LENGTH);
+        let (head, rest) = authenticated.split_at(TAG_END);
         if head[0] != VERSION {
             return Err(Error::Malformed);
         }
@@ -238,7 +241,7 @@
             boot: Boot(boot),
             counter,
             payload,
-            covered,
+            authenticated,
             mac,
         })
     }
@@ -251,7 +254,7 @@
     newest: u64,
     /// Bit `n` stands for the counter `newest - n`.
     seen: u128,
-    used: u64,
+    last_used: u64,
 }
 
 impl Window {
@@ -260,11 +263,11 @@
             boot,
             newest: 0,
             seen: 0,
-            used: 0,
+            last_used: 0,
         }
     }
 
-    fn admit(&mut self, boot: Boot, counter: u64) -> Result<(), Error> {
+    fn accept(&mut self, boot: Boot, counter: u64) -> Result<(), Error> {
         if boot < self.boot {
             return Err(Error::Replayed);
         }
--- a/crates/wire/src/seal/key.rs
+++ b/crates/wire/src/seal/key.rs
@@ -74,7 +74,7 @@
     }
 
     /// A key that depends on this one and on `parts`.
-    pub(crate) fn mix(&self, parts: &[&[u8]]) -> Self {
+    pub(crate) fn expand(&self, parts: &[&[u8]]) -> Self {
         let mut hasher = blake3::Hasher::new_keyed(&self.0);
         for part in parts {
             hasher.update(part);
--- a/crates/wire/src/seal/stream.rs
+++ b/crates/wire/src/seal/stream.rs
@@ -27,7 +27,7 @@
 }
 
 /// What precedes a payload on the connection.
-pub type Head = [u8; Handshake::HEAD_LENGTH];
+pub type Header = [u8; Handshake::HEADER_LENGTH];
 
 /// The first step of a connection.
 #[derive(Debug)]
@@ -41,7 +41,7 @@
     /// The length of a hello, in bytes.
     pub const HELLO_LENGTH: usize = 1 + NONCE_LENGTH;
     /// The length of a frame's head, in bytes.
-    pub const HEAD_LENGTH: usize = LENGTH_END + MAC_LENGTH;
+    pub const HEADER_LENGTH: usize = LENGTH_END + MAC_LENGTH;
     /// The length of a nonce, in bytes.
     pub const NONCE_LENGTH: usize = NONCE_LENGTH;
 
@@ -82,17 +82,20 @@
             Role::Client => (&self.nonce[..], nonce),
             Role::Server => (nonce, &self.nonce[..]),
         };
-        let from_client = self.key.mix(&[b"client", client, server]);
-        let from_server = self.key.mix(&[b"server", client, server]);
+        let from_client = self.key.expand(&[b"client", client, server]);
+        let from_server = self.key.expand(&[b"server", client, server]);
         let (own, other) = match self.role {
             Role::Client => (from_client, from_server),
             Role::Server => (from_server, from_client),
         };
         Ok(Session {
-            writer: Writer { key: own, next: 0 },
+            writer: Writer {
+                key: own,
+                next_sequence: 0,
+            },
             reader: Reader {
                 key: other,
-                next: 0,
+                next_sequence: 0,
             },
         })
     }
@@ -111,7 +114,7 @@
 #[derive(Debug)]
 pub struct Writer {
     key: Key,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Writer {
@@ -125,21 +128,21 @@
     /// # Errors
     ///
     /// [`Error::Malformed`] when the payload is over [`Self::MAX_PAYLOAD`].
-    pub fn head(&mut self, parts: &[&[u8]]) -> Result<Head, Error> {
+    pub fn header(&mut self, parts: &[&[u8]]) -> Result<Header, Error> {
         let length: usize = parts.iter().map(|part| part.len()).sum();
         if length > Self::MAX_PAYLOAD {
             return Err(Error::Malformed);
         }
         let length = u32::try_from(length).map_err(|_| Error::Malformed)?;
         let length = length.to_le_bytes();
-        let number = take(&mut self.next);
-        let mut covered = Vec::with_capacity(2 + parts.len());
-        covered.extend([&number[..], &length[..]]);
-        covered.extend(parts);
-        let mut head = [0; Handshake::HEAD_LENGTH];
-        head[..LENGTH_END].copy_from_slice(&length);
-        head[LENGTH_END..].copy_from_slice(&self.key.mac(&covered));
-        Ok(head)
+        let number = next_number(&mut self.next_sequence);
+        let mut authenticated = Vec::with_capacity(2 + parts.len());
+        authenticated.extend([&number[..], &length[..]]);
+        authenticated.extend(parts);
+        let mut header = [0; Handshake::HEADER_LENGTH];
+        header[..LENGTH_END].copy_from_slice(&length);
+        header[LENGTH_END..].copy_from_slice(&self.key.mac(&authenticated));
+        Ok(header)
     }
 }
 
@@ -147,7 +150,7 @@
 #[derive(Debug)]
 pub struct Reader {
     key: Key,
-    next: u64,
+    next_sequence: u64,
 }
 
 impl Reader {
@@ -165,9 +168,9 @@
     pub fn open(&mut self, buffer: &mut BytesMut) -> Result<Option<Bytes>, Error> {
         let Some((length, mac)) =
             buffer
-                .split_at_checked(Handshake::HEAD_LENGTH)
-                .map(|(head, _)| {
-                    let (length, mac) = head.split_at(LENGTH_END);
+                .split_at_checked(Handshake::HEADER_LENGTH)
+                .map(|(header, _)| {
+                    let (length, mac) = header.split_at(LENGTH_END);
                     let mut bytes = [0; LENGTH_END];
                     bytes.copy_from_slice(length);
                     let mut code = [0; MAC_LENGTH];
@@ -181,24 +184,24 @@
         if size > Writer::MAX_PAYLOAD {
             return Err(Error::Malformed);
         }
-        let whole = Handshake::HEAD_LENGTH + size;
+        let whole = Handshake::HEADER_LENGTH + size;
         if buffer.len() < whole {
             buffer.reserve(whole - buffer.len());
             return Ok(None);
         }
-        let number = take(&mut self.next);
-        let payload = &buffer[Handshake::HEAD_LENGTH..whole];
+        let number = next_number(&mut self.next_sequence);
+        let payload = &buffer[Handshake::HEADER_LENGTH..whole];
         if !self.key.verify(&[&number, &length, payload], &mac) {
             return Err(Error::Forged);
         }
-        buffer.advance(Handshake::HEAD_LENGTH);
+        buffer.advance(Handshake::HEADER_LENGTH);
         Ok(Some(buffer.split_to(size).freeze()))
     }
 }
 
 /// The number of the present frame; the next one gets the number after it.
-fn take(next: &mut u64) -> [u8; 8] {
-    let number = next.to_le_bytes();
-    *next += 1;
+fn next_number(sequence: &mut u64) -> [u8; 8] {
+    let number = sequence.to_le_bytes();
+    *sequence += 1;
     number
 }
--- a/crates/wire/tests/heartbeats.rs
+++ b/crates/wire/tests/heartbeats.rs
@@ -64,7 +64,7 @@
 fn summary() -> Summary {
     Summary {
         tag: Tag::new(&member().host),
-        boot: Summary::low(BOOT),
+        boot: Summary::low_bytes(BOOT),
         version: 20_000_000,
         revision: revision::Id(900_000),
         load: load(),
@@ -145,7 +145,7 @@
     list = { with_updates(MAX_UPDATES), 26 + MAX_UPDATES * 47 },
     most = { full(), MAX_LENGTH },
 )]
-fn heartbeats_are_small(frame: Frame, bound: usize) {
+fn heartbeat_sizes_are_bounded(frame: Frame, bound: usize) {
     let bytes = frame.encode().unwrap();
     println!(
         "measure=heartbeat_size kind={:?} bytes={} bound={bound}",
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn the_seal_is_small() {
+fn seal_overhead_is_bounded() {
     let host = member().host;
     let mut sealer = Sealer::new(&Key::from_bytes([7; 32]), &host, BOOT);
     for _ in 0..20_000 {
--- a/crates/wire/tests/seals.rs
+++ b/crates/wire/tests/seals.rs
@@ -37,8 +37,8 @@
 }
 
 fn frame(writer: &mut Writer, payload: &[u8]) -> Vec<u8> {
-    let head = writer.head(&[payload]).unwrap();
-    [&head[..], payload].concat()
+    let header = writer.header(&[payload]).unwrap();
+    [&header[..], payload].concat()
 }
 
 fn config(cases: u32) -> ProptestConfig {
@@ -54,7 +54,7 @@
 // another one, or to the same one after its restart. Taken for new, it would
 // bring back a router that has left, and requests would be sent to it.
 #[test]
-fn recordings_are_refused() {
+fn replayed_datagrams_are_refused() {
     let mut sealer = sealer();
     let datagram = sealer.seal(b"beat", to_b());
     let mut opener = opener();
@@ -79,7 +79,7 @@
 // The sender was started again. What its former process sent and the network
 // still holds must not count.
 #[test]
-fn the_former_process_is_refused() {
+fn datagrams_of_an_earlier_boot_are_refused() {
     let old = sealer().seal(b"old", to_b());
     let new = Sealer::new(&KEY, &host("a"), Boot(6)).seal(b"new", to_b());
     let mut opener = opener();
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn another_key_is_refused() {
+fn datagrams_under_another_key_are_refused() {
     let other = Key::from_bytes([8; 32]);
     let datagram = Sealer::new(&other, &host("a"), Boot(5)).seal(b"beat", to_b());
     assert_eq!(opener().open(&datagram), Err(Error::Forged));
@@ -103,13 +103,13 @@
     long = { "070707070707070707070707070707070707070707070707070707070707070707" },
     letters = { "zz07070707070707070707070707070707070707070707070707070707070707" },
 )]
-fn texts_that_are_no_keys_are_refused_unprinted(text: &str) {
+fn malformed_keys_are_refused_and_not_printed(text: &str) {
     let refused: Result<Key, Malformed> = text.parse();
     assert!(!refused.unwrap_err().to_string().contains(text));
 }
 
 #[test]
-fn a_key_is_read_from_hex_and_never_printed() {
+fn key_is_parsed_from_hex_and_not_printed() {
     let key: Key = "07".repeat(32).parse().unwrap();
     assert_eq!(key.digest(&[b"x"]), KEY.digest(&[b"x"]));
     assert_eq!(format!("{key:?}"), "Key(..)");
@@ -118,7 +118,7 @@
 // A thousand processes that nobody knows speak to a router. Its memory of them
 // is bounded, and the ones that still speak are not forgotten first.
 #[test]
-fn the_memory_of_senders_is_bounded() {
+fn number_of_remembered_senders_is_bounded() {
     let mut opener = opener();
     let kept = sealer().seal(b"kept", to_b());
     for index in 0..9000 {
@@ -136,20 +136,20 @@
 // The other end of a hop claims a frame of four gigabytes. Room made for it
 // would take the memory of all other requests.
 #[test]
-fn a_frame_over_its_limit_is_refused_before_room_is_made() {
+fn oversized_frame_is_refused_before_allocation() {
     let (_, mut server) = sessions();
-    let mut buffer = BytesMut::from(&[0xff; Handshake::HEAD_LENGTH][..]);
+    let mut buffer = BytesMut::from(&[0xff; Handshake::HEADER_LENGTH][..]);
     let before = buffer.capacity();
     assert_eq!(server.reader.open(&mut buffer), Err(Error::Malformed));
     assert_eq!(buffer.capacity(), before);
     let (mut client, _) = sessions();
     let payload = vec![0; Writer::MAX_PAYLOAD + 1];
-    assert_eq!(client.writer.head(&[&payload]), Err(Error::Malformed));
+    assert_eq!(client.writer.header(&[&payload]), Err(Error::Malformed));
 }
 
 // The first end's hello is sent back to it, to make it talk to itself.
 #[test]
-fn a_reflected_hello_is_refused() {
+fn reflected_hello_is_refused() {
     let client = Handshake::new(&KEY, Role::Client, [1; 16]);
     let hello = client.hello();
     assert_eq!(client.finish(&hello).unwrap_err(), Error::Replayed);
@@ -160,7 +160,7 @@
 // A whole connection was recorded and is played again to a server. The server
 // draws another nonce, so the first frame gives it away.
 #[test]
-fn a_recorded_connection_is_refused() {
+fn replayed_connection_is_refused() {
     let (mut client, _) = sessions();
     let recorded = frame(&mut client.writer, b"call");
     let server = Handshake::new(&KEY, Role::Server, [3; 16]);
@@ -175,20 +175,20 @@
 
     // Datagrams arrive late, twice and in any order. Each counts once.
     #[test]
-    fn each_datagram_counts_once(order in prop::collection::vec(0..200usize, 1..600)) {
+    fn each_datagram_is_accepted_once(order in prop::collection::vec(0..200usize, 1..600)) {
         let mut sealer = sealer();
         let datagrams: Vec<_> = (0..200).map(|_| sealer.seal(b"x", to_b())).collect();
         let mut opener = opener();
-        let mut taken = vec![0; 200];
+        let mut accepted = vec![0; 200];
         let mut newest = 0;
         for index in order {
             let opened = opener.open(&datagrams[index]).is_ok();
-            taken[index] += usize::from(opened);
+            accepted[index] += usize::from(opened);
             let in_window = index + 128 > newest;
-            prop_assert!(opened || taken[index] == 1 || !in_window);
+            prop_assert!(opened || accepted[index] == 1 || !in_window);
             newest = newest.max(index);
         }
-        prop_assert!(taken.iter().all(|count| *count <= 1));
+        prop_assert!(accepted.iter().all(|count| *count <= 1));
     }
 
     // Somebody on the network alters one byte of a datagram or cuts it.
@@ -217,9 +217,9 @@
 
     // The bytes of a connection come in pieces of any size.
     #[test]
-    fn frames_come_out_whole_however_they_are_cut(
+    fn frames_are_reassembled_from_any_chunks(
         payloads in prop::collection::vec(prop::collection::vec(any::<u8>(), 0..300), 1..8),
-        piece in 1..64usize,
+        chunk in 1..64usize,
     ) {
         let (mut client, mut server) = sessions();
         let bytes: Vec<u8> = payloads
@@ -228,8 +228,8 @@
             .collect();
         let mut buffer = BytesMut::new();
         let mut opened = Vec::new();
-        for piece in bytes.chunks(piece) {
-            buffer.extend_from_slice(piece);
+        for chunk in bytes.chunks(chunk) {
+            buffer.extend_from_slice(chunk);
             while let Some(payload) = server.reader.open(&mut buffer).unwrap() {
                 opened.push(payload.to_vec());
             }
@@ -239,7 +239,7 @@
 
     // A frame is altered, left out, repeated, or sent back to its sender.
     #[test]
-    fn altered_and_moved_frames_are_refused(index: prop::sample::Index, flip in 1..=255u8) {
+    fn altered_and_reordered_frames_are_refused(index: prop::sample::Index, flip in 1..=255u8) {
         let (mut client, mut server) = sessions();
         let first = frame(&mut client.writer, b"first");
         let second = frame(&mut client.writer, b"second");
