--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -1,8 +1,8 @@
 //! Moves old changes from the table to the object store.
 //!
-//! The table keeps the latest changes, from which routers catch up and by whose
-//! ids repeats are known. Older ones are read by operators only, so they move
-//! to objects of some hundred changes each, one JSON line a change.
+//! The table keeps the latest changes: routers catch up from them, and retries of
+//! changes are recognised by their ids. Only operators read older changes, so those
+//! move to objects of several hundred changes each, with one JSON line per change.
 
 use bytes::Bytes;
 use config::{change::Change, rows};
@@ -19,19 +19,19 @@
     settings::Archive,
 };
 
-/// The prefix of the objects.
+/// The prefix of the keys of the objects.
 pub const PREFIX: &str = "audit/changes/";
 
-/// The key of the object whose first change made `revision`.
+/// The key of the object whose first change created `revision`.
 fn key(revision: revision::Id) -> String {
     format!("{PREFIX}{:020}", revision.0)
 }
 
-/// Moves one block of changes, if there are enough beyond those to be kept.
+/// Moves the oldest block of changes to an object, if the table has more than it has to keep.
 ///
-/// Gives the number of changes moved, zero when there is nothing to do. Any
-/// number of processes may do this at once, and it may be cut off anywhere:
-/// rows are deleted only after they have been read back from an object.
+/// Returns the number of changes moved, zero if there was nothing to move. Any
+/// number of processes may call this concurrently, and it may be interrupted at
+/// any point: rows are deleted only after they have been read back from an object.
 ///
 /// # Errors
 ///
@@ -53,12 +53,13 @@
         .put(&key, to_json_lines(&block)?, &Condition::Absent, deadline)
         .await
     {
-        // Another process came first, or this one in a try whose answer was lost.
+        // Another process wrote the object first, or the response to an attempt of this
+        // process was lost.
         Ok(()) | Err(Failed::Conflict(_) | Failed::MayHaveRun(_)) => {}
         Err(error) => return Err(error.into()),
     }
-    // The object may hold fewer changes than this block, where another process
-    // made it. Rows that it lacks would be lost if they were deleted now.
+    // An object written by another process may contain fewer changes than this
+    // block. Deleting the rows of the other changes would lose them.
     let moved = read_object(objects, &key, deadline).await?;
     let moved: Vec<&Change> = moved
         .iter()
@@ -80,7 +81,8 @@
     Ok(moved.len() as u64)
 }
 
-/// The oldest block of changes in the table, if it is beyond those to be kept.
+/// Reads the oldest full block of changes from the table. Returns `None` if it contains changes
+/// that the table has to keep.
 async fn oldest_block<T: Table>(
     table: &T,
     settings: &Archive,
@@ -94,11 +96,11 @@
     Ok(Some(block).filter(|block| is_full && block.last().is_some_and(is_old)))
 }
 
-/// Reads up to `limit` changes from `first` on, from objects and table.
+/// Reads up to `limit` changes from the revision `first` on, from the objects and the table.
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing has been read.
+/// [`Error`] if the table or an object cannot be read.
 pub async fn history<T: Table, O: Objects>(
     table: &T,
     objects: &O,
@@ -106,7 +108,8 @@
     limit: u64,
     deadline: time::Instant,
 ) -> Result<Vec<Change>, Error> {
-    // The table is read first: a change that moves in between is then in both.
+    // The table is read before the objects, so a change that is moved in between is
+    // read from both and not from neither.
     let range = reader::range(first, Some(limit));
     let recent = reader::changes(table, &range, deadline).await?;
     let known = recent.first().map_or(u64::MAX, |change| change.to.0);
@@ -114,7 +117,7 @@
     let mut found: Vec<Change> = Vec::new();
     if known > first.0 {
         let keys = objects.list(PREFIX, deadline).await?;
-        // The block before may hold the first change.
+        // The preceding block may contain the first change.
         let start = keys.partition_point(|object| *object <= key(first));
         for object in &keys[start.saturating_sub(1)..] {
             if found.len() as u64 >= limit {
--- a/crates/audit/src/reader.rs
+++ b/crates/audit/src/reader.rs
@@ -11,18 +11,18 @@
 /// Why the configuration could not be read.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// The platform gave no useful answer.
+    /// The request to the platform failed.
     Platform(storage::Error),
-    /// A row cannot be read.
+    /// A row or an archived change cannot be parsed.
     Malformed(rows::Malformed),
-    /// The table shows a lower revision than one that was read before.
+    /// The table contains a lower revision than one that was read before.
     ///
-    /// It could come from a table that was restored from an old copy. To
-    /// follow it would revert accepted changes.
+    /// The table may have been restored from an old backup. Adopting its revision
+    /// would revert accepted changes.
     Reverted {
-        /// The revision read before.
+        /// The revision that was read before.
         held: revision::Id,
-        /// The revision that the table shows.
+        /// The revision that the table contains now.
         shown: revision::Id,
     },
 }
@@ -54,34 +54,36 @@
     }
 }
 
-/// The configuration and the generation of the row that holds its revision.
+/// The configuration and the generation of the row that contains its revision.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Version {
     /// The configuration.
     pub snapshot: Snapshot,
-    /// The generation of the row [`rows::REVISION`], zero when it is absent.
+    /// The generation of the row [`rows::REVISION`], zero if the row is absent.
     pub generation: revision::Generation,
 }
 
-/// How many rows one scan asks for.
+/// The maximum number of rows per scan.
 const PAGE_SIZE: usize = 1_000;
 
-/// How often a load starts again because changes came in between its scans.
+/// The maximum number of attempts of a load. An attempt fails if a change is committed between
+/// its scans.
 const MAX_LOAD_ATTEMPTS: u32 = 5;
 
 /// Reads the whole configuration.
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing has been read.
+/// [`Error`] if a scan or the parsing of a row fails, or if changes were committed during
+/// each attempt.
 pub async fn load<T: Table>(table: &T, deadline: time::Instant) -> Result<Version, Error> {
     for _ in 0..MAX_LOAD_ATTEMPTS {
         let (before, _) = revision(table, deadline).await?;
         let found = scan_snapshot(table, deadline).await?;
         let listed = found.iter().map(|row| (row.key.as_str(), &row.value));
         let snapshot = Snapshot::from_rows(listed)?;
-        // Each page shows its own moment. The row of the revision stands on the
-        // last one, so equal revisions mean that no change came in between.
+        // Each page is consistent only in itself. The row of the revision is on the
+        // last page, so equal revisions mean that no change was committed in between.
         if snapshot.revision() == before {
             let revision = found.iter().find(|row| row.key == rows::REVISION);
             let generation = revision.map(|row| row.generation).unwrap_or_default();
@@ -96,7 +98,7 @@
     ))))
 }
 
-/// Reads all rows of the snapshot, page by page.
+/// Reads all rows of the snapshot in pages.
 async fn scan_snapshot<T: Table>(table: &T, deadline: time::Instant) -> Result<Vec<Row>, Error> {
     let mut found: Vec<Row> = Vec::new();
     loop {
@@ -108,7 +110,7 @@
         };
         let page = table.scan(&range, deadline).await?;
         let full = page.len() == PAGE_SIZE;
-        // The range begins with the last row of the page before, which is known.
+        // The range starts at the last row of the previous page, which is skipped.
         found.extend(
             page.into_iter()
                 .filter(|row| Some(&row.key) != last.as_ref()),
@@ -119,11 +121,14 @@
     }
 }
 
-/// Brings `held` up to the table: one read when nothing changed, else the changes in between.
+/// Updates `held` to the revision of the table.
+///
+/// This takes one read if nothing changed. Otherwise it reads the missing changes,
+/// or the whole configuration if those have moved to the archive.
 ///
 /// # Errors
 ///
-/// [`Error`], and `held` stands.
+/// [`Error`] if a read fails or the table has reverted. `held` remains valid.
 pub async fn advance<T: Table>(
     table: &T,
     held: &Version,
@@ -152,7 +157,7 @@
             generation,
         });
     }
-    // The changes in between have moved to the archive.
+    // Some of the missing changes have moved to the archive.
     let loaded = load(table, deadline).await?;
     if loaded.snapshot.revision() < shown {
         return Err(Error::Reverted {
@@ -163,7 +168,7 @@
     Ok(loaded)
 }
 
-/// The rows of the changes from `first` on, at most `limit` of them.
+/// The range of the rows of up to `limit` changes from the revision `first` on.
 pub fn range(first: revision::Id, limit: Option<u64>) -> Range {
     Range {
         prefix: String::from(rows::CHANGE_PREFIX),
@@ -176,7 +181,7 @@
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing has been read.
+/// [`Error`] if the scan or the parsing of a row fails.
 pub async fn changes<T: Table>(
     table: &T,
     range: &Range,
@@ -186,11 +191,14 @@
     found.iter().map(parse).collect()
 }
 
-/// The revision that the change `id` made, `None` when it was not accepted so far.
+/// Reads the revision that the change `id` created.
+///
+/// Returns `None` if the table has no such change: it is not committed, or has moved
+/// to the archive.
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing is known.
+/// [`Error`] if the read fails. Whether the change is committed is then unknown.
 pub async fn committed_revision<T: Table>(
     table: &T,
     id: &change::Id,
@@ -200,11 +208,13 @@
     row.as_ref().map(parse).transpose()
 }
 
-/// Reads the revision of the whole and the generation of its row.
+/// Reads the revision of the configuration and the generation of its row.
+///
+/// Both are zero if the row is absent.
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing has been read.
+/// [`Error`] if the read or the parsing of the row fails.
 pub async fn revision<T: Table>(
     table: &T,
     deadline: time::Instant,
--- a/crates/audit/src/refusals.rs
+++ b/crates/audit/src/refusals.rs
@@ -1,4 +1,4 @@
-//! Keeps the latest refused changes.
+//! Stores the latest refused changes.
 
 use config::{refused::Refused, rows};
 use storage::table::{Put, Range, Table, Transaction};
@@ -6,17 +6,18 @@
 
 use crate::reader::{Error, parse};
 
-/// The most refused changes that are kept.
+/// The number of refused changes that [`trim`] keeps.
 pub const MAX_KEPT: usize = 1_000;
 
-/// How many are deleted at once.
+/// The maximum number of rows that one call of [`trim`] deletes.
 const MAX_DELETES: usize = 500;
 
-/// Writes `refused` to the trail.
+/// Writes `refused` to the audit trail.
 ///
 /// # Errors
 ///
-/// [`Error`]. The trail may lack it; the change stays refused.
+/// [`Error`] if the write fails. The audit trail may then lack the entry, but the change
+/// remains refused.
 pub async fn record<T: Table>(
     table: &T,
     refused: &Refused,
@@ -33,11 +34,13 @@
     Ok(())
 }
 
-/// Reads the refused changes since `when`, in milliseconds since 1970, the earliest first.
+/// Reads the changes refused at `when` or later, the earliest first.
+///
+/// `when` is in milliseconds since the Unix epoch.
 ///
 /// # Errors
 ///
-/// [`Error`], and nothing has been read.
+/// [`Error`] if the scan or the parsing of a row fails.
 pub async fn since<T: Table>(
     table: &T,
     when: u64,
@@ -52,11 +55,11 @@
     found.iter().map(parse).collect()
 }
 
-/// Deletes the earliest refused changes beyond [`MAX_KEPT`] and gives their number.
+/// Deletes the earliest refused changes beyond [`MAX_KEPT`] and returns the number deleted.
 ///
 /// # Errors
 ///
-/// [`Error`]. A later call goes on.
+/// [`Error`] if the scan or the deletion fails. A later call deletes the remaining rows.
 pub async fn trim<T: Table>(table: &T, deadline: time::Instant) -> Result<usize, Error> {
     let range = Range {
         prefix: String::from(rows::REFUSED_PREFIX),
--- a/crates/audit/src/settings.rs
+++ b/crates/audit/src/settings.rs
@@ -1,12 +1,12 @@
 //! Settings of the audit trail.
 
-/// How many changes stay in the table.
+/// Settings of the archive of old changes.
 #[derive(Clone, Debug)]
 pub struct Archive {
-    /// The changes that stay, counted back from the latest. A repeat of a
-    /// change is known by its id for as long.
+    /// The number of latest changes that stay in the table. A retry of a change is
+    /// recognised by its id only while the change is in the table.
     pub keep: u64,
-    /// The changes in one object.
+    /// The number of changes in one object.
     pub block: u64,
 }
 
--- a/crates/audit/tests/archive.rs
+++ b/crates/audit/tests/archive.rs
@@ -1,4 +1,4 @@
-//! Old changes move to the object store and none gets lost.
+//! Archiving of old changes, and retention of refused changes.
 
 use std::time::Duration;
 
@@ -42,7 +42,7 @@
     }
 }
 
-/// A platform whose table holds [`CHANGES`] changes.
+/// Starts a platform whose table contains [`CHANGES`] changes.
 async fn start() -> Fixture {
     let platform = standin_platform::start(standin_platform::Settings::default())
         .await
@@ -93,26 +93,26 @@
     }
 }
 
-// The answers of the platform to some of the writes get lost while changes are
-// moved, and two processes move them at once in blocks of different sizes. An
-// auditor would notice a change that is missing from the history or stands twice.
+// Responses of the platform to writes are lost during compaction, and two processes
+// compact concurrently with different block sizes. The history must neither lack a
+// change nor contain one twice.
 #[yare::parameterized(
     undisturbed = { None, 5, 5 },
-    object_written_and_answer_lost = { Some(1), 5, 5 },
-    both_answers_lost = { Some(2), 5, 5 },
+    object_written_and_response_lost = { Some(1), 5, 5 },
+    both_responses_lost = { Some(2), 5, 5 },
     other_block_sizes = { Some(1), 5, 8 },
     smaller_first = { Some(3), 2, 8 },
 )]
 #[test_macro(tokio::test)]
 async fn compaction_loses_no_changes(
-    lost_answers: Option<u64>,
+    lost_responses: Option<u64>,
     first_block: u64,
     second_block: u64,
 ) {
     let fixture = start().await;
     let all: Vec<u64> = (1..=CHANGES).collect();
     loop {
-        if let Some(count) = lost_answers {
+        if let Some(count) = lost_responses {
             fixture
                 .platform
                 .fault(Fault::LoseAnswer { count: Some(count) });
@@ -129,7 +129,7 @@
     assert_eq!(vec![42, 43], fixture.history(42, 10).await);
 }
 
-/// The table of a process that pauses before each write, while another process
+/// The table client of a process that pauses before each write, while another process
 /// moves a block of changes.
 struct PausedTable<'a>(&'a Fixture);
 
@@ -152,8 +152,8 @@
     }
 }
 
-// A process pauses after it has read back its object and before it deletes the
-// rows, while another one moves a smaller block under the same name.
+// A process pauses between reading its object back and deleting the rows, while
+// another process moves a smaller block under the same key.
 #[tokio::test]
 async fn paused_process_deletes_only_archived_changes() {
     let fixture = start().await;
@@ -165,8 +165,9 @@
     assert_eq!(all, fixture.history(1, 100).await);
 }
 
-// A process that held an old revision catches up after the changes in between
-// have moved away; it has to read the whole instead of going on with a gap.
+// A process catches up from an old revision after the missing changes have moved to
+// the archive. It has to reload the configuration, because the changes left in the
+// table would leave a gap.
 #[tokio::test]
 async fn reader_behind_the_archive_reloads_the_configuration() {
     let fixture = start().await;
@@ -182,8 +183,8 @@
     assert_eq!(revision::Id(CHANGES), advanced.snapshot.revision());
 }
 
-// The table was restored from an old copy. Whoever follows it would put back in
-// force what operators have replaced.
+// The table was restored from an old backup. A reader that adopted it would revert
+// accepted changes.
 #[tokio::test]
 async fn reverted_table_is_rejected() {
     let fixture = start().await;
@@ -210,8 +211,8 @@
     assert_eq!(Err(reverted), advanced);
 }
 
-// Somebody repeats a faulty change for days. The trail of refused changes must
-// not fill the table.
+// A client retries an invalid change for days. The refused changes must not fill the
+// table.
 #[tokio::test]
 async fn latest_refused_changes_are_kept() {
     let fixture = start().await;
--- a/crates/config/src/response.rs
+++ b/crates/config/src/response.rs
@@ -236,7 +236,7 @@
     pub answered: usize,
     /// The zones.
     pub zones: Vec<Zone>,
-    /// The routers, as reported by the heartbeats that the responding routers received.
+    /// The routers, as known to the responding routers from heartbeats.
     pub routers: Vec<Router>,
     /// The backend servers owned by the responding routers.
     pub engines: Vec<Engine>,
--- a/crates/logging/src/lib.rs
+++ b/crates/logging/src/lib.rs
@@ -1,8 +1,8 @@
-//! Log lines of key=value pairs, one line for each event.
+//! Structured logging: one line of `key=value` pairs per event.
 //!
-//! The level comes from `WEIR_LOG` (`error`, `warn`, `info`, `debug`, `trace` or
-//! a filter of `env_logger`); without it, `info`. Lines go to standard error, or to
-//! standard output by [`init_stdout`]:
+//! `WEIR_LOG` sets the level (`error`, `warn`, `info`, `debug`, `trace`, or a filter
+//! of `env_logger`). The default is `info`. Lines are written to standard error, or
+//! to standard output after [`init_stdout`]:
 //!
 //! ```text
 //! time=2026-12-03T00:03:20.151Z level=info process=weir-router event=request_done status=200
@@ -22,24 +22,26 @@
 pub use log;
 pub use sink::Sink;
 
-/// The environment variable that holds the filter.
+/// The environment variable that contains the log filter.
 pub const VARIABLE: &str = "WEIR_LOG";
 
-/// Starts logging for the process `name`; a second call changes nothing.
+/// Initializes logging to standard error for the process `name`. Later calls have no effect.
 pub fn init(name: &'static str) {
     start(name, env_logger::Target::Stderr);
 }
 
-/// Starts logging to standard output, which never blocks the process.
+/// Initializes logging to standard output without ever blocking the process.
 ///
-/// Lines wait in a bounded queue for a thread that writes them. When nobody
-/// reads them, the least important are left out and counted.
+/// A bounded queue buffers the lines for a writer thread. If the reader of standard
+/// output is too slow, the least important lines are dropped and counted.
 pub fn init_stdout(name: &'static str) {
     let sink = sink::Sink::start(std::io::stdout());
     start(name, env_logger::Target::Pipe(Box::new(sink)));
 }
 
-/// Waits a moment for the lines of [`init_stdout`] that are not written yet.
+/// Gives the writer thread of [`init_stdout`] time to write the queued lines.
+///
+/// It waits for a fixed time and does not guarantee that all lines are written.
 pub fn flush() {
     std::thread::sleep(sink::BATCH_INTERVAL * 2);
 }
@@ -55,14 +57,15 @@
             writeln!(buffer, "time={time} level={level} process={name} {body}")
         })
         .try_init();
-    // A test may start several processes' worth of tasks in one process.
+    // The error of a repeated initialization is ignored: tests run the tasks of several
+    // processes in one process.
     drop(started);
 }
 
-/// The pairs of one record.
+/// Formats the pairs of one record.
 ///
-/// A library's own message is free text, and text that reached it from a peer
-/// could hold a line break and so forge a line of ours. It is quoted as a value.
+/// Messages of libraries are free text and may contain text from a peer, in which a
+/// line break could forge a log line. They are therefore quoted as a value.
 fn format_record(record: &log::Record<'_>) -> String {
     let text = record.args().to_string();
     if text.starts_with("event=") {
@@ -74,14 +77,14 @@
         .to_string()
 }
 
-/// One event and its pairs, in the order in which they were added.
+/// The log line of one event, with pairs in the order in which they were added.
 #[derive(Clone, Debug)]
 pub struct Line {
     text: String,
 }
 
 impl Line {
-    /// The line of the event `name`, which is in `snake_case`.
+    /// Creates the line of the event `name`, which is in `snake_case`.
     pub fn new(name: &str) -> Self {
         Self {
             text: String::new(),
@@ -89,7 +92,7 @@
         .pair("event", name)
     }
 
-    /// The line with one more pair; the value is quoted where it has to be.
+    /// Appends a pair. The value is quoted if necessary.
     pub fn pair(mut self, key: &str, value: impl fmt::Display) -> Self {
         if !self.text.is_empty() {
             self.text.push(' ');
@@ -117,7 +120,7 @@
     }
 }
 
-/// Whether `value` reads back as one value without quotes.
+/// Whether `value` can be parsed back without quotes.
 fn is_plain(value: &str) -> bool {
     let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '"' | '=' | '\\');
     !value.is_empty() && value.chars().all(plain)
--- a/crates/logging/src/sink.rs
+++ b/crates/logging/src/sink.rs
@@ -1,4 +1,4 @@
-//! A bounded queue of log lines in front of a writer that may block.
+//! A bounded queue of log lines for a writer that may block.
 
 use std::{
     io::{self, Write},
@@ -11,20 +11,21 @@
     time::Duration,
 };
 
-/// How many lines may wait. A line has 200 bytes or so: under a megabyte.
+/// The maximum number of queued lines. At about 200 bytes per line they take less than 1 MB.
 const CAPACITY: usize = 4096;
-/// From this many waiting lines on only warnings and errors are taken.
+/// The number of queued lines from which only important lines are accepted: warnings, errors
+/// and refusals.
 const HIGH_WATERMARK: usize = CAPACITY * 3 / 4;
-/// How long the writer collects lines, so that it wakes 50 times a second at most.
+/// The time for which the writer thread collects a batch, which limits it to 50 wake-ups per
+/// second.
 pub(crate) const BATCH_INTERVAL: Duration = Duration::from_millis(20);
-/// The most bytes that are written at once.
+/// The number of bytes from which a batch is written without collecting further lines.
 const MAX_BATCH_BYTES: usize = 64 * 1024;
 
-/// Takes log lines without ever blocking.
+/// A non-blocking writer of log lines.
 ///
-/// A reader of standard output that stops lets the pipe fill up. Written to
-/// directly, the next line would then hold up the whole process, and callers
-/// would notice that all requests stand still at once.
+/// If the reader of standard output stops reading, the pipe fills up. A direct
+/// write of the next line would then block the process and stall all requests.
 #[derive(Debug)]
 pub struct Sink {
     lines: SyncSender<Vec<u8>>,
@@ -33,7 +34,7 @@
 }
 
 impl Sink {
-    /// Starts the thread that writes to `writer`.
+    /// Starts the thread that writes the lines to `writer`.
     pub fn start<W: Write + Send + 'static>(writer: W) -> Self {
         let (lines, receiver) = sync_channel(CAPACITY);
         let sink = Self {
@@ -47,7 +48,7 @@
         sink
     }
 
-    /// How many lines were left out since the last one that says so.
+    /// The number of lines dropped since the last event `log_lines_dropped`.
     pub fn dropped(&self) -> u64 {
         self.dropped.load(Ordering::Relaxed)
     }
@@ -73,7 +74,8 @@
     }
 }
 
-/// Whether a line is neither a warning nor an error nor about a refusal.
+/// Whether `line` may be dropped above the high watermark: it is neither a warning, nor an
+/// error, nor a refusal.
 fn is_droppable(line: &[u8]) -> bool {
     let text = String::from_utf8_lossy(line);
     let is_important = text.contains("level=warn") || text.contains("level=error");
@@ -104,7 +106,7 @@
         }
         let written = writer.write_all(&batch).and_then(|()| writer.flush());
         if written.is_err() {
-            // The reader is gone, and there is nobody left to tell.
+            // The pipe is closed, so the error cannot be logged either.
             return;
         }
     }
--- a/crates/logging/tests/catalog.rs
+++ b/crates/logging/tests/catalog.rs
@@ -1,4 +1,4 @@
-//! Every event that a process logs stands in docs/LOGS.md.
+//! Checks that docs/LOGS.md documents every logged event.
 
 use std::{
     collections::BTreeSet,
@@ -6,7 +6,7 @@
     path::{Path, PathBuf},
 };
 
-/// The source files below `folder`.
+/// The Rust source files in `folder` and its subfolders.
 fn sources(folder: &Path) -> Vec<PathBuf> {
     let entries = fs::read_dir(folder).expect("the folder can be read");
     let paths = entries.map(|entry| entry.expect("the entry can be read").path());
@@ -22,7 +22,8 @@
         .collect()
 }
 
-/// The names that follow `prefix` in `text`, up to the first character of another kind.
+/// The names that follow `prefix` in `text`. A name ends before the first character that is
+/// neither a lower-case letter nor an underscore.
 fn names_after<'a>(text: &'a str, prefix: &str) -> impl Iterator<Item = &'a str> {
     let is_end = |c: char| !c.is_ascii_lowercase() && c != '_';
     let parts = text.split(prefix).skip(1);
@@ -38,8 +39,8 @@
     names.map(String::from).collect()
 }
 
-// An alarm is set on an event's name. Were a new one not on the page, operators
-// would not know of it, and nobody would know what it means at three at night.
+// Operators set alerts on event names and look up their meaning in docs/LOGS.md. An
+// undocumented event would have no alert and no explanation during an incident.
 #[test]
 fn every_event_is_documented() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
@@ -56,7 +57,7 @@
                 .filter(|e| !page.contains(&format!("`{e}`"))),
         );
     }
-    // The example in the documentation of this crate.
+    // This event occurs in the documentation of this crate, as an example.
     missing.remove("request_done");
     assert_eq!(missing, BTreeSet::new());
 }
--- a/crates/logging/tests/line.rs
+++ b/crates/logging/tests/line.rs
@@ -1,4 +1,4 @@
-//! Log lines read back as they were written.
+//! Quoting of values in log lines.
 
 use yare::parameterized;
 
@@ -8,8 +8,8 @@
     space = { "a b", "event=done key=\"a b\"" },
     pair = { "a=b", "event=done key=\"a=b\"" },
     quote = { "a\"b", "event=done key=\"a\\\"b\"" },
-    // A peer's text with a line break would otherwise start a line of its own,
-    // and an operator would read an event that never was.
+    // Text from a peer with a line break would otherwise start a new log line, with an
+    // event that never happened.
     forged_line = { "x\nevent=forged", "event=done key=\"x\\nevent=forged\"" },
 )]
 fn value_is_quoted_where_needed(value: &str, expected: &str) {
--- a/crates/logging/tests/sink.rs
+++ b/crates/logging/tests/sink.rs
@@ -1,4 +1,4 @@
-//! Log lines whose reader has stopped.
+//! Logging while the reader of the log lines has stopped.
 
 use std::{
     io::{self, Write},
@@ -7,9 +7,9 @@
 
 use logging::Sink;
 
-/// A writer that stands still until it is let go, and then keeps what it gets.
+/// A writer that blocks on its first write until it is released, and stores what it writes.
 struct BlockedWriter {
-    /// Told once it stands still.
+    /// Notified when the writer blocks.
     blocked: mpsc::Sender<()>,
     release: mpsc::Receiver<()>,
     is_released: bool,
@@ -20,13 +20,13 @@
 impl Write for BlockedWriter {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         if !self.is_released {
-            self.blocked.send(()).expect("the test waits");
+            self.blocked.send(()).expect("the test is waiting");
             self.is_released = self.release.recv().is_ok();
         }
-        let mut written = self.written.lock().expect("nobody panicked");
+        let mut written = self.written.lock().expect("no thread panicked");
         written.extend_from_slice(bytes);
         if bytes.windows(4).any(|window| window == b"last") {
-            self.done.send(()).expect("the test waits");
+            self.done.send(()).expect("the test is waiting");
         }
         Ok(bytes.len())
     }
@@ -36,9 +36,9 @@
     }
 }
 
-/// Whoever collects the lines has stopped reading, and the pipe is full. Written
-/// to directly, the next line would hold up the whole process, and with it every
-/// request. Lines are left out instead, the least important first, and counted.
+/// The log collector stops reading and the pipe fills up. A direct write would block
+/// the process and stall every request. Instead, the sink drops lines, the least
+/// important first, and counts them.
 #[test]
 fn stopped_reader_does_not_block_logging() {
     let (blocked, is_blocked) = mpsc::channel();
@@ -52,18 +52,22 @@
         written: Arc::clone(&written),
         done,
     });
-    // Until it stands still the writer takes lines, and tells of those left out.
-    writeln!(sink, "level=info event=request_done number=first").expect("it never fails");
-    is_blocked.recv().expect("the writer stands still");
+    // The first line blocks the writer. Before that it would take lines from the queue and
+    // report dropped lines.
+    writeln!(sink, "level=info event=request_done number=first")
+        .expect("a write to the sink never fails");
+    is_blocked.recv().expect("the writer blocks");
     for index in 0..20_000 {
-        writeln!(sink, "level=info event=request_done number={index}").expect("it never fails");
+        writeln!(sink, "level=info event=request_done number={index}")
+            .expect("a write to the sink never fails");
     }
     let dropped = sink.dropped();
     assert!(dropped > 15_000, "{dropped}");
-    writeln!(sink, "level=warn event=last").expect("it never fails");
-    unblock.send(()).expect("the writer waits");
+    writeln!(sink, "level=warn event=last").expect("a write to the sink never fails");
+    unblock.send(()).expect("the writer is waiting");
     is_done.recv().expect("the warning is written");
-    let text = String::from_utf8(written.lock().expect("nobody panicked").clone()).expect("text");
+    let text =
+        String::from_utf8(written.lock().expect("no thread panicked").clone()).expect("UTF-8");
     assert!(text.contains("event=last"));
     assert!(text.contains(&format!("event=log_lines_dropped count={dropped}")));
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,9 +1,10 @@
-//! Flags and environment variables common to the binaries.
+//! Parsing and validation of command-line flags and environment variables.
 //!
-//! Values are read as text by `bpaf` and checked afterwards, so that all faults
-//! are reported together. A wrong setting ends the process with exit code 2 and
-//! one line for each fault, which names the flag, the value and what is allowed.
-//! `--check` checks the settings and exits, `--version` and `--help` do as usual.
+//! `bpaf` reads the values as text and they are validated afterwards, so that all
+//! faults are reported together. If a setting is invalid, the process exits with
+//! code 2 and prints one line per fault with the flag, the value and the allowed
+//! values. `--check` validates the settings and exits; `--version` and `--help` are
+//! supported as usual.
 //!
 //! # Examples
 //!
@@ -22,7 +23,7 @@
 //!     let parallel = settings::text("parallel", "WEIR_PARALLEL", "N", "Requests at once");
 //!     let given = construct!(listen, parallel);
 //!     settings::parse("An example", given, arguments, |(listen, parallel), faults| {
-//!         // All are checked before the first fault ends it.
+//!         // Validate all settings before returning on the first fault.
 //!         let listen = faults.required(&listen, settings::ADDRESS);
 //!         let parallel = faults.within(&parallel, 8, 1..=64);
 //!         Some(Settings {
@@ -44,13 +45,13 @@
 
 use bpaf::{Parser, construct};
 
-/// What is allowed where an address is asked for.
+/// The description of the allowed values of an address setting.
 pub const ADDRESS: &str = "an IP address and a port, such as 127.0.0.1:8080 or [::1]:8080";
 
-/// The exit code of a process whose settings are wrong.
+/// The exit code of a process with invalid settings.
 pub const INVALID_SETTINGS: i32 = 2;
 
-/// A setting as it was given, unchecked.
+/// An unvalidated setting.
 #[derive(Clone, Debug)]
 pub struct Raw {
     flag: &'static str,
@@ -60,7 +61,7 @@
 }
 
 impl Raw {
-    /// A setting of the name `name` in a settings file.
+    /// Creates the setting from the entry `name` of a settings file.
     pub fn entry(name: &'static str, text: Option<String>) -> Self {
         Self {
             flag: "",
@@ -70,12 +71,12 @@
         }
     }
 
-    /// The text that was given, by flag or by environment variable.
+    /// The text of the setting, if it is set.
     pub fn as_str(&self) -> Option<&str> {
         self.text.as_deref()
     }
 
-    /// The flag and the environment variable, as a user writes them.
+    /// The flag and the environment variable, or the name of the entry, for fault messages.
     fn name(&self) -> String {
         if self.flag.is_empty() {
             return String::from(self.variable);
@@ -83,7 +84,7 @@
         format!("--{} ({})", self.flag, self.variable)
     }
 
-    /// The value as it may be shown.
+    /// The value for fault messages, which hides secrets.
     fn display_value(&self) -> String {
         match &self.text {
             None => String::from("nothing"),
@@ -93,7 +94,7 @@
     }
 }
 
-/// A setting by the flag `--flag VALUE` or the environment variable `variable`.
+/// A setting that is read from the flag `--flag VALUE` or the environment variable `variable`.
 pub fn text(
     flag: &'static str,
     variable: &'static str,
@@ -113,11 +114,11 @@
         })
 }
 
-/// A secret, which is read from the environment variable `variable` only.
+/// A secret setting, which is read only from the environment variable `variable`.
 ///
-/// A flag would show it to every user of the host in the list of processes.
-/// `--help` shows the present value of the variable behind a flag, but lists no
-/// variable without one, so the text that it begins with should name it.
+/// A flag would expose the secret to every user of the host in the process list.
+/// `--help` prints the current value of each variable that has a flag. It omits
+/// variables without a flag, so the program description should mention the variable.
 pub fn secret(variable: &'static str) -> impl Parser<Raw> {
     bpaf::env(variable)
         .argument::<String>("SECRET")
@@ -130,14 +131,14 @@
         })
 }
 
-/// The faults found so far.
+/// The faults found in the settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Faults {
     lines: Vec<String>,
 }
 
 impl Faults {
-    /// Checks a setting that must be given. None: there was a fault, now noted.
+    /// Parses a required setting. Returns `None` and records a fault if it is missing or invalid.
     pub fn required<T: str::FromStr>(&mut self, raw: &Raw, allowed: &str) -> Option<T> {
         let value = raw.as_str().and_then(|text| text.parse().ok());
         if value.is_none() {
@@ -146,7 +147,7 @@
         value
     }
 
-    /// Checks a setting that may be absent. None: there was a fault, now noted.
+    /// Parses an optional setting. Returns `None` and records a fault if it is invalid.
     pub fn optional<T: str::FromStr>(&mut self, raw: &Raw, allowed: &str) -> Option<Option<T>> {
         match raw.as_str() {
             None => Some(None),
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Checks a setting that has a default. None: there was a fault, now noted.
+    /// Parses a setting with a default. Returns `None` and records a fault if it is invalid.
     pub fn or_default<T: str::FromStr>(
         &mut self,
         raw: &Raw,
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Checks a setting that has a default and a range. None: there was a fault, now noted.
+    /// Parses a setting with a default and a range. Returns `None` and records a fault if it is
+    /// invalid or out of range.
     pub fn within<T>(&mut self, raw: &Raw, default: T, range: ops::RangeInclusive<T>) -> Option<T>
     where
         T: str::FromStr + PartialOrd + fmt::Display,
@@ -181,7 +183,7 @@
         None
     }
 
-    /// Notes a fault of `raw`, of which only `allowed` is allowed.
+    /// Records a fault of `raw`. `allowed` describes the allowed values.
     pub fn add(&mut self, raw: &Raw, allowed: &str) {
         let line = format!(
             "{}: got {}, allowed: {allowed}",
@@ -191,7 +193,7 @@
         self.lines.push(line);
     }
 
-    /// Whether there is none.
+    /// Whether no fault was found.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
@@ -203,19 +205,20 @@
     }
 }
 
-/// Why a process ends before it starts its work.
+/// The reason for which a process exits during startup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Exit {
     /// The exit code.
     pub code: i32,
-    /// What the user is shown, on standard output if the code is 0.
+    /// The text to print: to standard output if the code is 0, else to standard error.
     pub text: String,
 }
 
 impl Exit {
-    /// Shows the text and ends the process.
+    /// Prints the text and exits the process.
     pub fn exit(&self) -> ! {
-        // Whoever reads the text may have closed the pipe; the code still counts.
+        // Write errors are ignored: the reader may have closed the pipe, and the exit code
+        // matters more than the text.
         let _ = if self.code == 0 {
             writeln!(io::stdout(), "{}", self.text)
         } else {
@@ -225,11 +228,11 @@
     }
 }
 
-/// Reads the settings of the process, or ends it.
+/// Reads the settings of the process, or exits it.
 ///
-/// `check` turns what was given into settings; where it notes a fault it may
-/// return `None` or any value. To report all faults together it checks every
-/// setting before it returns.
+/// `check` converts the parsed values into settings. If it records a fault, its
+/// return value is ignored. It should validate every setting before it returns, so
+/// that all faults are reported together.
 pub fn load<G, S>(
     about: &'static str,
     given: impl Parser<G> + 'static,
@@ -241,12 +244,12 @@
     parse(about, given, bpaf::Args::current_args(), check).unwrap_or_else(|exit| exit.exit())
 }
 
-/// Reads settings from `arguments` and the environment.
+/// Reads settings from `arguments` and the environment. See [`load`] for `check`.
 ///
 /// # Errors
 ///
-/// An [`Exit`] with code 0 for `--help`, `--version` and `--check` of valid
-/// settings, with code 2 for faults.
+/// An [`Exit`] with code 0 for `--help`, `--version`, and `--check` with valid
+/// settings, and with code 2 for faults.
 pub fn parse<'a, G, S>(
     about: &'static str,
     given: impl Parser<G> + 'static,
@@ -280,7 +283,7 @@
     }
 }
 
-/// The exit that belongs to an answer of the parser of flags.
+/// Converts an early return of the flag parser, such as for `--help` or an unknown flag.
 fn from_parse_failure(failure: bpaf::ParseFailure) -> Exit {
     let code = match failure {
         bpaf::ParseFailure::Stdout(..) | bpaf::ParseFailure::Completion(_) => 0,
--- a/crates/settings/tests/faults.rs
+++ b/crates/settings/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the settings are told together and give no secret away.
+//! Reporting of invalid settings, and protection of secrets.
 
 use std::net::SocketAddr;
 
@@ -15,11 +15,11 @@
     })
 }
 
-// An operator mistypes two flags. If only the first were told, the second
-// would stop the next start, and so on, one restart for each mistake.
+// An operator mistypes two flags. If only the first fault were reported, the second
+// one would fail the next start: one restart per fault.
 #[test]
 fn all_faults_are_reported_together() {
-    let exit = read(&["--listen", "localhost", "--parallel", "65"]).expect_err("both are wrong");
+    let exit = read(&["--listen", "localhost", "--parallel", "65"]).expect_err("both are invalid");
     let expected = "--listen (TEST_LISTEN): got \"localhost\", allowed: an IP address and a port, \
                     such as 127.0.0.1:8080 or [::1]:8080\n\
                     --parallel (TEST_PARALLEL): got \"65\", allowed: 1 to 64";
@@ -28,7 +28,7 @@
 
 #[test]
 fn unknown_flag_exits_with_code_2() {
-    let exit = read(&["--listne", "127.0.0.1:0"]).expect_err("no such flag");
+    let exit = read(&["--listne", "127.0.0.1:0"]).expect_err("unknown flag");
     assert_eq!(exit.code, 2);
     assert!(exit.text.contains("--listne"), "{}", exit.text);
 }
@@ -39,15 +39,15 @@
         read(&["--listen", "127.0.0.1:0"]),
         Ok(("127.0.0.1:0".parse().unwrap(), 8))
     );
-    let exit = read(&["--check", "--listen", "127.0.0.1:0"]).expect_err("checks only");
+    let exit = read(&["--check", "--listen", "127.0.0.1:0"]).expect_err("only validates");
     assert_eq!((exit.code, exit.text.as_str()), (0, "settings=valid"));
 }
 
-// A fleet key with a typing error reaches the log collector with the message
-// about it, and everyone who reads the logs can then join the fleet.
+// A mistyped fleet key that appears in the fault message reaches the log collector.
+// Everyone with access to the logs could then join the fleet.
 #[test]
 fn secret_is_not_shown() {
-    // `PATH` stands for the secret: it is set wherever tests run.
+    // `PATH` serves as the secret, because it is set wherever tests run.
     let given = settings::secret("PATH");
     let none: &[&str] = &[];
     let exit = settings::parse("A test", given, none, |raw, faults| {
@@ -60,8 +60,8 @@
     );
 }
 
-// `--help` lists environment variables with their present values. An operator
-// who pastes it into a ticket would paste the key of the fleet with it.
+// `--help` lists environment variables with their current values. An operator who
+// pastes the output into a ticket would reveal the fleet key.
 #[test]
 fn help_hides_the_value_of_a_secret() {
     let path = std::env::var("PATH").unwrap();
@@ -71,8 +71,7 @@
     })
     .expect_err("only help");
     assert_eq!(exit.code, 0);
-    // Long values are broken into lines.
-
+    // The help output wraps long values, so whitespace is removed.
     let shown: String = exit.text.split_whitespace().collect();
     assert!(!shown.contains(&path), "{}", exit.text);
 }
