--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -90,8 +90,8 @@
 ) -> Result<Option<Vec<Change>>, Error> {
     let range = reader::range(revision::Id(0), Some(settings.block));
     let block = reader::changes(table, &range, deadline).await?;
-    let (held, _) = reader::revision(table, deadline).await?;
-    let is_old = |last: &Change| held.0.saturating_sub(last.to.0) >= settings.keep;
+    let (latest, _) = reader::revision(table, deadline).await?;
+    let is_old = |last: &Change| latest.0.saturating_sub(last.to.0) >= settings.keep;
     let is_full = block.len() as u64 == settings.block;
     Ok(Some(block).filter(|block| is_full && block.last().is_some_and(is_old)))
 }
@@ -112,10 +112,10 @@
     // read from both and not from neither.
     let range = reader::range(first, Some(limit));
     let recent = reader::changes(table, &range, deadline).await?;
-    let known = recent.first().map_or(u64::MAX, |change| change.to.0);
+    let first_recent = recent.first().map_or(u64::MAX, |change| change.to.0);
     let first = first.max(revision::Id(1));
     let mut found: Vec<Change> = Vec::new();
-    if known > first.0 {
+    if first_recent > first.0 {
         let keys = objects.list(PREFIX, deadline).await?;
         // The preceding block may contain the first change.
         let start = keys.partition_point(|object| *object <= key(first));
@@ -126,7 +126,7 @@
             let block = read_object(objects, object, deadline).await?;
             let wanted = block.into_iter().filter(|change| {
                 let after = found.last().map_or(first, |last| last.to.next());
-                change.to >= after && change.to.0 < known
+                change.to >= after && change.to.0 < first_recent
             });
             let wanted: Vec<Change> = wanted.collect();
             found.extend(wanted);
--- a/crates/audit/src/reader.rs
+++ b/crates/audit/src/reader.rs
@@ -21,9 +21,9 @@
     /// would revert accepted changes.
     Reverted {
         /// The revision that was read before.
-        held: revision::Id,
+        known: revision::Id,
         /// The revision that the table contains now.
-        shown: revision::Id,
+        current: revision::Id,
     },
 }
 
@@ -32,9 +32,9 @@
         match self {
             Self::Platform(error) => error.fmt(f),
             Self::Malformed(error) => error.fmt(f),
-            Self::Reverted { held, shown } => write!(
+            Self::Reverted { known, current } => write!(
                 f,
-                "the table shows revision {shown}, but revision {held} was accepted"
+                "the table shows revision {current}, but revision {known} was accepted"
             ),
         }
     }
@@ -121,28 +121,28 @@
     }
 }
 
-/// Updates `held` to the revision of the table.
+/// Updates `known` to the revision of the table.
 ///
 /// This takes one read if nothing changed. Otherwise it reads the missing changes,
 /// or the whole configuration if those have moved to the archive.
 ///
 /// # Errors
 ///
-/// [`Error`] if a read fails or the table has reverted. `held` remains valid.
+/// [`Error`] if a read fails or the table has reverted. `known` remains valid.
 pub async fn advance<T: Table>(
     table: &T,
-    held: &Version,
+    known: &Version,
     deadline: time::Instant,
 ) -> Result<Version, Error> {
-    let (shown, generation) = revision(table, deadline).await?;
-    let mut snapshot = held.snapshot.clone();
-    if shown < snapshot.revision() {
+    let (current, generation) = revision(table, deadline).await?;
+    let mut snapshot = known.snapshot.clone();
+    if current < snapshot.revision() {
         return Err(Error::Reverted {
-            held: snapshot.revision(),
-            shown,
+            known: snapshot.revision(),
+            current,
         });
     }
-    let missing = shown.0 - snapshot.revision().0;
+    let missing = current.0 - snapshot.revision().0;
     if missing > 0 {
         let range = range(snapshot.revision().next(), Some(missing));
         for change in changes(table, &range, deadline).await? {
@@ -151,7 +151,7 @@
             }
         }
     }
-    if snapshot.revision() == shown {
+    if snapshot.revision() == current {
         return Ok(Version {
             snapshot,
             generation,
@@ -159,10 +159,10 @@
     }
     // Some of the missing changes have moved to the archive.
     let loaded = load(table, deadline).await?;
-    if loaded.snapshot.revision() < shown {
+    if loaded.snapshot.revision() < current {
         return Err(Error::Reverted {
-            held: shown,
-            shown: loaded.snapshot.revision(),
+            known: current,
+            current: loaded.snapshot.revision(),
         });
     }
     Ok(loaded)
--- a/crates/audit/tests/archive.rs
+++ b/crates/audit/tests/archive.rs
@@ -173,12 +173,12 @@
     let fixture = start().await;
     let mut snapshot = Snapshot::default();
     snapshot.apply(&change(1)).expect("first change");
-    let held = reader::Version {
+    let known = reader::Version {
         snapshot,
         ..reader::Version::default()
     };
     while fixture.compact(5).await.expect("compact") > 0 {}
-    let advanced = reader::advance(&fixture.table, &held, deadline()).await;
+    let advanced = reader::advance(&fixture.table, &known, deadline()).await;
     let advanced = advanced.expect("advance");
     assert_eq!(revision::Id(CHANGES), advanced.snapshot.revision());
 }
@@ -205,8 +205,8 @@
         .expect("restore");
     let advanced = reader::advance(&fixture.table, &version, deadline()).await;
     let reverted = reader::Error::Reverted {
-        held: revision::Id(CHANGES),
-        shown: revision::Id(CHANGES - 1),
+        known: revision::Id(CHANGES),
+        current: revision::Id(CHANGES - 1),
     };
     assert_eq!(Err(reverted), advanced);
 }
--- a/crates/config/src/proposal.rs
+++ b/crates/config/src/proposal.rs
@@ -118,7 +118,7 @@
     ) -> Result<Evaluation, Refusal> {
         self.check_generations(snapshot)?;
         self.check_deletes(snapshot)?;
-        let puts = self.changed(snapshot);
+        let puts = self.changed_puts(snapshot);
         if puts.is_empty() && self.deletes.is_empty() {
             return Ok(Evaluation::Unchanged);
         }
@@ -165,7 +165,7 @@
     }
 
     /// The puts that differ from the declared resources.
-    fn changed(&self, snapshot: &Snapshot) -> Vec<Resource> {
+    fn changed_puts(&self, snapshot: &Snapshot) -> Vec<Resource> {
         let differs = |resource: &&Resource| {
             let declared = snapshot.resource(&resource.key());
             declared.is_none_or(|declared| declared.resource != **resource)
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -98,16 +98,16 @@
     /// [`Mismatch::Gap`] if an earlier change is missing. The snapshot is then
     /// unchanged, so a late or duplicate change never reverts a resource.
     pub fn apply(&mut self, change: &change::Change) -> Result<(), Mismatch> {
-        let held = self.revision;
-        if change.to <= held {
+        let current = self.revision;
+        if change.to <= current {
             return Err(Mismatch::Stale {
-                held,
+                current,
                 offered: change.to,
             });
         }
-        if change.from != held || change.to != held.next() {
+        if change.from != current || change.to != current.next() {
             return Err(Mismatch::Gap {
-                held,
+                current,
                 offered: change.to,
             });
         }
@@ -263,14 +263,14 @@
     /// The snapshot already contains the change.
     Stale {
         /// The revision of the snapshot.
-        held: revision::Id,
+        current: revision::Id,
         /// The revision that the change created.
         offered: revision::Id,
     },
     /// An earlier change is missing.
     Gap {
         /// The revision of the snapshot.
-        held: revision::Id,
+        current: revision::Id,
         /// The revision that the change created.
         offered: revision::Id,
     },
@@ -279,13 +279,13 @@
 impl fmt::Display for Mismatch {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Stale { held, offered } => {
-                write!(f, "change to revision {offered} is contained in {held}")
+            Self::Stale { current, offered } => {
+                write!(f, "change to revision {offered} is contained in {current}")
             }
-            Self::Gap { held, offered } => {
+            Self::Gap { current, offered } => {
                 write!(
                     f,
-                    "change to revision {offered} does not follow revision {held}"
+                    "change to revision {offered} does not follow revision {current}"
                 )
             }
         }
--- a/crates/config/src/state.rs
+++ b/crates/config/src/state.rs
@@ -60,7 +60,7 @@
     }
 
     /// Whether the fleet considers the router down. It may still serve a partitioned zone.
-    fn is_lost(&self) -> bool {
+    fn is_down(&self) -> bool {
         self.state == "down"
     }
 }
@@ -93,7 +93,7 @@
     let mut zones = Zones::new();
     for router in routers {
         let zone = zones.entry(router.zone.clone()).or_default();
-        if router.is_lost() {
+        if router.is_down() {
             zone.lost += 1;
         }
         if !router.serves() {
--- a/crates/config/tests/snapshot.rs
+++ b/crates/config/tests/snapshot.rs
@@ -89,12 +89,12 @@
     ) {
         let mut snapshot = snapshot::Snapshot::default();
         for to in order {
-            let held = snapshot.revision();
+            let current = snapshot.revision();
             let applied = snapshot.apply(&toggle_zone(to));
-            prop_assert_eq!(applied.is_ok(), to == held.0 + 1);
+            prop_assert_eq!(applied.is_ok(), to == current.0 + 1);
             let stale = matches!(applied, Err(snapshot::Mismatch::Stale { .. }));
-            prop_assert_eq!(stale, to <= held.0);
-            let expected = if applied.is_ok() { revision::Id(to) } else { held };
+            prop_assert_eq!(stale, to <= current.0);
+            let expected = if applied.is_ok() { revision::Id(to) } else { current };
             prop_assert_eq!(expected, snapshot.revision());
             let service = match expected.0 % 2 {
                 0 => resource::Service::In,
--- a/crates/logging/src/sink.rs
+++ b/crates/logging/src/sink.rs
@@ -91,14 +91,14 @@
     while let Ok(first) = receiver.recv() {
         thread::sleep(BATCH_INTERVAL);
         let mut batch = first;
-        let mut taken = 1;
+        let mut count = 1;
         while batch.len() < MAX_BATCH_BYTES
             && let Ok(line) = receiver.try_recv()
         {
             batch.extend_from_slice(&line);
-            taken += 1;
+            count += 1;
         }
-        queued.fetch_sub(taken, Ordering::Relaxed);
+        queued.fetch_sub(count, Ordering::Relaxed);
         let lost = dropped.swap(0, Ordering::Relaxed);
         if lost > 0 {
             let line = format!("level=warn event=log_lines_dropped count={lost}\n");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -235,13 +235,13 @@
 /// that all faults are reported together.
 pub fn load<G, S>(
     about: &'static str,
-    given: impl Parser<G> + 'static,
+    parser: impl Parser<G> + 'static,
     check: impl FnOnce(G, &mut Faults) -> Option<S>,
 ) -> S
 where
     G: 'static,
 {
-    parse(about, given, bpaf::Args::current_args(), check).unwrap_or_else(|exit| exit.exit())
+    parse(about, parser, bpaf::Args::current_args(), check).unwrap_or_else(|exit| exit.exit())
 }
 
 /// Reads settings from `arguments` and the environment. See [`load`] for `check`.
@@ -252,7 +252,7 @@
 /// settings, and with code 2 for faults.
 pub fn parse<'a, G, S>(
     about: &'static str,
-    given: impl Parser<G> + 'static,
+    parser: impl Parser<G> + 'static,
     arguments: impl Into<bpaf::Args<'a>>,
     check: impl FnOnce(G, &mut Faults) -> Option<S>,
 ) -> Result<S, Exit>
@@ -262,14 +262,14 @@
     let only_check = bpaf::long("check")
         .help("Check the settings and exit")
         .switch();
-    let parsed = construct!(only_check, given)
+    let parsed = construct!(only_check, parser)
         .to_options()
         .descr(about)
         .version(env!("CARGO_PKG_VERSION"))
         .run_inner(arguments);
-    let (only_check, given) = parsed.map_err(from_parse_failure)?;
+    let (only_check, values) = parsed.map_err(from_parse_failure)?;
     let mut faults = Faults::default();
-    let settings = check(given, &mut faults);
+    let settings = check(values, &mut faults);
     match settings {
         Some(_) if faults.is_empty() && only_check => Err(Exit {
             code: 0,
--- a/crates/wire/src/seal/stream.rs
+++ b/crates/wire/src/seal/stream.rs
@@ -181,22 +181,23 @@
         else {
             return Ok(None);
         };
-        let size = usize::try_from(u32::from_le_bytes(length)).map_err(|_| Error::Malformed)?;
-        if size > Writer::MAX_PAYLOAD {
+        let payload_length =
+            usize::try_from(u32::from_le_bytes(length)).map_err(|_| Error::Malformed)?;
+        if payload_length > Writer::MAX_PAYLOAD {
             return Err(Error::Malformed);
         }
-        let whole = Handshake::HEADER_LENGTH + size;
-        if buffer.len() < whole {
-            buffer.reserve(whole - buffer.len());
+        let frame_length = Handshake::HEADER_LENGTH + payload_length;
+        if buffer.len() < frame_length {
+            buffer.reserve(frame_length - buffer.len());
             return Ok(None);
         }
         let number = next_number(&mut self.next_sequence);
-        let payload = &buffer[Handshake::HEADER_LENGTH..whole];
+        let payload = &buffer[Handshake::HEADER_LENGTH..frame_length];
         if !self.key.verify(&[&number, &length, payload], &mac) {
             return Err(Error::Forged);
         }
         buffer.advance(Handshake::HEADER_LENGTH);
-        Ok(Some(buffer.split_to(size).freeze()))
+        Ok(Some(buffer.split_to(payload_length).freeze()))
     }
 }
 
--- a/crates/wire/tests/heartbeats.rs
+++ b/crates/wire/tests/heartbeats.rs
@@ -208,10 +208,10 @@
         let at = index.index(bytes.len());
         bytes[at] = byte;
         let _ = Frame::decode(&bytes);
-        let whole = full().encode().unwrap();
-        let end = cut.index(whole.len());
-        prop_assert!(Frame::decode(&whole[..end]).is_err());
-        let mut longer = whole.clone();
+        let encoded = full().encode().unwrap();
+        let end = cut.index(encoded.len());
+        prop_assert!(Frame::decode(&encoded[..end]).is_err());
+        let mut longer = encoded.clone();
         longer.push(byte);
         prop_assert!(Frame::decode(&longer).is_err());
     }
--- a/crates/wire/tests/seals.rs
+++ b/crates/wire/tests/seals.rs
@@ -22,7 +22,7 @@
     Opener::new(&KEY, &host("b"), Boot(9))
 }
 
-fn to_b() -> Audience {
+fn audience_b() -> Audience {
     Audience::Process(Tag::new(&host("b")), Boot(9))
 }
 
@@ -56,7 +56,7 @@
 #[test]
 fn replayed_datagrams_are_refused() {
     let mut sealer = sealer();
-    let datagram = sealer.seal(b"beat", to_b());
+    let datagram = sealer.seal(b"beat", audience_b());
     let mut opener = opener();
     assert!(opener.open(&datagram).unwrap().fresh);
     assert_eq!(opener.open(&datagram), Err(Error::Replayed));
@@ -80,8 +80,8 @@
 // must be refused.
 #[test]
 fn datagrams_of_an_earlier_boot_are_refused() {
-    let old = sealer().seal(b"old", to_b());
-    let new = Sealer::new(&KEY, &host("a"), Boot(6)).seal(b"new", to_b());
+    let old = sealer().seal(b"old", audience_b());
+    let new = Sealer::new(&KEY, &host("a"), Boot(6)).seal(b"new", audience_b());
     let mut opener = opener();
     opener.open(&new).unwrap();
     assert_eq!(opener.open(&old), Err(Error::Replayed));
@@ -90,7 +90,7 @@
 #[test]
 fn datagrams_under_another_key_are_refused() {
     let other = Key::from_bytes([8; 32]);
-    let datagram = Sealer::new(&other, &host("a"), Boot(5)).seal(b"beat", to_b());
+    let datagram = Sealer::new(&other, &host("a"), Boot(5)).seal(b"beat", audience_b());
     assert_eq!(opener().open(&datagram), Err(Error::Forged));
     assert_ne!(
         KEY.derive("one").digest(&[b"x"]),
@@ -120,10 +120,10 @@
 #[test]
 fn number_of_remembered_senders_is_bounded() {
     let mut opener = opener();
-    let kept = sealer().seal(b"kept", to_b());
+    let kept = sealer().seal(b"kept", audience_b());
     for index in 0..9000 {
         let name = host(&format!("host-{index}"));
-        let datagram = Sealer::new(&KEY, &name, Boot(1)).seal(b"x", to_b());
+        let datagram = Sealer::new(&KEY, &name, Boot(1)).seal(b"x", audience_b());
         opener.open(&datagram).unwrap();
         if index == 8999 {
             opener.open(&kept).unwrap();
@@ -178,7 +178,7 @@
     #[test]
     fn each_datagram_is_accepted_once(order in prop::collection::vec(0..200usize, 1..600)) {
         let mut sealer = sealer();
-        let datagrams: Vec<_> = (0..200).map(|_| sealer.seal(b"x", to_b())).collect();
+        let datagrams: Vec<_> = (0..200).map(|_| sealer.seal(b"x", audience_b())).collect();
         let mut opener = opener();
         let mut accepted = vec![0; 200];
         let mut newest = 0;
@@ -199,7 +199,7 @@
         flip in 1..=255u8,
         cut: prop::sample::Index,
     ) {
-        let datagram = sealer().seal(b"a payload of some length", to_b());
+        let datagram = sealer().seal(b"a payload of some length", audience_b());
         let mut altered = datagram.clone();
         altered[index.index(datagram.len())] ^= flip;
         prop_assert!(opener().open(&altered).is_err());
