--- a/crates/audit/src/archive.rs
+++ b/crates/audit/src/archive.rs
@@ -27,7 +27,7 @@
     format!("{PREFIX}{:020}", revision.0)
 }
 
-/// Moves the oldest block of changes to an object, if the table has more than it has to keep.
+/// Moves the oldest block of changes to an object, unless the table has to keep any of them.
 ///
 /// Returns the number of changes moved, zero if there was nothing to move. Any
 /// number of processes may call this concurrently, and it may be interrupted at
@@ -81,8 +81,9 @@
     Ok(moved.len() as u64)
 }
 
-/// Reads the oldest full block of changes from the table. Returns `None` if it contains changes
-/// that the table has to keep.
+/// Reads the oldest block of changes from the table.
+///
+/// Returns `None` if the block is not full or contains changes that the table has to keep.
 async fn oldest_block<T: Table>(
     table: &T,
     settings: &Archive,
--- a/crates/config/src/proposal.rs
+++ b/crates/config/src/proposal.rs
@@ -44,7 +44,7 @@
 /// Why a proposal is refused. A refused proposal changes nothing.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Refusal {
-    /// The configuration would not be valid.
+    /// The proposal is not valid.
     Invalid(Vec<Fault>),
     /// A precondition failed because another change was committed first.
     Conflict(Vec<Conflict>),
@@ -109,7 +109,8 @@
     /// # Errors
     ///
     /// [`Refusal::Conflict`] if an expected generation is not the current one,
-    /// [`Refusal::Invalid`] if the resulting configuration would not be valid.
+    /// [`Refusal::Invalid`] if a resource to delete is not declared or the resulting
+    /// configuration would not be valid.
     pub fn evaluate(
         &self,
         snapshot: &Snapshot,
--- a/crates/wire/src/heartbeat.rs
+++ b/crates/wire/src/heartbeat.rs
@@ -22,14 +22,14 @@
 /// The kind of a heartbeat, which determines the reply of its receiver.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// A periodic sign of life. It gets no reply.
+    /// A periodic heartbeat, which requires no reply.
     Beat,
     /// A probe. The receiver replies immediately with [`Kind::Answer`].
     Probe,
     /// A join request of a new router. The receiver replies with [`Kind::Answer`] and the
     /// member list.
     Join,
-    /// The reply to a probe or a join request. It gets no reply itself.
+    /// The reply to a probe or a join request.
     Answer {
         /// The version of the probe, which distinguishes its reply from one to an earlier probe.
         echo: u32,
--- a/crates/wire/src/seal/key.rs
+++ b/crates/wire/src/seal/key.rs
@@ -49,8 +49,8 @@
         Self(blake3::derive_key(usage, &self.0))
     }
 
-    /// A keyed hash of the concatenation of `parts`. Without the key, nobody can construct
-    /// input with a chosen hash.
+    /// A keyed hash of the concatenation of `parts`. Without the key, input with a
+    /// chosen hash cannot be constructed.
     pub fn digest(&self, parts: &[&[u8]]) -> u64 {
         let mac = self.mac(parts);
         let mut bytes = [0; 8];
