--- a/crates/wire/src/seal/datagram.rs
+++ b/crates/wire/src/seal/datagram.rs
@@ -44,7 +44,7 @@
 /// has a higher number.
 ///
 /// It is the wall-clock time of the start in milliseconds. If the clock went
-/// backwards, peers report their higher number and the process adopts a higher one.
+/// backwards, peers report the number that they recorded and the process adopts a higher one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
