--- a/crates/router/src/answer.rs
+++ b/crates/router/src/answer.rs
@@ -18,19 +18,19 @@
 use units::{request, time};
 use verdict::{Code, Refusal};
 
-use crate::{clock::Clock, trace::Trace};
+use crate::{clock::Clock, completion::Reporter};
 
 /// How many pieces of a body are held between its reader and its writer.
 ///
 /// A small number keeps the backpressure end to end: a slow caller slows down
 /// the backend server instead of filling the router's memory.
-const PIECES: usize = 4;
+const CHUNK_BUFFER: usize = 4;
 
 /// The header that marks the repeated outcome of a request that ran before.
-const REPLAYED: header::HeaderName = header::HeaderName::from_static("x-weir-replayed");
+const REPLAYED_HEADER: header::HeaderName = header::HeaderName::from_static("x-weir-replayed");
 
 /// A piece of an answer's body, or why it broke off.
-pub type Piece = Result<Bytes, Refusal>;
+pub type Chunk = Result<Bytes, Refusal>;
 
 /// The answer of a backend server, streamed.
 #[derive(Debug)]
@@ -40,19 +40,19 @@
     /// The headers, hop-by-hop ones removed.
     pub headers: HeaderMap,
     /// The body.
-    pub body: mpsc::Receiver<Piece>,
+    pub body: mpsc::Receiver<Chunk>,
 }
 
 /// A channel for the pieces of a body.
-pub fn channel() -> (mpsc::Sender<Piece>, mpsc::Receiver<Piece>) {
-    mpsc::channel(PIECES)
+pub fn channel() -> (mpsc::Sender<Chunk>, mpsc::Receiver<Chunk>) {
+    mpsc::channel(CHUNK_BUFFER)
 }
 
 /// The body of a response to a caller.
 #[derive(Debug)]
 pub enum Body {
     /// It is held whole.
-    Whole(Full<Bytes>),
+    Full(Full<Bytes>),
     /// It arrives in pieces.
     Stream(Box<Stream>),
 }
@@ -60,65 +60,65 @@
 /// A streamed body.
 #[derive(Debug)]
 pub struct Stream {
-    pieces: mpsc::Receiver<Piece>,
-    events: Events,
-    end: End,
+    chunks: mpsc::Receiver<Chunk>,
+    format: Format,
+    state: State,
     /// Bytes that are still to come, where the length was announced.
-    left: Option<u64>,
+    remaining: Option<u64>,
     id: request::Id,
-    trace: Trace,
+    reporter: Reporter,
 }
 
 /// How far a stream that broke off has come.
 #[derive(Debug)]
-enum End {
+enum State {
     /// It has not broken off.
     Open,
     /// Its last event was handed on and has to leave the process yet.
-    Told(Refusal),
+    ErrorQueued(Refusal),
     /// Its last event has left.
-    Flushed(Refusal),
+    ErrorFlushed(Refusal),
     /// It was reset.
     Reset,
 }
 
 /// Whether a stream consists of server-sent events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Events {
+pub enum Format {
     /// It does: an error can be told in a last event.
-    Sent,
+    EventStream,
     /// It does not.
-    None,
+    Other,
 }
 
-impl Events {
+impl Format {
     /// What an answer with these headers consists of.
     pub fn of(headers: &HeaderMap) -> Self {
         let content_type = headers.get(header::CONTENT_TYPE);
         let text = content_type.and_then(|value| value.to_str().ok());
         match text {
-            Some(text) if text.starts_with("text/event-stream") => Self::Sent,
-            _ => Self::None,
+            Some(text) if text.starts_with("text/event-stream") => Self::EventStream,
+            _ => Self::Other,
         }
     }
 }
 
 impl Body {
     /// A body that is held whole.
-    pub fn whole(bytes: impl Into<Bytes>) -> Self {
-        Self::Whole(Full::new(bytes.into()))
+    pub fn full(bytes: impl Into<Bytes>) -> Self {
+        Self::Full(Full::new(bytes.into()))
     }
 
     /// The body of an answer that arrives in pieces.
-    pub fn stream(answer: Answer, id: request::Id, trace: Trace) -> Self {
+    pub fn stream(answer: Answer, id: request::Id, reporter: Reporter) -> Self {
         let length = answer.headers.get(header::CONTENT_LENGTH);
         Self::Stream(Box::new(Stream {
-            events: Events::of(&answer.headers),
-            left: length.and_then(|value| value.to_str().ok()?.parse().ok()),
-            pieces: answer.body,
-            end: End::Open,
+            format: Format::of(&answer.headers),
+            remaining: length.and_then(|value| value.to_str().ok()?.parse().ok()),
+            chunks: answer.body,
+            state: State::Open,
             id,
-            trace,
+            reporter,
         }))
     }
 }
@@ -132,7 +132,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Refusal>>> {
         match self.get_mut() {
-            Self::Whole(full) => pin::Pin::new(full)
+            Self::Full(full) => pin::Pin::new(full)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
             Self::Stream(stream) => stream.poll(cx),
@@ -141,14 +141,14 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(full) => full.is_end_stream(),
+            Self::Full(full) => full.is_end_stream(),
             Self::Stream(_) => false,
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(full) => full.size_hint(),
+            Self::Full(full) => full.size_hint(),
             Self::Stream(_) => SizeHint::default(),
         }
     }
@@ -156,27 +156,27 @@
 
 impl Stream {
     fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Refusal>>> {
-        match mem::replace(&mut self.end, End::Reset) {
-            End::Open => self.end = End::Open,
-            End::Told(refusal) => {
+        match mem::replace(&mut self.state, State::Reset) {
+            State::Open => self.state = State::Open,
+            State::ErrorQueued(refusal) => {
                 // The server drops what it has not written yet when a body
                 // fails, and the caller would see a bare reset. It writes
                 // everything out whenever a body is not ready.
-                self.end = End::Flushed(refusal);
+                self.state = State::ErrorFlushed(refusal);
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            End::Flushed(refusal) => return Poll::Ready(Some(Err(refusal))),
-            End::Reset => return Poll::Ready(None),
+            State::ErrorFlushed(refusal) => return Poll::Ready(Some(Err(refusal))),
+            State::Reset => return Poll::Ready(None),
         }
-        match self.pieces.poll_recv(cx) {
+        match self.chunks.poll_recv(cx) {
             Poll::Pending => Poll::Pending,
             Poll::Ready(None) => {
-                self.trace.completed();
+                self.reporter.completed();
                 Poll::Ready(None)
             }
             Poll::Ready(Some(Ok(bytes))) => {
-                self.pass(&bytes);
+                self.record(&bytes);
                 Poll::Ready(Some(Ok(Frame::data(bytes))))
             }
             Poll::Ready(Some(Err(refusal))) => self.fail(refusal),
@@ -187,13 +187,13 @@
     ///
     /// The server does not ask for more once the announced length has passed,
     /// so the end of such a body is noticed here.
-    fn pass(&mut self, bytes: &Bytes) {
-        self.trace.piece(bytes);
-        self.left = self
-            .left
-            .map(|left| left.saturating_sub(bytes.len() as u64));
-        if self.left == Some(0) {
-            self.trace.completed();
+    fn record(&mut self, bytes: &Bytes) {
+        self.reporter.record_chunk(bytes);
+        self.remaining = self
+            .remaining
+            .map(|remaining| remaining.saturating_sub(bytes.len() as u64));
+        if self.remaining == Some(0) {
+            self.reporter.completed();
         }
     }
 
@@ -203,19 +203,19 @@
     /// So the error goes out as a last event where there are events, and the
     /// connection is reset after it in any case.
     fn fail(&mut self, refusal: Refusal) -> Poll<Option<Result<Frame<Bytes>, Refusal>>> {
-        self.trace.broken(&refusal);
-        if self.events == Events::None {
+        self.reporter.failed(&refusal);
+        if self.format == Format::Other {
             return Poll::Ready(Some(Err(refusal)));
         }
         let event = format!("data: {}\n\n", json(&refusal, None, self.id));
-        self.end = End::Told(refusal);
+        self.state = State::ErrorQueued(refusal);
         Poll::Ready(Some(Ok(Frame::data(Bytes::from(event)))))
     }
 }
 
 /// The response that repeats the recorded outcome of a request that ran before.
 pub fn replay(outcome: Outcome) -> Response<Body> {
-    let mut response = Response::new(Body::whole(outcome.body.unwrap_or_default()));
+    let mut response = Response::new(Body::full(outcome.body.unwrap_or_default()));
     if let Ok(status) = StatusCode::from_u16(outcome.status) {
         *response.status_mut() = status;
     }
@@ -224,7 +224,7 @@
     if let Ok(value) = header::HeaderValue::from_str(&content_type) {
         headers.insert(header::CONTENT_TYPE, value);
     }
-    headers.insert(REPLAYED, header::HeaderValue::from_static("true"));
+    headers.insert(REPLAYED_HEADER, header::HeaderValue::from_static("true"));
     response
 }
 
@@ -232,8 +232,8 @@
 pub fn refuse(refusal: &Refusal, id: request::Id, clock: &Clock) -> Response<Body> {
     let retry_after = refusal
         .retry_at
-        .map(|instant| whole_seconds(instant.since(clock.now())));
-    let mut response = Response::new(Body::whole(json(refusal, retry_after, id)));
+        .map(|instant| round_up_to_seconds(instant.since(clock.now())));
+    let mut response = Response::new(Body::full(json(refusal, retry_after, id)));
     *response.status_mut() = status(refusal.code);
     let headers = response.headers_mut();
     headers.insert(
@@ -247,11 +247,11 @@
 }
 
 /// The instant `millis` milliseconds from now, for a refusal.
-pub fn come_back(clock: &Clock, millis: u64) -> time::Instant {
+pub fn retry_instant(clock: &Clock, millis: u64) -> time::Instant {
     clock.now() + Duration::from_millis(millis)
 }
 
-fn whole_seconds(wait: Duration) -> u64 {
+fn round_up_to_seconds(wait: Duration) -> u64 {
     wait.as_secs() + u64::from(wait.subsec_nanos() > 0)
 }
 
--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -37,7 +37,7 @@
     body: Bytes,
     clock: Clock,
 ) -> Result<Answer, Refusal> {
-    let request = compose(open, body, permit.attempt())?;
+    let request = build_request(open, body, permit.attempt())?;
     let (mut connection, request) = match permit.take_connection() {
         Some(idle) => (idle, request),
         None => match Connection::open(permit.address()).await {
@@ -46,33 +46,33 @@
         },
     };
     let deadline = clock.now() + Duration::from_millis(open.remaining_ms);
-    let watch = relay::Watch {
+    let watchdog = relay::Watchdog {
         clock,
         deadline,
         mode: mode(open),
     };
-    let first = relay::head(&mut connection, request, &permit, &watch).await;
+    let first = relay::head(&mut connection, request, &permit, &watchdog).await;
     let response = match first {
         Ok(response) => response,
-        Err(relay::Broken::Unsent(request)) => {
+        Err(relay::Error::Unsent(request)) => {
             // The server closed the idle connection while it was not in use. No
             // byte has left, so the same attempt goes over a fresh one.
             connection = match Connection::open(permit.address()).await {
                 Ok(fresh) => fresh,
                 Err(error) => return Err(unreachable(permit, &error)),
             };
-            match relay::head(&mut connection, *request, &permit, &watch).await {
+            match relay::head(&mut connection, *request, &permit, &watchdog).await {
                 Ok(response) => response,
-                Err(relay::Broken::Unsent(_)) => {
+                Err(relay::Error::Unsent(_)) => {
                     permit.finish(owner::Outcome::Failed, None);
-                    return Err(closed());
+                    return Err(closed_before_send());
                 }
-                Err(broken) => return Err(relay::explain(permit, broken, &watch).await),
+                Err(error) => return Err(relay::into_refusal(permit, error, &watchdog).await),
             }
         }
-        Err(broken) => return Err(relay::explain(permit, broken, &watch).await),
+        Err(error) => return Err(relay::into_refusal(permit, error, &watchdog).await),
     };
-    answer::start(permit, connection, response, open, watch)
+    answer::start(permit, connection, response, open, watchdog)
 }
 
 /// What a wait without progress leads to.
@@ -80,7 +80,7 @@
     if open.events {
         relay::Mode::Resume
     } else if open.idempotent {
-        relay::Mode::Repeat
+        relay::Mode::Retry
     } else {
         relay::Mode::Wait
     }
@@ -101,14 +101,14 @@
     Refusal::not_run(Code::NoServer, message)
 }
 
-fn closed() -> Refusal {
+fn closed_before_send() -> Refusal {
     Refusal::not_run(
         Code::NoServer,
         "The backend server closed the connection before the request was sent.",
     )
 }
 
-fn compose(
+fn build_request(
     open: &hop::Open,
     body: Bytes,
     attempt: request::Attempt,
--- a/crates/router/src/backend/answer.rs
+++ b/crates/router/src/backend/answer.rs
@@ -10,10 +10,10 @@
 
 use super::{
     ATTEMPT_HEADER, Connection,
-    relay::{self, Mode, Silence, Watch},
+    relay::{self, Check, Mode, Watchdog},
 };
 use crate::{
-    answer::{self, Answer, Events, Piece},
+    answer::{self, Answer, Chunk, Format},
     owner,
 };
 
@@ -39,13 +39,13 @@
     connection: Connection,
     response: Response<Incoming>,
     open: &hop::Open,
-    watch: Watch,
+    watchdog: Watchdog,
 ) -> Result<Answer, Refusal> {
     let (head, body) = response.into_parts();
     // An answer that was crossed with another one would show one workspace's
     // data to another. The echoed attempt gives it away; the connection is
     // dropped with it, since all its later answers would be off by one.
-    if !echoes(&head.headers, permit.attempt()) {
+    if !matches_attempt(&head.headers, permit.attempt()) {
         logging::event!(
             error,
             "answer_crossed",
@@ -58,21 +58,21 @@
             "The backend server answered another request.",
         ));
     }
-    let (pieces, receiver) = answer::channel();
-    let events = open.events && Events::of(&head.headers) == Events::Sent;
-    let pump = Pump {
+    let (chunks, receiver) = answer::channel();
+    let events = open.events && Format::of(&head.headers) == Format::EventStream;
+    let forwarder = Forwarder {
         permit,
         connection,
         body,
-        pieces,
-        watch: Watch {
-            mode: if events { watch.mode } else { Mode::Wait },
-            ..watch
+        chunks,
+        watchdog: Watchdog {
+            mode: if events { watchdog.mode } else { Mode::Wait },
+            ..watchdog
         },
         tail: Tail::new(events),
-        found_well: 0,
+        healthy_checks: 0,
     };
-    tokio::spawn(pump.run());
+    tokio::spawn(forwarder.run());
     Ok(Answer {
         status: head.status,
         headers: end_to_end(head.headers),
@@ -80,7 +80,7 @@
     })
 }
 
-fn echoes(headers: &HeaderMap, attempt: request::Attempt) -> bool {
+fn matches_attempt(headers: &HeaderMap, attempt: request::Attempt) -> bool {
     let Some(value) = headers.get(ATTEMPT_HEADER) else {
         return true;
     };
@@ -100,7 +100,7 @@
 #[derive(Debug)]
 struct Tail {
     events: bool,
-    seen: u64,
+    events_seen: u64,
     bytes: Vec<u8>,
 }
 
@@ -111,23 +111,23 @@
     fn new(events: bool) -> Self {
         Self {
             events,
-            seen: 0,
+            events_seen: 0,
             bytes: Vec::with_capacity(2 * Self::LENGTH),
         }
     }
 
-    fn push(&mut self, piece: &Bytes) {
+    fn push(&mut self, chunk: &Bytes) {
         if self.events {
-            self.seen += count_events(&self.bytes, piece);
+            self.events_seen += count_events(&self.bytes, chunk);
         }
-        let start = piece.len().saturating_sub(Self::LENGTH);
-        self.bytes.extend_from_slice(&piece[start..]);
+        let start = chunk.len().saturating_sub(Self::LENGTH);
+        self.bytes.extend_from_slice(&chunk[start..]);
         let excess = self.bytes.len().saturating_sub(Self::LENGTH);
         self.bytes.drain(..excess);
     }
 
     /// Whether all of the answer has been seen.
-    fn is_whole(&self) -> bool {
+    fn is_complete(&self) -> bool {
         !self.events
             || self
                 .bytes
@@ -147,7 +147,7 @@
     }
 
     /// Whether the stream may be resumed without a gap or a repeat.
-    fn ends_with_event(&self) -> bool {
+    fn ends_at_event_boundary(&self) -> bool {
         self.bytes.is_empty() || self.bytes.ends_with(b"\n\n")
     }
 }
@@ -160,47 +160,47 @@
     rest[..end].parse().ok()
 }
 
-/// Counts the ends of events in `piece`, given the bytes before it.
-fn count_events(before: &[u8], piece: &Bytes) -> u64 {
-    let across = before.last() == Some(&b'\n') && !before.ends_with(b"\n\n");
-    let first = across && piece.first() == Some(&b'\n');
-    let within = piece.windows(2).filter(|pair| *pair == b"\n\n").count() as u64;
-    within + u64::from(first)
+/// Counts the ends of events in `chunk`, given the bytes before it.
+fn count_events(before: &[u8], chunk: &Bytes) -> u64 {
+    let spans_boundary = before.last() == Some(&b'\n') && !before.ends_with(b"\n\n");
+    let at_start = spans_boundary && chunk.first() == Some(&b'\n');
+    let within = chunk.windows(2).filter(|pair| *pair == b"\n\n").count() as u64;
+    within + u64::from(at_start)
 }
 
 /// Passes the body of one answer on.
-struct Pump {
+struct Forwarder {
     permit: owner::Permit,
     connection: Connection,
     body: Incoming,
-    pieces: mpsc::Sender<Piece>,
-    watch: Watch,
+    chunks: mpsc::Sender<Chunk>,
+    watchdog: Watchdog,
     tail: Tail,
     /// How often the server was found well since the last progress.
-    found_well: u32,
+    healthy_checks: u32,
 }
 
 /// How the body of an answer ended.
 enum End {
     /// It is whole.
-    Whole,
+    Complete,
     /// The caller has gone.
     Cancelled,
     /// It broke off.
-    Broken(Refusal, owner::Outcome),
+    Failed(Refusal, owner::Outcome),
 }
 
-impl Pump {
+impl Forwarder {
     async fn run(mut self) {
-        let end = self.pass().await;
+        let end = self.forward().await;
         match end {
-            End::Whole => {
+            End::Complete => {
                 let connection = self.connection.is_usable().then_some(self.connection);
                 self.permit.set_usage(self.tail.usage());
                 self.permit.finish(owner::Outcome::Completed, connection);
             }
             End::Cancelled => self.permit.finish(owner::Outcome::Cancelled, None),
-            End::Broken(refusal, outcome) => {
+            End::Failed(refusal, outcome) => {
                 logging::event!(
                     warn,
                     "answer_broken",
@@ -210,18 +210,18 @@
                 );
                 self.permit.finish(outcome, None);
                 // The receiver may have gone meanwhile; then nobody waits.
-                let _ = self.pieces.send(Err(refusal)).await;
+                let _ = self.chunks.send(Err(refusal)).await;
             }
         }
     }
 
-    async fn pass(&mut self) -> End {
+    async fn forward(&mut self) -> End {
         loop {
             let frame = tokio::select! {
                 frame = self.body.frame() => frame,
-                () = self.pieces.closed() => return End::Cancelled,
-                () = time::sleep_until(self.watch.examine_at()) => {
-                    match self.examine().await {
+                () = self.chunks.closed() => return End::Cancelled,
+                () = time::sleep_until(self.watchdog.next_check()) => {
+                    match self.check_stalled_stream().await {
                         Some(end) => return end,
                         None => continue,
                     }
@@ -229,70 +229,71 @@
             };
             match frame {
                 Some(Ok(frame)) => {
-                    let Ok(piece) = frame.into_data() else {
+                    let Ok(chunk) = frame.into_data() else {
                         continue;
                     };
                     self.permit.record_first_byte();
-                    self.found_well = 0;
-                    self.tail.push(&piece);
-                    if self.pieces.send(Ok(piece)).await.is_err() {
+                    self.healthy_checks = 0;
+                    self.tail.push(&chunk);
+                    if self.chunks.send(Ok(chunk)).await.is_err() {
                         return End::Cancelled;
                     }
                 }
-                Some(Err(_)) => return self.broken_off().await,
-                None if self.tail.is_whole() => return End::Whole,
-                None => return self.broken_off().await,
+                Some(Err(_)) => return self.resume_or_fail().await,
+                None if self.tail.is_complete() => return End::Complete,
+                None => return self.resume_or_fail().await,
             }
         }
     }
 
     /// Examines a stream without progress; `None` lets it go on.
-    async fn examine(&mut self) -> Option<End> {
-        if self.watch.is_over() {
+    async fn check_stalled_stream(&mut self) -> Option<End> {
+        if self.watchdog.is_expired() {
             let refusal =
                 Refusal::may_have_run(Code::Deadline, "The answer did not end by the deadline.");
-            return Some(End::Broken(refusal, owner::Outcome::DeadlineExceeded));
+            return Some(End::Failed(refusal, owner::Outcome::DeadlineExceeded));
         }
-        if !self.tail.ends_with_event() {
+        if !self.tail.ends_at_event_boundary() {
             return None;
         }
-        match relay::examine_silence(&self.permit, &self.watch, self.tail.seen).await {
-            Silence::Resumed(response) => {
+        match relay::check_backend(&self.permit, &self.watchdog, self.tail.events_seen).await {
+            Check::Resumed(response) => {
                 self.body = response.into_body();
                 None
             }
-            Silence::Well => {
-                self.found_well += 1;
-                self.watch.is_silent(self.found_well).then(|| {
+            Check::Healthy => {
+                self.healthy_checks += 1;
+                self.watchdog.is_stalled(self.healthy_checks).then(|| {
                     let message = "The connection to the backend server went silent.";
                     let refusal = Refusal::may_have_run(Code::BackendFailed, message);
-                    End::Broken(refusal, owner::Outcome::Cancelled)
+                    End::Failed(refusal, owner::Outcome::Cancelled)
                 })
             }
-            Silence::Dead => {
+            Check::Unresponsive => {
                 let refusal = Refusal::may_have_run(
                     Code::BackendFailed,
                     "The backend server stopped answering.",
                 );
-                Some(End::Broken(refusal, owner::Outcome::Unreachable))
+                Some(End::Failed(refusal, owner::Outcome::Unreachable))
             }
         }
     }
 
     /// Resumes a stream that was cut, or explains why it cannot.
-    async fn broken_off(&mut self) -> End {
-        if self.watch.mode == Mode::Resume && self.tail.ends_with_event() {
-            let silence = relay::examine_silence(&self.permit, &self.watch, self.tail.seen).await;
-            if let Silence::Resumed(response) = silence {
+    async fn resume_or_fail(&mut self) -> End {
+        if self.watchdog.mode == Mode::Resume && self.tail.ends_at_event_boundary() {
+            let check =
+                relay::check_backend(&self.permit, &self.watchdog, self.tail.events_seen).await;
+            if let Check::Resumed(response) = check {
                 self.body = response.into_body();
                 // One resumption for each cut: a server that cuts again at the
                 // same place makes no progress and is left.
-                self.watch.mode = Mode::Wait;
-                return Box::pin(self.pass()).await;
+                self.watchdog.mode = Mode::Wait;
+                return Box::pin(self.forward()).await;
             }
         }
-        let code = relay::examine_closed(self.permit.address(), self.permit.boot()).await;
+        let code = relay::classify_close(self.permit.address(), self.permit.boot()).await;
         let refusal = Refusal::may_have_run(code, "The answer was cut short.");
-        End::Broken(refusal, owner::Outcome::Failed)
+        End::Failed(refusal, owner::Outcome::Failed)
     }
 }
--- a/crates/router/src/backend/load.rs
+++ b/crates/router/src/backend/load.rs
@@ -13,7 +13,7 @@
 /// How long a report may take.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
 /// The largest report, in bytes.
-const MAX_REPORT: usize = 64 * 1024;
+const MAX_REPORT_BYTES: usize = 64 * 1024;
 
 /// What a backend server reports of itself.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
@@ -67,7 +67,7 @@
 /// When the server does not accept the connection or closes it.
 pub async fn get(address: net::SocketAddr, target: &str) -> Result<Response<Incoming>, Error> {
     let mut connection = Connection::open(address).await.map_err(Error::Connect)?;
-    let request = question(address, target)?;
+    let request = build_request(address, target)?;
     connection.send(request).await.map_err(|_| Error::Closed)
 }
 
@@ -103,7 +103,7 @@
     /// # Errors
     ///
     /// As [`read`].
-    pub async fn ask(&mut self) -> Result<Report, Error> {
+    pub async fn poll(&mut self) -> Result<Report, Error> {
         let kept = self.connection.take().filter(Connection::is_usable);
         let mut connection = match kept {
             Some(kept) => kept,
@@ -111,19 +111,19 @@
                 .await
                 .map_err(Error::Connect)?,
         };
-        let response = connection.send(question(self.address, "/load")?).await;
+        let response = connection.send(build_request(self.address, "/load")?).await;
         let report = report(response.map_err(|_| Error::Closed)?).await?;
         self.connection = Some(connection);
         Ok(report)
     }
 
     /// Drops the kept connection, which may have gone silent.
-    pub fn forget(&mut self) {
+    pub fn disconnect(&mut self) {
         self.connection = None;
     }
 }
 
-fn question(address: net::SocketAddr, target: &str) -> Result<Request<Full<Bytes>>, Error> {
+fn build_request(address: net::SocketAddr, target: &str) -> Result<Request<Full<Bytes>>, Error> {
     Request::get(target)
         .header(header::HOST, address.to_string())
         .body(Full::<Bytes>::default())
@@ -134,7 +134,7 @@
     if !response.status().is_success() {
         return Err(Error::Status(response.status().as_u16()));
     }
-    let body = Limited::new(response.into_body(), MAX_REPORT)
+    let body = Limited::new(response.into_body(), MAX_REPORT_BYTES)
         .collect()
         .await
         .map_err(|_| Error::Malformed)?;
--- a/crates/router/src/backend/relay.rs
+++ b/crates/router/src/backend/relay.rs
@@ -14,12 +14,12 @@
 
 /// How often a server that is well may be found without progress before the
 /// connection counts as silent.
-const PATIENCE: u32 = 2;
+const MAX_HEALTHY_CHECKS: u32 = 2;
 /// The same where the request cannot be run again: a late answer is worth more
 /// than none, but a caller must not be held until its deadline.
-const LAST_PATIENCE: u32 = 3;
+const MAX_HEALTHY_CHECKS_NO_RETRY: u32 = 3;
 /// How long a caller should wait after a missed deadline.
-const RETRY_WAIT: Duration = Duration::from_secs(1);
+const RETRY_DELAY: Duration = Duration::from_secs(1);
 
 /// What a wait without progress leads to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -27,14 +27,14 @@
     /// The attempt's stream is resumed on a fresh connection.
     Resume,
     /// The request can be run again elsewhere.
-    Repeat,
+    Retry,
     /// Nothing can be done but to wait for a while.
     Wait,
 }
 
 /// What bounds the wait for an answer.
 #[derive(Clone, Copy, Debug)]
-pub struct Watch {
+pub struct Watchdog {
     /// The clock that the deadline refers to.
     pub clock: Clock,
     /// When the caller stops waiting.
@@ -43,53 +43,53 @@
     pub mode: Mode,
 }
 
-impl Watch {
+impl Watchdog {
     /// When the connection is examined if no byte has arrived by then.
-    pub fn examine_at(&self) -> time::Instant {
+    pub fn next_check(&self) -> time::Instant {
         let instant = self.deadline.min(self.clock.now() + PROGRESS_TIMEOUT);
         self.clock.at(instant)
     }
 
     /// Whether a server that is well was found without progress too often.
-    pub fn is_silent(&self, found_well: u32) -> bool {
-        let patience = match self.mode {
-            Mode::Resume | Mode::Repeat => PATIENCE,
-            Mode::Wait => LAST_PATIENCE,
+    pub fn is_stalled(&self, healthy_checks: u32) -> bool {
+        let max_checks = match self.mode {
+            Mode::Resume | Mode::Retry => MAX_HEALTHY_CHECKS,
+            Mode::Wait => MAX_HEALTHY_CHECKS_NO_RETRY,
         };
-        found_well >= patience
+        healthy_checks >= max_checks
     }
 
     /// Whether the caller has stopped waiting.
-    pub fn is_over(&self) -> bool {
+    pub fn is_expired(&self) -> bool {
         self.clock.now() >= self.deadline
     }
 }
 
 /// Why there is no head of an answer.
 #[derive(Debug)]
-pub enum Broken {
+pub enum Error {
     /// No byte of the request has left.
     Unsent(Box<Request<Full<Bytes>>>),
     /// The connection broke.
     Closed(hyper::Error),
     /// The caller's deadline passed.
-    Late,
+    DeadlineExceeded,
     /// The connection went silent, and the server answers on a fresh one.
-    Silent,
+    Stalled,
     /// The server answers nowhere.
-    Dead,
+    Unresponsive,
 }
 
-impl fmt::Display for Broken {
+impl fmt::Display for Error {
     /// The reason alone: the request that was not sent holds the caller's data,
     /// which has no place in a log.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unsent(_) => f.write_str("unsent"),
             Self::Closed(error) => write!(f, "closed: {error}"),
-            Self::Late => f.write_str("late"),
-            Self::Silent => f.write_str("silent"),
-            Self::Dead => f.write_str("dead"),
+            Self::DeadlineExceeded => f.write_str("late"),
+            Self::Stalled => f.write_str("silent"),
+            Self::Unresponsive => f.write_str("dead"),
         }
     }
 }
@@ -109,107 +109,107 @@
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
     permit: &owner::Permit,
-    watch: &Watch,
-) -> Result<Response<Incoming>, Broken> {
+    watchdog: &Watchdog,
+) -> Result<Response<Incoming>, Error> {
     let sent = connection.send(request);
     tokio::pin!(sent);
-    let mut found_well = 0;
+    let mut healthy_checks = 0;
     loop {
         tokio::select! {
-            result = &mut sent => return result.map_err(broken),
-            () = time::sleep_until(watch.examine_at()) => {}
+            result = &mut sent => return result.map_err(head_error),
+            () = time::sleep_until(watchdog.next_check()) => {}
         }
-        if watch.is_over() {
-            return Err(Broken::Late);
+        if watchdog.is_expired() {
+            return Err(Error::DeadlineExceeded);
         }
-        match examine_silence(permit, watch, 0).await {
-            Silence::Resumed(response) => return Ok(*response),
-            Silence::Dead => return Err(Broken::Dead),
-            Silence::Well => found_well += 1,
+        match check_backend(permit, watchdog, 0).await {
+            Check::Resumed(response) => return Ok(*response),
+            Check::Unresponsive => return Err(Error::Unresponsive),
+            Check::Healthy => healthy_checks += 1,
         }
-        if watch.is_silent(found_well) {
-            return Err(Broken::Silent);
+        if watchdog.is_stalled(healthy_checks) {
+            return Err(Error::Stalled);
         }
     }
 }
 
-fn broken(failure: Failure) -> Broken {
+fn head_error(failure: Failure) -> Error {
     match failure {
-        Failure::Unsent(request) => Broken::Unsent(request),
-        Failure::Broken(error) => Broken::Closed(error),
+        Failure::Unsent(request) => Error::Unsent(request),
+        Failure::Broken(error) => Error::Closed(error),
     }
 }
 
 /// What a server without progress says on a fresh connection.
 #[derive(Debug)]
-pub enum Silence {
+pub enum Check {
     /// It goes on with the attempt's stream there.
     Resumed(Box<Response<Incoming>>),
     /// It answers, but cannot resume the attempt.
-    Well,
+    Healthy,
     /// It does not answer.
-    Dead,
+    Unresponsive,
 }
 
 /// Asks a server on a fresh connection about an attempt without progress.
-pub async fn examine_silence(permit: &owner::Permit, watch: &Watch, from: u64) -> Silence {
+pub async fn check_backend(permit: &owner::Permit, watchdog: &Watchdog, from: u64) -> Check {
     let address = permit.address();
-    if watch.mode != Mode::Resume {
-        return well(time::timeout(load::TIMEOUT, load::get(address, "/load")).await);
+    if watchdog.mode != Mode::Resume {
+        return classify_check(time::timeout(load::TIMEOUT, load::get(address, "/load")).await);
     }
-    let target = stream_target(permit.attempt(), from);
+    let target = resume_target(permit.attempt(), from);
     match time::timeout(load::TIMEOUT, load::get(address, &target)).await {
         Ok(Ok(response)) if response.status() == StatusCode::OK => {
-            Silence::Resumed(Box::new(response))
+            Check::Resumed(Box::new(response))
         }
-        other => well(other),
+        other => classify_check(other),
     }
 }
 
-fn well<T, E>(answer: Result<Result<T, load::Error>, E>) -> Silence {
+fn classify_check<T, E>(answer: Result<Result<T, load::Error>, E>) -> Check {
     match answer {
-        Ok(Ok(_)) => Silence::Well,
-        Ok(Err(_)) | Err(_) => Silence::Dead,
+        Ok(Ok(_)) => Check::Healthy,
+        Ok(Err(_)) | Err(_) => Check::Unresponsive,
     }
 }
 
-fn stream_target(attempt: request::Attempt, from: u64) -> String {
+fn resume_target(attempt: request::Attempt, from: u64) -> String {
     format!("/streams/{attempt}?from={from}")
 }
 
 /// Gives the permit back and tells what a broken wait means for the caller.
-pub async fn explain(permit: owner::Permit, broken: Broken, watch: &Watch) -> Refusal {
+pub async fn into_refusal(permit: owner::Permit, error: Error, watchdog: &Watchdog) -> Refusal {
     logging::event!(
         warn,
         "backend_broken",
         server = permit.server(),
         attempt = permit.attempt(),
-        reason = broken
+        reason = error
     );
     let server = permit.server().clone();
-    match broken {
-        Broken::Unsent(_) => {
+    match error {
+        Error::Unsent(_) => {
             permit.finish(owner::Outcome::Failed, None);
             let message = format!("Backend server {server} closed the connection.");
             Refusal::not_run(Code::NoServer, message)
         }
-        Broken::Closed(_) => {
-            let code = examine_closed(permit.address(), permit.boot()).await;
+        Error::Closed(_) => {
+            let code = classify_close(permit.address(), permit.boot()).await;
             permit.finish(owner::Outcome::Failed, None);
             let message = format!("Backend server {server} closed the connection.");
             Refusal::may_have_run(code, message)
         }
-        Broken::Late => {
+        Error::DeadlineExceeded => {
             permit.finish(owner::Outcome::DeadlineExceeded, None);
             Refusal::may_have_run(Code::Deadline, "The answer did not come by the deadline.")
-                .retry_at(watch.clock.now() + RETRY_WAIT)
+                .retry_at(watchdog.clock.now() + RETRY_DELAY)
         }
-        Broken::Silent => {
+        Error::Stalled => {
             permit.finish(owner::Outcome::Cancelled, None);
             let message = format!("The connection to backend server {server} went silent.");
             Refusal::may_have_run(Code::BackendFailed, message)
         }
-        Broken::Dead => {
+        Error::Unresponsive => {
             permit.finish(owner::Outcome::Unreachable, None);
             let message = format!("Backend server {server} stopped answering.");
             Refusal::may_have_run(Code::BackendFailed, message)
@@ -222,7 +222,7 @@
 /// Only a server that died counts towards the suspicion against the requests
 /// that it ran; one that closed a single connection does not. A new boot id or
 /// a refused connection shows that it died.
-pub async fn examine_closed(address: net::SocketAddr, boot: Option<&str>) -> Code {
+pub async fn classify_close(address: net::SocketAddr, boot: Option<&str>) -> Code {
     match time::timeout(load::TIMEOUT, load::read(address)).await {
         Ok(Ok(report)) => match boot {
             Some(boot) if boot != report.boot => Code::BackendDied,
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -1,6 +1,6 @@
 //! The HTTP server that callers speak to.
 
-mod own;
+mod pages;
 mod parse;
 
 use std::{sync::Arc, time::Duration};
@@ -67,7 +67,7 @@
         .timer(TokioTimer::new())
         .header_read_timeout(limits::HEAD_TIMEOUT)
         .max_headers(limits::MAX_HEADERS_READ)
-        .max_buf_size(limits::MAX_HEAD_READ)
+        .max_buf_size(limits::MAX_HEAD_READ_BYTES)
         .serve_connection(TokioIo::new(stream), service);
     tokio::pin!(connection);
     let result = tokio::select! {
@@ -83,7 +83,7 @@
 }
 
 async fn handle(request: Request<Incoming>, entry: Arc<Entry>) -> Result<Response<Body>, Refusal> {
-    if let Some(response) = own::respond(&request, &entry).await {
+    if let Some(response) = pages::respond(&request, &entry).await {
         return Ok(response);
     }
     let id = parse::id(request.headers());
@@ -140,7 +140,7 @@
                 request = id,
                 workspace = workspace,
                 route = route,
-                server = served.trace.server(),
+                server = served.reporter.server(),
                 status = served.answer.status.as_u16(),
                 head_ms = head_ms
             );
@@ -155,10 +155,10 @@
 }
 
 fn stream(served: Served, id: request::Id) -> Response<Body> {
-    let Served { answer, trace } = served;
+    let Served { answer, reporter } = served;
     let status = answer.status;
     let headers = answer.headers.clone();
-    let mut response = Response::new(Body::stream(answer, id, trace));
+    let mut response = Response::new(Body::stream(answer, id, reporter));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
--- a/crates/router/src/caller/own.rs
+++ b/crates/router/src/caller/pages.rs
@@ -31,19 +31,22 @@
 async fn status(entry: &Entry) -> Response<Body> {
     let page = entry.status().await;
     match serde_json::to_string(&page) {
-        Ok(json) => typed(StatusCode::OK, &json, "application/json"),
+        Ok(json) => with_content_type(StatusCode::OK, &json, "application/json"),
         Err(error) => text(StatusCode::INTERNAL_SERVER_ERROR, &error.to_string()),
     }
 }
 
 fn text(status: StatusCode, text: &str) -> Response<Body> {
-    typed(status, text, "text/plain; charset=utf-8")
+    with_content_type(status, text, "text/plain; charset=utf-8")
 }
 
-fn typed(status: StatusCode, text: &str, kind: &'static str) -> Response<Body> {
-    let mut response = Response::new(Body::whole(String::from(text)));
+fn with_content_type(status: StatusCode, text: &str, content_type: &'static str) -> Response<Body> {
+    let mut response = Response::new(Body::full(String::from(text)));
     *response.status_mut() = status;
     let headers: &mut HeaderMap = response.headers_mut();
-    headers.insert(header::CONTENT_TYPE, header::HeaderValue::from_static(kind));
+    headers.insert(
+        header::CONTENT_TYPE,
+        header::HeaderValue::from_static(content_type),
+    );
     response
 }
--- a/crates/router/src/caller/parse.rs
+++ b/crates/router/src/caller/parse.rs
@@ -36,9 +36,9 @@
 
 /// The id that the caller gave its request, or a fresh one.
 pub fn id(headers: &HeaderMap) -> request::Id {
-    text(headers, "x-request-id")
-        .filter(|text| text.len() == 16)
-        .and_then(|text| text.parse().ok())
+    header_text(headers, "x-request-id")
+        .filter(|value| value.len() == 16)
+        .and_then(|value| value.parse().ok())
         .unwrap_or_else(|| request::Id(rand::random()))
 }
 
@@ -57,7 +57,7 @@
     let headers = &parts.headers;
     check_head(&parts)?;
     let workspace = workspace(headers, &snapshot)?;
-    let body = read(body).await?;
+    let body = read_body(body).await?;
     let path = parts.uri.path();
     let prompt: Result<Prompt, _> = serde_json::from_slice(&body);
     let model = prompt
@@ -99,7 +99,7 @@
         priority: route.priority,
         deadline: entry.clock.now() + timeout(headers, route)?,
         repeat,
-        key: key(headers)?,
+        idempotency_key: idempotency_key(headers)?,
         fingerprint: entry.fingerprint(&workspace, &route.name, &target, &body),
         events: prompt.stream,
         headers: forwarded(headers, id, &workspace, chat, route.priority),
@@ -120,8 +120,11 @@
         .iter()
         .map(|(name, value)| name.as_str().len() + value.len());
     let length = parts.uri.to_string().len() + names.sum::<usize>();
-    if length > limits::MAX_HEAD {
-        let message = format!("The head is over its limit of {} bytes.", limits::MAX_HEAD);
+    if length > limits::MAX_HEAD_BYTES {
+        let message = format!(
+            "The head is over its limit of {} bytes.",
+            limits::MAX_HEAD_BYTES
+        );
         return Err(Refusal::not_run(Code::TooLarge, message));
     }
     Ok(())
@@ -129,7 +132,7 @@
 
 fn workspace(headers: &HeaderMap, snapshot: &Snapshot) -> Result<workspace::Id, Refusal> {
     let unknown = |message: &str| Refusal::not_run(Code::UnknownWorkspace, message);
-    let name = text(headers, "x-weir-workspace")
+    let name = header_text(headers, "x-weir-workspace")
         .ok_or_else(|| unknown("The header x-weir-workspace is missing."))?;
     let id: workspace::Id = name
         .parse()
@@ -137,7 +140,7 @@
     let Some(declared) = snapshot.workspace(&id) else {
         return Err(unknown("The workspace is not declared."));
     };
-    if !declared.key_hashes.is_empty() && !has_key(headers, declared) {
+    if !declared.key_hashes.is_empty() && !is_authorized(headers, declared) {
         return Err(Refusal::not_run(
             Code::BadKey,
             "The caller's key is missing or does not belong to the workspace.",
@@ -150,8 +153,8 @@
 ///
 /// Hashes are compared in constant time: the time of a comparison that ends at
 /// the first difference would tell a guesser how far its guess was right.
-fn has_key(headers: &HeaderMap, declared: &resource::Workspace) -> bool {
-    let Some(key) = text(headers, header::AUTHORIZATION.as_str())
+fn is_authorized(headers: &HeaderMap, declared: &resource::Workspace) -> bool {
+    let Some(key) = header_text(headers, header::AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix("Bearer "))
     else {
         return false;
@@ -171,15 +174,15 @@
     workspace: &workspace::Id,
     kind: resource::Kind,
 ) -> Result<Option<chat::Key>, Refusal> {
-    match (text(headers, "x-weir-chat"), kind) {
-        (Some(name), _) if (1..=limits::MAX_NAME).contains(&name.len()) => {
+    match (header_text(headers, "x-weir-chat"), kind) {
+        (Some(name), _) if (1..=limits::MAX_NAME_BYTES).contains(&name.len()) => {
             Ok(Some(chat::Key::new(workspace, name)))
         }
         (Some(_), _) => Err(Refusal::not_run(
             Code::Malformed,
             format!(
                 "The header x-weir-chat must have 1 to {} bytes.",
-                limits::MAX_NAME
+                limits::MAX_NAME_BYTES
             ),
         )),
         (None, resource::Kind::Engine) => Err(Refusal::not_run(
@@ -190,14 +193,16 @@
     }
 }
 
-fn key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
-    match text(headers, "idempotency-key") {
-        Some(key) if (1..=limits::MAX_NAME).contains(&key.len()) => Ok(Some(String::from(key))),
+fn idempotency_key(headers: &HeaderMap) -> Result<Option<String>, Refusal> {
+    match header_text(headers, "idempotency-key") {
+        Some(key) if (1..=limits::MAX_NAME_BYTES).contains(&key.len()) => {
+            Ok(Some(String::from(key)))
+        }
         Some(_) => Err(Refusal::not_run(
             Code::Malformed,
             format!(
                 "The header idempotency-key must have 1 to {} bytes.",
-                limits::MAX_NAME
+                limits::MAX_NAME_BYTES
             ),
         )),
         None if headers.contains_key("idempotency-key") => Err(Refusal::not_run(
@@ -209,17 +214,17 @@
 }
 
 fn timeout(headers: &HeaderMap, route: &resource::Route) -> Result<Duration, Refusal> {
-    let most = route.timeout_ms;
-    let millis = match text(headers, "x-weir-timeout-ms") {
-        None => most,
-        Some(text) => text.parse::<u64>().map_err(|_| {
+    let max = route.timeout_ms;
+    let millis = match header_text(headers, "x-weir-timeout-ms") {
+        None => max,
+        Some(value) => value.parse::<u64>().map_err(|_| {
             Refusal::not_run(
                 Code::Malformed,
                 "The header x-weir-timeout-ms must be a number of milliseconds.",
             )
         })?,
     };
-    Ok(Duration::from_millis(millis.min(most)))
+    Ok(Duration::from_millis(millis.min(max)))
 }
 
 fn cost(kind: resource::Kind, prompt: &Prompt, body: &Bytes) -> cost::Cost {
@@ -255,13 +260,16 @@
     forwarded
 }
 
-async fn read(body: Incoming) -> Result<Bytes, Refusal> {
-    let collected = Limited::new(body, limits::MAX_BODY).collect();
+async fn read_body(body: Incoming) -> Result<Bytes, Refusal> {
+    let collected = Limited::new(body, limits::MAX_BODY_BYTES).collect();
     match time::timeout(limits::BODY_TIMEOUT, collected).await {
         Ok(Ok(collected)) => Ok(collected.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Refusal::not_run(
             Code::TooLarge,
-            format!("The body is over its limit of {} bytes.", limits::MAX_BODY),
+            format!(
+                "The body is over its limit of {} bytes.",
+                limits::MAX_BODY_BYTES
+            ),
         )),
         Ok(Err(_)) => Err(Refusal::not_run(
             Code::Malformed,
@@ -274,6 +282,6 @@
     }
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
--- a/crates/router/src/trace.rs
+++ b/crates/router/src/completion.rs
@@ -15,14 +15,14 @@
 };
 
 /// The longest body that is kept with an outcome, in bytes.
-const MAX_RECORD: usize = 8 * 1024;
+const MAX_RECORDED_BODY_BYTES: usize = 8 * 1024;
 
 /// Follows an answer to its end.
 ///
 /// A server that dies in the middle of an answer is noticed only here, long
 /// after the head of the answer has gone to the caller.
 #[derive(Debug)]
-pub struct Trace {
+pub struct Reporter {
     guard: tracker::Guard,
     pool: pool::Id,
     server: backend::Server,
@@ -42,12 +42,12 @@
 }
 
 impl Record {
-    fn push(&mut self, piece: &[u8]) {
+    fn push(&mut self, chunk: &[u8]) {
         let Some(body) = &mut self.body else {
             return;
         };
-        body.extend_from_slice(piece);
-        if body.len() > MAX_RECORD {
+        body.extend_from_slice(chunk);
+        if body.len() > MAX_RECORDED_BODY_BYTES {
             self.body = None;
         }
     }
@@ -62,7 +62,7 @@
     }
 }
 
-impl Trace {
+impl Reporter {
     /// A trace of an attempt on `target`; `crash_id` names the server's death, if it dies.
     pub fn new(guard: tracker::Guard, target: &Target, crash_id: u64) -> Self {
         Self {
@@ -76,7 +76,7 @@
     }
 
     /// The trace of an answer whose outcome is recorded under `claim`.
-    pub fn recorded(self, claim: Option<claims::Guard>, answer: &Answer) -> Self {
+    pub fn with_claim(self, claim: Option<claims::Guard>, answer: &Answer) -> Self {
         let content_type = answer.headers.get(header::CONTENT_TYPE);
         let record = claim.map(|claim| Record {
             claim,
@@ -88,9 +88,9 @@
     }
 
     /// Notes a piece of the answer's body.
-    pub fn piece(&mut self, piece: &[u8]) {
+    pub fn record_chunk(&mut self, chunk: &[u8]) {
         if let Some(record) = &mut self.record {
-            record.push(piece);
+            record.push(chunk);
         }
     }
 
@@ -104,21 +104,21 @@
         if mem::replace(&mut self.ended, true) {
             return;
         }
-        self.tell(Ending::Completed);
+        self.report(Ending::Completed);
         if let Some(record) = self.record.take() {
             record.finish();
         }
     }
 
     /// The answer broke off.
-    pub fn broken(&mut self, refusal: &Refusal) {
+    pub fn failed(&mut self, refusal: &Refusal) {
         self.ended = true;
         if refusal.code != Code::Deadline {
-            self.tell(entry::ending_of(refusal.code));
+            self.report(entry::ending_of(refusal.code));
         }
     }
 
-    fn tell(&self, ending: Ending) {
+    fn report(&self, ending: Ending) {
         let pool = self.pool.clone();
         self.guard
             .attempt_ended(pool, self.server.clone(), self.crash_id, ending);
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -18,17 +18,16 @@
 use wire::seal;
 
 use crate::{
-    answer::{Answer, come_back},
+    answer::{Answer, retry_instant},
     claims,
     clock::Clock,
+    completion::Reporter,
     hop::client,
     members::{Members, Peer},
     metrics::Metrics,
     owner,
     shutdown::Phase,
-    status,
-    trace::Trace,
-    tracker,
+    status, tracker,
     view::View,
 };
 pub use attempt::crash_id;
@@ -82,7 +81,7 @@
     /// The response.
     pub answer: Answer,
     /// Reports the end of the response.
-    pub trace: Trace,
+    pub reporter: Reporter,
 }
 
 impl Entry {
@@ -96,7 +95,7 @@
         let snapshot = view.snapshot.clone().filter(|_| view.ready);
         snapshot.ok_or_else(|| {
             Refusal::not_run(Code::NotReady, "The router has no configuration yet.")
-                .retry_at(come_back(&self.clock, NOT_READY_RETRY_MS))
+                .retry_at(retry_instant(&self.clock, NOT_READY_RETRY_MS))
         })
     }
 
--- a/crates/router/src/entry/progress.rs
+++ b/crates/router/src/entry/progress.rs
@@ -71,7 +71,7 @@
                 ..refusal
             };
         }
-        if request.is_unsafe_to_repeat() {
+        if request.is_unsafe_to_retry() {
             return Refusal {
                 retry_at: None,
                 ..refusal
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -12,10 +12,10 @@
     progress::{Progress, ending_of},
 };
 use crate::{
-    answer::come_back,
+    answer::retry_instant,
     claims::{self, Claimed},
+    completion::Reporter,
     request::{Repeat, Request},
-    trace::Trace,
     tracker::{self, Ending},
     view::{Pool, Target},
 };
@@ -27,7 +27,7 @@
     ///
     /// The final refusal, whose verdict covers all attempts.
     pub async fn handle(&self, request: Request) -> Result<Reply, Refusal> {
-        let key = request.key.as_ref();
+        let key = request.idempotency_key.as_ref();
         let key = key.filter(|_| request.repeat == Repeat::Forbidden);
         let Some(key) = key else {
             let served = self.dispatch(request, &mut None).await?;
@@ -39,8 +39,8 @@
         };
         match self.dispatch(request, &mut claim).await {
             Ok(served) => {
-                let trace = served.trace.recorded(claim.take(), &served.answer);
-                Ok(Reply::Served(Box::new(Served { trace, ..served })))
+                let reporter = served.reporter.with_claim(claim.take(), &served.answer);
+                Ok(Reply::Served(Box::new(Served { reporter, ..served })))
             }
             Err(refusal) => {
                 if let Some(claim) = claim.filter(|_| refusal.verdict == Verdict::NotRun) {
@@ -89,10 +89,10 @@
                 .await;
             let failed = match attempted {
                 Ok(attempted) => {
-                    let trace = Trace::new(begun.guard, target, attempted.crash_id);
+                    let reporter = Reporter::new(begun.guard, target, attempted.crash_id);
                     return Ok(Served {
                         answer: attempted.answer,
-                        trace,
+                        reporter,
                     });
                 }
                 Err(failed) => failed,
@@ -167,7 +167,7 @@
 
     /// The servers to offer a request to, in order, without the ejected ones.
     fn candidates(&self, request: &Request, pool: &Pool) -> Vec<plan::Candidate> {
-        let settings = crate::view::settings(&pool.declared);
+        let settings = crate::view::placement_settings(&pool.declared);
         // Requests without a chat are spread evenly.
         let chat = request.chat.unwrap_or(chat::Key(request.id.0));
         let ejected = self.tracker.ejected();
@@ -179,7 +179,7 @@
 
     pub(super) fn no_server(&self) -> Refusal {
         Refusal::not_run(Code::NoServer, "No backend server is available.")
-            .retry_at(come_back(&self.clock, NOT_READY_RETRY_MS))
+            .retry_at(retry_instant(&self.clock, NOT_READY_RETRY_MS))
     }
 
     fn deadline_exceeded(&self, verdict: Verdict) -> Refusal {
--- a/crates/router/src/follow.rs
+++ b/crates/router/src/follow.rs
@@ -229,7 +229,7 @@
 
     async fn fetch(&mut self, peer: net::SocketAddr) -> Outcome {
         let since = self.revision();
-        match hop::client::changes(peer, &self.sources.key, since).await {
+        match hop::client::fetch_changes(peer, &self.sources.key, since).await {
             Ok(update) => {
                 self.apply_update(update);
                 Outcome::Succeeded(self.revision())
@@ -374,7 +374,7 @@
         let members = Arc::clone(&self.outputs.members.borrow());
         let peers = members.peers.iter().filter(|peer| peer.host != members.own);
         for peer in peers.take(MAX_HOSTS_PEERS) {
-            match hop::client::hosts(peer.address, &self.sources.key).await {
+            match hop::client::fetch_hosts(peer.address, &self.sources.key).await {
                 Ok(hosts) if !hosts.is_empty() => {
                     self.hosts_read = true;
                     self.apply_hosts(hosts);
@@ -405,7 +405,7 @@
             .outputs
             .view
             .borrow()
-            .follow(&self.region, snapshot, &self.hosts, now);
+            .rebuild(&self.region, snapshot, &self.hosts, now);
         let ready = self.ready;
         self.outputs
             .view
--- a/crates/router/src/gossip.rs
+++ b/crates/router/src/gossip.rs
@@ -205,7 +205,7 @@
 
     fn open(&mut self, datagram: &[u8], from: SocketAddr) -> Option<Received> {
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Received, datagram.len() + HEADER_BYTES);
+        metrics.control_traffic(Direction::Received, datagram.len() + HEADER_BYTES);
         let opened = match self.opener.open(datagram) {
             Ok(opened) => opened,
             Err(error) => {
@@ -275,7 +275,7 @@
         };
         let datagram = self.sealer.seal(&payload, send.audience);
         let metrics = &self.outputs.metrics;
-        metrics.control(Direction::Sent, datagram.len() + HEADER_BYTES);
+        metrics.control_traffic(Direction::Sent, datagram.len() + HEADER_BYTES);
         if let Err(error) = self.socket.send_to(&datagram, send.to).await {
             logging::event!(debug, "heartbeat_failed", peer = send.to, error = error);
         }
@@ -320,7 +320,7 @@
         let own_role = if self.fleet.is_view_trusted(now) {
             role(self.fleet.phase())
         } else {
-            Role::Bystander
+            Role::Ineligible
         };
         let own = Peer {
             host: self.own.host.clone(),
@@ -349,7 +349,7 @@
     match phase {
         phase if phase.may_own() => Role::Owner,
         heartbeat::Phase::Leaving => Role::Leaving,
-        _ => Role::Bystander,
+        _ => Role::Ineligible,
     }
 }
 
--- a/crates/router/src/hop.rs
+++ b/crates/router/src/hop.rs
@@ -15,9 +15,9 @@
 use crate::clock::Clock;
 
 /// How often an owner shows the entry that a request is still being worked on.
-pub const ALIVE_INTERVAL: Duration = Duration::from_millis(500);
+pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
 /// How long an entry hears nothing before it takes the link for broken.
-pub const ALIVE_TIMEOUT: Duration = Duration::from_millis(2000);
+pub const KEEPALIVE_TIMEOUT: Duration = Duration::from_millis(2000);
 
 /// A refusal as it goes over the hop; instants become remaining times.
 pub fn to_wire(refusal: &Refusal, load: Option<hop::Load>, clock: &Clock) -> hop::Refused {
--- a/crates/router/src/hop/client.rs
+++ b/crates/router/src/hop/client.rs
@@ -14,11 +14,11 @@
 };
 
 use super::{
-    ALIVE_TIMEOUT, from_wire, head,
+    KEEPALIVE_TIMEOUT, from_wire, head,
     link::{Error, Link},
 };
 use crate::{
-    answer::{self, Answer, Piece},
+    answer::{self, Answer, Chunk},
     clock::Clock,
     follow::update::Update,
     owner::Rejected,
@@ -27,7 +27,7 @@
 /// The most idle links that are kept for one peer.
 const MAX_IDLE: usize = 16;
 /// The longest update of the configuration, in bytes.
-const MAX_UPDATE: usize = 64 * 1024 * 1024;
+const MAX_UPDATE_BYTES: usize = 64 * 1024 * 1024;
 /// How long a peer may take to send the next piece of an update.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 enum Message {
     Take(net::SocketAddr, oneshot::Sender<Option<Link>>),
-    Keep(net::SocketAddr, Box<Link>),
+    Put(net::SocketAddr, Box<Link>),
 }
 
 impl Links {
     /// Starts the task that owns the idle links.
     pub fn start(key: seal::Key) -> Self {
         let (messages, receiver) = mpsc::unbounded_channel();
-        tokio::spawn(keep(receiver));
+        tokio::spawn(run(receiver));
         Self { messages, key }
     }
 
@@ -58,13 +58,13 @@
         answer.await.ok()?
     }
 
-    fn keep(&self, address: net::SocketAddr, link: Link) {
+    fn put(&self, address: net::SocketAddr, link: Link) {
         // The task ends with the process.
-        let _ = self.messages.send(Message::Keep(address, Box::new(link)));
+        let _ = self.messages.send(Message::Put(address, Box::new(link)));
     }
 }
 
-async fn keep(mut messages: mpsc::UnboundedReceiver<Message>) {
+async fn run(mut messages: mpsc::UnboundedReceiver<Message>) {
     let mut idle: BTreeMap<net::SocketAddr, Vec<Link>> = BTreeMap::new();
     while let Some(message) = messages.recv().await {
         match message {
@@ -73,7 +73,7 @@
                 // The asker may have gone; the link is closed then.
                 let _ = reply.send(link);
             }
-            Message::Keep(address, link) => {
+            Message::Put(address, link) => {
                 let links = idle.entry(address).or_default();
                 if links.len() < MAX_IDLE {
                     links.push(*link);
@@ -110,17 +110,17 @@
     // An idle link may have been closed, or have gone silent, while nobody
     // used it. No body was sent, so a fresh link can be tried.
     if let Some(link) = links.take(address).await {
-        match ask(link, open, clock).await {
-            Ok(asked) => return asked.finish(links, address),
+        match request_admission(link, open, clock).await {
+            Ok(admission) => return admission.into_result(links, address),
             Err(error) => logging::event!(debug, "link_stale", peer = address, error = error),
         }
     }
-    let asked = match Link::connect(address, &links.key).await {
-        Ok(link) => ask(link, open, clock).await,
+    let admission = match Link::connect(address, &links.key).await {
+        Ok(link) => request_admission(link, open, clock).await,
         Err(error) => Err(error),
     };
-    match asked {
-        Ok(asked) => asked.finish(links, address),
+    match admission {
+        Ok(admission) => admission.into_result(links, address),
         Err(error) => {
             logging::event!(warn, "owner_unreachable", peer = address, error = error);
             Err(Rejected {
@@ -128,7 +128,7 @@
                     Code::NoServer,
                     "The router that owns the backend server cannot be reached.",
                 )
-                .retry_at(answer::come_back(clock, 1000)),
+                .retry_at(answer::retry_instant(clock, 1000)),
                 load: None,
             })
         }
@@ -136,13 +136,13 @@
 }
 
 /// What an owner said.
-enum Asked {
+enum Admission {
     Ready(Link, wire::hop::Slot),
     Refused(Link, Rejected),
 }
 
-impl Asked {
-    fn finish(self, links: &Links, address: net::SocketAddr) -> Result<Admitted, Rejected> {
+impl Admission {
+    fn into_result(self, links: &Links, address: net::SocketAddr) -> Result<Admitted, Rejected> {
         match self {
             Self::Ready(link, slot) => Ok(Admitted {
                 link,
@@ -152,25 +152,25 @@
                 boot: slot.boot,
             }),
             Self::Refused(link, rejected) => {
-                links.keep(address, link);
+                links.put(address, link);
                 Err(rejected)
             }
         }
     }
 }
 
-async fn ask(mut link: Link, open: &Open, clock: &Clock) -> Result<Asked, Error> {
+async fn request_admission(mut link: Link, open: &Open, clock: &Clock) -> Result<Admission, Error> {
     link.writer
         .send(&Call::Open(Box::new(open.clone())))
         .await?;
     loop {
-        match link.reader.receive_within(ALIVE_TIMEOUT).await? {
+        match link.reader.receive_within(KEEPALIVE_TIMEOUT).await? {
             Frame::Message(Reply::Alive) => {}
-            Frame::Message(Reply::Ready(slot)) => return Ok(Asked::Ready(link, slot)),
+            Frame::Message(Reply::Ready(slot)) => return Ok(Admission::Ready(link, slot)),
             Frame::Message(Reply::Refused(refused)) => {
                 let load = refused.load;
                 let refusal = from_wire(refused, clock);
-                return Ok(Asked::Refused(link, Rejected { refusal, load }));
+                return Ok(Admission::Refused(link, Rejected { refusal, load }));
             }
             _ => return Err(Error::Frame(wire::Error::Malformed)),
         }
@@ -193,19 +193,19 @@
             ));
         }
         if let Err(error) = self.link.writer.send(&Call::End).await {
-            return Err(self.broken(&error));
+            return Err(self.link_failure(&error));
         }
         loop {
-            match self.link.reader.receive_within(ALIVE_TIMEOUT).await {
+            match self.link.reader.receive_within(KEEPALIVE_TIMEOUT).await {
                 Ok(Frame::Message(Reply::Alive)) => {}
                 Ok(Frame::Message(Reply::Head(head))) => return self.answer(head, clock),
                 Ok(Frame::Message(Reply::Refused(refused))) => {
                     let refusal = from_wire(refused, &clock);
-                    self.links.keep(self.address, self.link);
+                    self.links.put(self.address, self.link);
                     return Err(refusal);
                 }
-                Ok(_) => return Err(self.broken(&Error::Frame(wire::Error::Malformed))),
-                Err(error) => return Err(self.broken(&error)),
+                Ok(_) => return Err(self.link_failure(&Error::Frame(wire::Error::Malformed))),
+                Err(error) => return Err(self.link_failure(&error)),
             }
         }
     }
@@ -218,7 +218,7 @@
     ///
     /// The owner may have passed the request on before it died, so nobody can
     /// say that it has not run.
-    fn broken(&self, error: &Error) -> Refusal {
+    fn link_failure(&self, error: &Error) -> Refusal {
         logging::event!(warn, "hop_broken", peer = self.address, error = error);
         Refusal::may_have_run(
             Code::BackendFailed,
@@ -228,10 +228,10 @@
 
     fn answer(self, head: wire::hop::Head, clock: Clock) -> Result<Answer, Refusal> {
         let status = StatusCode::from_u16(head.status)
-            .map_err(|_| self.broken(&Error::Frame(wire::Error::Malformed)))?;
+            .map_err(|_| self.link_failure(&Error::Frame(wire::Error::Malformed)))?;
         let headers = head::to_map(head.headers);
-        let (pieces, body) = answer::channel();
-        tokio::spawn(self.pass(pieces, clock));
+        let (chunks, body) = answer::channel();
+        tokio::spawn(self.forward(chunks, clock));
         Ok(Answer {
             status,
             headers,
@@ -240,40 +240,40 @@
     }
 
     /// Passes the body of the answer on.
-    async fn pass(mut self, pieces: mpsc::Sender<Piece>, clock: Clock) {
+    async fn forward(mut self, chunks: mpsc::Sender<Chunk>, clock: Clock) {
         loop {
             let frame = tokio::select! {
-                frame = self.link.reader.receive_within(ALIVE_TIMEOUT) => frame,
+                frame = self.link.reader.receive_within(KEEPALIVE_TIMEOUT) => frame,
                 // Dropping the link tells the owner that the caller has gone.
-                () = pieces.closed() => return,
+                () = chunks.closed() => return,
             };
             match frame {
                 Ok(Frame::Data(data)) => {
-                    if pieces.send(Ok(data)).await.is_err() {
+                    if chunks.send(Ok(data)).await.is_err() {
                         return;
                     }
                 }
                 Ok(Frame::Message(Reply::Alive)) => {}
                 Ok(Frame::Message(Reply::End)) => {
-                    self.links.keep(self.address, self.link);
+                    self.links.put(self.address, self.link);
                     return;
                 }
                 Ok(Frame::Message(Reply::Refused(refused))) => {
                     let refusal = from_wire(refused, &clock);
-                    self.links.keep(self.address, self.link);
+                    self.links.put(self.address, self.link);
                     // The receiver may have gone meanwhile; then nobody waits.
-                    let _ = pieces.send(Err(refusal)).await;
+                    let _ = chunks.send(Err(refusal)).await;
                     return;
                 }
                 Ok(Frame::Message(_)) => {
                     let error = Error::Frame(wire::Error::Malformed);
                     // As above.
-                    let _ = pieces.send(Err(self.broken(&error))).await;
+                    let _ = chunks.send(Err(self.link_failure(&error))).await;
                     return;
                 }
                 Err(error) => {
                     // As above.
-                    let _ = pieces.send(Err(self.broken(&error))).await;
+                    let _ = chunks.send(Err(self.link_failure(&error))).await;
                     return;
                 }
             }
@@ -286,12 +286,12 @@
 /// # Errors
 ///
 /// When the peer cannot be reached or holds nothing.
-pub async fn changes(
+pub async fn fetch_changes(
     address: net::SocketAddr,
     key: &seal::Key,
     since: revision::Id,
 ) -> Result<Update, Error> {
-    let json = question(address, key, &Call::Changes(since)).await?;
+    let json = fetch_json(address, key, &Call::Changes(since)).await?;
     Update::from_json(&json).map_err(|_| Error::Frame(wire::Error::Malformed))
 }
 
@@ -299,9 +299,12 @@
 ///
 /// # Errors
 ///
-/// As [`changes`].
-pub async fn hosts(address: net::SocketAddr, key: &seal::Key) -> Result<Vec<hosts::Host>, Error> {
-    let json = question(address, key, &Call::Hosts).await?;
+/// As [`fetch_changes`].
+pub async fn fetch_hosts(
+    address: net::SocketAddr,
+    key: &seal::Key,
+) -> Result<Vec<hosts::Host>, Error> {
+    let json = fetch_json(address, key, &Call::Hosts).await?;
     serde_json::from_slice(&json).map_err(|_| Error::Frame(wire::Error::Malformed))
 }
 
@@ -311,7 +314,7 @@
 /// # Errors
 ///
 /// When the peer cannot be reached.
-pub async fn handover(
+pub async fn fetch_handover(
     address: net::SocketAddr,
     key: &seal::Key,
     server: backend::Server,
@@ -325,7 +328,7 @@
 }
 
 /// Asks a question whose answer is JSON.
-async fn question(
+async fn fetch_json(
     address: net::SocketAddr,
     key: &seal::Key,
     call: &Call,
@@ -340,7 +343,7 @@
     let mut bytes = Vec::new();
     loop {
         match link.reader.receive_within(UPDATE_TIMEOUT).await? {
-            Frame::Data(data) if bytes.len() + data.len() <= MAX_UPDATE => {
+            Frame::Data(data) if bytes.len() + data.len() <= MAX_UPDATE_BYTES => {
                 bytes.extend_from_slice(&data);
             }
             Frame::Message(Reply::End) => break,
--- a/crates/router/src/hop/head.rs
+++ b/crates/router/src/hop/head.rs
@@ -7,7 +7,7 @@
 use wire::hop;
 
 /// Headers that belong to one connection, or that only the router may set.
-const DROPPED: [HeaderName; 10] = [
+const STRIPPED: [HeaderName; 10] = [
     header::AUTHORIZATION,
     header::CONNECTION,
     header::EXPECT,
@@ -21,7 +21,7 @@
 ];
 
 /// Headers of the caller that the router sets itself.
-const OWN: [&str; 5] = [
+const RESERVED: [&str; 5] = [
     "x-weir-attempt",
     "x-weir-chat",
     "x-weir-priority",
@@ -32,7 +32,7 @@
 /// The headers of a request or an answer that are passed on.
 pub fn from_map(map: &HeaderMap) -> Vec<hop::Header> {
     map.iter()
-        .filter(|(name, _)| !DROPPED.contains(name) && !OWN.contains(&name.as_str()))
+        .filter(|(name, _)| !STRIPPED.contains(name) && !RESERVED.contains(&name.as_str()))
         .map(|(name, value)| hop::Header {
             name: String::from(name.as_str()),
             value: value.as_bytes().to_vec(),
--- a/crates/router/src/hop/server.rs
+++ b/crates/router/src/hop/server.rs
@@ -17,7 +17,7 @@
 };
 
 use super::{
-    ALIVE_INTERVAL, head,
+    KEEPALIVE_INTERVAL, head,
     link::{Error, Link, Reader, Writer},
     to_wire,
 };
@@ -26,7 +26,7 @@
     backend,
     clock::Clock,
     entry, follow,
-    limits::MAX_BODY,
+    limits::MAX_BODY_BYTES,
     owner::{self, Offer, Rejected, Reply as OfferReply},
     tracker,
 };
@@ -103,13 +103,13 @@
 /// # Errors
 ///
 /// When the entry closes the link; the work is dropped with that.
-async fn alive<T>(
+async fn with_keepalives<T>(
     reader: &mut Reader,
     writer: &mut Writer,
     work: impl Future<Output = T>,
 ) -> Result<T, Error> {
     tokio::pin!(work);
-    let mut interval = time::interval(ALIVE_INTERVAL);
+    let mut interval = time::interval(KEEPALIVE_INTERVAL);
     interval.reset();
     loop {
         tokio::select! {
@@ -131,7 +131,7 @@
         return refuse(&mut link.writer, &refusal, &clock).await;
     }
     let admitted = context.owner.admit(|reply| offer(&open, reply, &clock));
-    let permit = match alive(&mut link.reader, &mut link.writer, admitted).await? {
+    let permit = match with_keepalives(&mut link.reader, &mut link.writer, admitted).await? {
         Ok(permit) => permit,
         Err(Rejected { refusal, load }) => {
             let refused = to_wire(&refusal, load, &clock);
@@ -153,9 +153,9 @@
     let body = receive_body(&mut link.reader, open.length).await?;
     let crash_id = entry::crash_id(&open.server, permit.boot_hash(), open.attempt);
     let run = backend::run(permit, &open, body, clock);
-    let ran = alive(&mut link.reader, &mut link.writer, run).await?;
-    let refusal = match ran {
-        Ok(answer) => match pass(link, answer).await? {
+    let result = with_keepalives(&mut link.reader, &mut link.writer, run).await?;
+    let refusal = match result {
+        Ok(answer) => match forward(link, answer).await? {
             Some(refusal) => refusal,
             None => return Ok(()),
         },
@@ -202,7 +202,7 @@
 async fn receive_body(reader: &mut Reader, length: u64) -> Result<Bytes, Error> {
     let malformed = Error::Frame(wire::Error::Malformed);
     let length = usize::try_from(length).unwrap_or(usize::MAX);
-    if length > MAX_BODY {
+    if length > MAX_BODY_BYTES {
         return Err(malformed);
     }
     let mut body = BytesMut::new();
@@ -218,15 +218,15 @@
 }
 
 /// Passes an answer on to the entry; a refusal tells why it broke off.
-async fn pass(link: &mut Link, mut answer: Answer) -> Result<Option<Refusal>, Error> {
+async fn forward(link: &mut Link, mut answer: Answer) -> Result<Option<Refusal>, Error> {
     let head = Head {
         status: answer.status.as_u16(),
         headers: head::from_map(&answer.headers),
     };
     link.writer.send(&Reply::Head(head)).await?;
     loop {
-        let piece = alive(&mut link.reader, &mut link.writer, answer.body.recv()).await?;
-        match piece {
+        let chunk = with_keepalives(&mut link.reader, &mut link.writer, answer.body.recv()).await?;
+        match chunk {
             Some(Ok(data)) => link.writer.send_data(&data).await?,
             Some(Err(refusal)) => return Ok(Some(refusal)),
             None => {
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -9,6 +9,7 @@
 pub mod backend;
 pub mod caller;
 pub mod claims;
+pub mod completion;
 pub mod entry;
 pub mod follow;
 pub mod gossip;
@@ -22,7 +23,6 @@
 pub mod settings;
 pub mod start;
 pub mod status;
-pub mod trace;
 pub mod tracker;
 pub mod view;
 
--- a/crates/router/src/loads.rs
+++ b/crates/router/src/loads.rs
@@ -6,7 +6,7 @@
 use units::{host, time};
 
 /// How long a load counts that was heard of.
-const VALID: Duration = Duration::from_secs(8);
+const MAX_AGE: Duration = Duration::from_secs(8);
 
 /// The loads of a pool's servers, summed up by their owners.
 ///
@@ -15,11 +15,11 @@
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     own: TotalLoad,
-    others: BTreeMap<host::Id, Heard>,
+    others: BTreeMap<host::Id, Report>,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct Report {
     total: TotalLoad,
     valid_until: time::Instant,
 }
@@ -36,22 +36,22 @@
     }
 
     /// Notes what the servers of another owner carry.
-    pub fn hear(&mut self, owner: host::Id, total: TotalLoad, now: time::Instant) {
-        let heard = Heard {
+    pub fn record(&mut self, owner: host::Id, total: TotalLoad, now: time::Instant) {
+        let report = Report {
             total,
-            valid_until: now + VALID,
+            valid_until: now + MAX_AGE,
         };
-        self.others.insert(owner, heard);
+        self.others.insert(owner, report);
     }
 
     /// Forgets what is too old to count.
     pub fn expire(&mut self, now: time::Instant) {
-        self.others.retain(|_, heard| now < heard.valid_until);
+        self.others.retain(|_, report| now < report.valid_until);
     }
 
     /// What the servers of all owners carry that were heard of lately.
     pub fn total(&self) -> TotalLoad {
-        let others = self.others.values().map(|heard| heard.total);
+        let others = self.others.values().map(|report| report.total);
         self.own + others.sum()
     }
 }
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -29,7 +29,7 @@
     /// It may no longer, and hands its servers over.
     Leaving,
     /// It may not: it starts or is down.
-    Bystander,
+    Ineligible,
 }
 
 /// All routers at one moment.
@@ -50,11 +50,7 @@
     }
 
     /// The router that would own a server if this one did not run.
-    pub fn other_owner(
-        &self,
-        server: &backend::Server,
-        zone: &availability::Zone,
-    ) -> Option<&Peer> {
+    pub fn successor(&self, server: &backend::Server, zone: &availability::Zone) -> Option<&Peer> {
         let owners = self
             .peers
             .iter()
@@ -67,7 +63,7 @@
     pub fn live(&self, host: &host::Id) -> Option<&Peer> {
         self.peers
             .iter()
-            .find(|peer| &peer.host == host && peer.role != Role::Bystander)
+            .find(|peer| &peer.host == host && peer.role != Role::Ineligible)
     }
 
     /// Whether any router may own backend servers, as far as this one knows.
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -187,7 +187,7 @@
     }
 
     /// Counts bytes of control traffic.
-    pub fn control(&self, direction: Direction, bytes: usize) {
+    pub fn control_traffic(&self, direction: Direction, bytes: usize) {
         let direction = match direction {
             Direction::Sent => "sent",
             Direction::Received => "received",
@@ -198,7 +198,7 @@
     }
 
     /// Counts the prompt tokens of an answer, and those that were cached.
-    pub fn reuse(&self, prompt: u64, cached: u64) {
+    pub fn token_usage(&self, prompt: u64, cached: u64) {
         self.prompt_tokens.inc_by(prompt);
         self.cached_tokens.inc_by(cached);
     }
--- a/crates/router/src/owner.rs
+++ b/crates/router/src/owner.rs
@@ -202,7 +202,7 @@
                     weight: load.weight,
                 };
                 let loads = self.loads.entry(pool).or_default();
-                loads.hear(owner, total, now);
+                loads.record(owner, total, now);
             }
             Message::HandoverReceived(server, handover) => {
                 if let Some(engine) = self.engines.get_mut(&server) {
@@ -260,7 +260,7 @@
         };
         if let Some(usage) = ended.usage {
             let (prompt, cached) = (u64::from(usage.prompt), u64::from(usage.cached));
-            self.metrics.reuse(prompt, cached);
+            self.metrics.token_usage(prompt, cached);
         }
         let actions = engine.ended(&ended, now);
         if let Some(connection) = ended.connection {
@@ -367,7 +367,7 @@
                 continue;
             };
             let total = loads.total();
-            let bound = placement::Bound::new(crate::view::settings(&pool.declared));
+            let bound = placement::Bound::new(crate::view::placement_settings(&pool.declared));
             for engine in self.engines.values_mut() {
                 if &engine.target.pool == name {
                     let limit = bound.limit(engine.target.weight, total);
@@ -447,7 +447,7 @@
         let peer = match self.owners.get(&target.server) {
             Some(host) if *host == members.own => None,
             Some(host) => members.live(host),
-            None => members.other_owner(&target.server, &target.zone),
+            None => members.successor(&target.server, &target.zone),
         };
         peer.map_or(Predecessor::Gone, |peer| Predecessor::Live(peer.address))
     }
--- a/crates/router/src/owner/engine.rs
+++ b/crates/router/src/owner/engine.rs
@@ -94,7 +94,7 @@
         now: time::Instant,
     ) -> Self {
         let settings = settings(declared);
-        let placement = crate::view::settings(declared);
+        let placement = crate::view::placement_settings(declared);
         Self {
             target,
             metrics,
--- a/crates/router/src/owner/handover.rs
+++ b/crates/router/src/owner/handover.rs
@@ -32,7 +32,7 @@
 ) {
     for delay in DELAYS {
         time::sleep(delay).await;
-        match client::handover(address, &key, server.clone()).await {
+        match client::fetch_handover(address, &key, server.clone()).await {
             Ok(Some(handover)) => {
                 logging::event!(
                     info,
--- a/crates/router/src/owner/probe.rs
+++ b/crates/router/src/owner/probe.rs
@@ -87,9 +87,9 @@
     owner: mpsc::UnboundedSender<Message>,
 ) {
     loop {
-        let polled = time::timeout(load::TIMEOUT, client.ask()).await;
+        let polled = time::timeout(load::TIMEOUT, client.poll()).await;
         let report = polled.unwrap_or_else(|_| {
-            client.forget();
+            client.disconnect();
             Err(load::Error::Closed)
         });
         let delay = match report {
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -44,7 +44,7 @@
     /// Whether it may be run twice.
     pub repeat: Repeat,
     /// The caller's idempotency key.
-    pub key: Option<String>,
+    pub idempotency_key: Option<String>,
     /// The hash of workspace, route and body.
     pub fingerprint: request::Fingerprint,
     /// Whether its answer is a stream of events that ends with `[DONE]`.
@@ -55,7 +55,7 @@
     /// Whether a caller that sends it again may have it run twice.
     ///
     /// Such a caller is never told when to come back once the request may have run.
-    pub fn is_unsafe_to_repeat(&self) -> bool {
-        self.repeat == Repeat::Forbidden && self.key.is_none()
+    pub fn is_unsafe_to_retry(&self) -> bool {
+        self.repeat == Repeat::Forbidden && self.idempotency_key.is_none()
     }
 }
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -35,7 +35,7 @@
     pub leave_ms: u64,
 }
 
-struct Given {
+struct Arguments {
     host: Raw,
     zone: Raw,
     listen: Raw,
@@ -51,13 +51,13 @@
     pub fn load() -> Self {
         settings::load(
             "Routes callers' requests to backend servers",
-            given(),
+            arguments(),
             check,
         )
     }
 }
 
-fn given() -> impl Parser<Given> {
+fn arguments() -> impl Parser<Arguments> {
     let host = settings::text("host", "WEIR_HOST", "NAME", "Name of this host");
     let zone = settings::text(
         "zone",
@@ -86,7 +86,7 @@
         "MS",
         "How long to be unready before closing, in milliseconds",
     );
-    construct!(Given {
+    construct!(Arguments {
         host,
         zone,
         listen,
@@ -98,24 +98,24 @@
     })
 }
 
-fn check(given: Given, faults: &mut Faults) -> Option<Settings> {
-    let host = faults.required(&given.host, NAME);
-    let zone = faults.required(&given.zone, NAME);
-    let listen = faults.required(&given.listen, settings::ADDRESS);
-    let peer = faults.required(&given.peer, settings::ADDRESS);
-    let platform = faults.required(&given.platform, settings::ADDRESS);
-    let seeds = match given.seeds.as_str() {
+fn check(arguments: Arguments, faults: &mut Faults) -> Option<Settings> {
+    let host = faults.required(&arguments.host, NAME);
+    let zone = faults.required(&arguments.zone, NAME);
+    let listen = faults.required(&arguments.listen, settings::ADDRESS);
+    let peer = faults.required(&arguments.peer, settings::ADDRESS);
+    let platform = faults.required(&arguments.platform, settings::ADDRESS);
+    let seeds = match arguments.seeds.as_str() {
         None => Some(Vec::new()),
         Some(text) => {
             let seeds: Option<Vec<_>> = text.split(',').map(seed).collect();
             if seeds.is_none() {
-                faults.add(&given.seeds, SEEDS);
+                faults.add(&arguments.seeds, SEEDS);
             }
             seeds
         }
     };
-    let key = faults.required(&given.key, KEY);
-    let leave_ms = faults.within(&given.leave_ms, 3000, 0..=600_000);
+    let key = faults.required(&arguments.key, KEY);
+    let leave_ms = faults.within(&arguments.leave_ms, 3000, 0..=600_000);
     Some(Settings {
         host: host?,
         zone: zone?,
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -34,7 +34,7 @@
 /// How long answers may take to end after the listener is closed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
 /// How long the last heartbeat may take to leave.
-const FAREWELL: Duration = Duration::from_millis(50);
+const LAST_HEARTBEAT_DELAY: Duration = Duration::from_millis(50);
 /// The use of the shared key for fingerprints.
 const FINGERPRINT_USAGE: &str = "sesameweir fingerprint 1";
 
@@ -63,7 +63,7 @@
 pub struct Router {
     address: SocketAddr,
     peer: SocketAddr,
-    leave: Duration,
+    leave_delay: Duration,
     phase: watch::Sender<Phase>,
     callers: JoinHandle<()>,
     tasks: Vec<JoinHandle<()>>,
@@ -172,7 +172,7 @@
         Ok(Self {
             address,
             peer: peer_address,
-            leave: Duration::from_millis(settings.leave_ms),
+            leave_delay: Duration::from_millis(settings.leave_ms),
             phase,
             callers: tokio::spawn(callers),
             tasks,
@@ -223,7 +223,7 @@
         self.phase.send_replace(Phase::Leaving);
         // The task ends only with the process.
         let _ = self.gossip.send(gossip::Message::Leaving);
-        time::sleep(self.leave).await;
+        time::sleep(self.leave_delay).await;
         self.phase.send_replace(Phase::Closing);
         logging::event!(info, "closing");
         let drained = async {
@@ -236,7 +236,7 @@
         }
         // As above.
         let _ = self.gossip.send(gossip::Message::Left);
-        time::sleep(FAREWELL).await;
+        time::sleep(LAST_HEARTBEAT_DELAY).await;
         for task in self.tasks {
             task.abort();
         }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -60,7 +60,7 @@
     /// Only servers of the router's own region count: between regions the way
     /// is longer than a prefill, and the routers there are not known well
     /// enough to tell who owns a server.
-    pub fn follow(
+    pub fn rebuild(
         &self,
         region: &Region,
         snapshot: &Arc<Snapshot>,
@@ -100,13 +100,13 @@
                 history.replace(topology, now);
                 history
             }
-            None => placement::History::new(settings(declared), topology),
+            None => placement::History::new(placement_settings(declared), topology),
         }
     }
 }
 
 /// The settings of placement for a pool.
-pub fn settings(declared: &resource::Pool) -> placement::Settings {
+pub fn placement_settings(declared: &resource::Pool) -> placement::Settings {
     placement::Settings {
         load_bound: declared.load_bound,
         ..placement::Settings::default()
--- a/crates/router/tests/fleet/client.rs
+++ b/crates/router/tests/fleet/client.rs
@@ -17,7 +17,7 @@
     /// What arrived of the body.
     pub body: String,
     /// Whether the body ended as announced.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl Answer {
@@ -157,14 +157,14 @@
             status: response.status().as_u16(),
             request_id: text("x-request-id"),
             body: String::new(),
-            whole: true,
+            complete: true,
         };
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             match frame.map(hyper::body::Frame::into_data) {
                 Ok(Ok(data)) => answer.body.push_str(&String::from_utf8_lossy(&data)),
                 Ok(Err(_)) => {}
-                Err(_) => answer.whole = false,
+                Err(_) => answer.complete = false,
             }
         }
         Some(answer)
--- a/crates/router/tests/fleet/failures.rs
+++ b/crates/router/tests/fleet/failures.rs
@@ -50,7 +50,7 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     cluster.engines[engine].handle.fault(engine::Fault::Crash);
     let answer = caller.await.expect("no panic").expect("a response head");
-    assert!(!answer.whole, "the connection must be reset");
+    assert!(!answer.complete, "the connection must be reset");
     assert!(!answer.body.contains("[DONE]"));
     assert!(
         answer.body.contains(r#""verdict":"may_have_run""#),
@@ -76,7 +76,7 @@
         engine.handle.fault(engine::Fault::ShortStream { count: 1 });
     }
     let answer = cluster.send(0, &call).await;
-    if answer.whole {
+    if answer.complete {
         assert_eq!(answer.streamed_text(), answer::text("hello", 20));
     } else {
         assert!(answer.body.contains(r#""verdict":"may_have_run""#));
@@ -95,7 +95,7 @@
         .handle
         .fault(engine::Fault::CutStream { count: 1 });
     let answer = cluster.send(0, &call).await;
-    assert!(answer.whole, "{}", answer.body);
+    assert!(answer.complete, "{}", answer.body);
     assert_eq!(answer.streamed_text(), answer::text("hello", 20));
 }
 
@@ -120,7 +120,7 @@
         .handle
         .fault(engine::Fault::SilentConnections);
     let answer = caller.await.expect("no panic").expect("a response");
-    assert!(answer.whole, "{}", answer.body);
+    assert!(answer.complete, "{}", answer.body);
     assert_eq!(answer.streamed_text(), answer::text("hello", 60));
     let again = cluster
         .send_until_served(0, &Call::chat("c", "hello", 3))
--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -18,25 +18,25 @@
     /// What stands in its place.
     mask: &'static str,
     /// What it consists of.
-    belongs: fn(char) -> bool,
+    matches: fn(char) -> bool,
 }
 
 const MASKS: [Mask; 4] = [
-    mask("time=", "TIME", is_plain),
-    mask("attempt=", "ATTEMPT", is_plain),
-    mask("head_ms=", "MS", is_plain),
+    mask("time=", "TIME", is_not_whitespace),
+    mask("attempt=", "ATTEMPT", is_not_whitespace),
+    mask("head_ms=", "MS", is_not_whitespace),
     mask("\"id\":\"", "ID", is_hex),
 ];
 
-const fn mask(before: &'static str, mask: &'static str, belongs: fn(char) -> bool) -> Mask {
+const fn mask(before: &'static str, mask: &'static str, matches: fn(char) -> bool) -> Mask {
     Mask {
         before,
         mask,
-        belongs,
+        matches,
     }
 }
 
-fn is_plain(c: char) -> bool {
+fn is_not_whitespace(c: char) -> bool {
     !c.is_whitespace()
 }
 
@@ -47,15 +47,15 @@
 fn masked(line: &str) -> String {
     MASKS
         .iter()
-        .fold(String::from(line), |line, mask| mask_one(&line, mask))
+        .fold(String::from(line), |line, mask| apply_mask(&line, mask))
 }
 
-fn mask_one(line: &str, mask: &Mask) -> String {
+fn apply_mask(line: &str, mask: &Mask) -> String {
     let mut out = String::new();
     let mut rest = line;
     while let Some(at) = rest.find(mask.before) {
         let (head, tail) = rest.split_at(at + mask.before.len());
-        let end = tail.find(|c| !(mask.belongs)(c)).unwrap_or(tail.len());
+        let end = tail.find(|c| !(mask.matches)(c)).unwrap_or(tail.len());
         out.push_str(head);
         out.push_str(if end > 0 { mask.mask } else { "" });
         rest = &tail[end..];
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_whole_session_stays_as_it_is() {
+async fn a_session_matches_the_golden_file() {
     let cluster = Cluster::start(Topology::default()).await;
     // While an earlier owner may still admit, offers are refused now and then.
     cluster.wait_for_states(&["cold", "warm"]).await;
--- a/crates/router/tests/fleet/input.rs
+++ b/crates/router/tests/fleet/input.rs
@@ -14,7 +14,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bad_requests_get_a_clear_final_answer() {
+async fn invalid_requests_get_a_final_error() {
     let cluster = Cluster::start(Topology::default()).await;
     let long = "x".repeat(300);
     let cases = [
@@ -77,7 +77,7 @@
     absent = { &[], "--platform (WEIR_PLATFORM): got nothing" },
     key = { &[], "WEIR_FLEET_KEY: got a hidden value, allowed: 64 hex digits" },
 )]
-fn bad_settings_are_all_named(flags: &[&str], expected: &str) {
+fn all_invalid_settings_are_reported(flags: &[&str], expected: &str) {
     let output = Command::new(env!("CARGO_BIN_EXE_weir-router"))
         .args(flags)
         .env("WEIR_FLEET_KEY", "short")
--- a/crates/router/tests/fleet/serving.rs
+++ b/crates/router/tests/fleet/serving.rs
@@ -11,14 +11,14 @@
 async fn every_router_serves_every_kind_of_request() {
     let cluster = Cluster::start(Topology::default()).await;
     for router in 0..cluster.routers.len() {
-        let whole = cluster
+        let full = cluster
             .send_until_served(router, &Call::chat("c", "hello", 5))
             .await;
-        assert_eq!(whole.text(), answer::text("hello", 5));
+        assert_eq!(full.text(), answer::text("hello", 5));
         let streamed = cluster
             .send_until_served(router, &Call::stream("c", "hello", 5))
             .await;
-        assert!(streamed.whole);
+        assert!(streamed.complete);
         assert_eq!(streamed.streamed_text(), answer::text("hello", 5));
         assert!(streamed.body.ends_with("data: [DONE]\n\n"));
         let lookup = cluster
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_returning_chat_finds_its_context_through_any_router() {
+async fn a_chat_hits_its_cached_prefix_through_any_router() {
     let cluster = Cluster::start(Topology {
         engines: 2,
         ..Topology::default()
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -13,7 +13,7 @@
 // owner. Callers that are connected, and those whom the balancer still sends,
 // get their whole answers.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_graceful_shutdown_cuts_off_no_request() {
+async fn a_graceful_shutdown_completes_all_requests() {
     let mut cluster = Cluster::start(Topology {
         routers: 2,
         engine: engine::Settings {
@@ -41,7 +41,7 @@
     for caller in callers {
         let answer = caller.await.expect("no panic").expect("an answer");
         if answer.status == 200 {
-            assert!(answer.whole, "{}", answer.body);
+            assert!(answer.complete, "{}", answer.body);
             assert_eq!(answer.streamed_text(), answer::text("hello", 100));
             served += 1;
         } else {
@@ -56,7 +56,7 @@
 // callers pass through it. Its own callers are gone early, and it must not take
 // the others' streams with it.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_shutdown_waits_for_streams_of_other_routers() {
+async fn a_shutdown_waits_for_streams_relayed_for_other_routers() {
     let mut cluster = Cluster::start(Topology {
         engine: engine::Settings {
             token_interval: Duration::from_millis(20),
@@ -79,7 +79,7 @@
     for caller in callers {
         let answer = caller.await.expect("no panic").expect("an answer");
         if answer.status == 200 {
-            assert!(answer.whole, "{}", answer.body);
+            assert!(answer.complete, "{}", answer.body);
             assert_eq!(answer.streamed_text(), answer::text("hello", 150));
         } else {
             assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
@@ -91,7 +91,7 @@
 // A router leaves in order. If the next owner of its engines had to learn their
 // limits from one again, chats would wait for half a minute beside idle engines.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_leaving_router_tells_the_next_owner_what_it_learned() {
+async fn a_leaving_router_hands_learned_limits_to_the_next_owner() {
     let mut cluster = Cluster::start(Topology {
         zones: 1,
         routers: 2,
