--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -1,8 +1,8 @@
 //! HTTP/1.1 to backend servers.
 
-pub mod answer;
 pub mod load;
 pub mod relay;
+pub mod response;
 
 use std::{io, time::Duration};
 
@@ -14,7 +14,7 @@
 use verdict::{Code, Refusal};
 use wire::hop;
 
-use crate::{answer::Answer, clock::Clock, owner};
+use crate::{clock::Clock, owner, response::Upstream};
 
 /// How long a backend server may stay without any byte of an answer before its
 /// connection is examined.
@@ -36,7 +36,7 @@
     open: &hop::Open,
     body: Bytes,
     clock: Clock,
-) -> Result<Answer, Refusal> {
+) -> Result<Upstream, Refusal> {
     let request = build_request(open, body, permit.attempt())?;
     let (mut connection, request) = match permit.take_connection() {
         Some(idle) => (idle, request),
@@ -72,7 +72,7 @@
         }
         Err(error) => return Err(relay::into_refusal(permit, error, &watchdog).await),
     };
-    answer::start(permit, connection, response, open, watchdog)
+    response::start(permit, connection, response, open, watchdog)
 }
 
 /// What a wait without progress leads to.
--- a/crates/router/src/backend/relay.rs
+++ b/crates/router/src/backend/relay.rs
@@ -166,8 +166,8 @@
     }
 }
 
-fn classify_check<T, E>(answer: Result<Result<T, load::Error>, E>) -> Check {
-    match answer {
+fn classify_check<T, E>(result: Result<Result<T, load::Error>, E>) -> Check {
+    match result {
         Ok(Ok(_)) => Check::Healthy,
         Ok(Err(_)) | Err(_) => Check::Unresponsive,
     }
--- a/crates/router/src/backend/answer.rs
+++ b/crates/router/src/backend/response.rs
@@ -13,8 +13,8 @@
     relay::{self, Check, Mode, Watchdog},
 };
 use crate::{
-    answer::{self, Answer, Chunk, Format},
     owner,
+    response::{self, Chunk, Format, Upstream},
 };
 
 /// The event that ends a whole stream.
@@ -40,7 +40,7 @@
     response: Response<Incoming>,
     open: &hop::Open,
     watchdog: Watchdog,
-) -> Result<Answer, Refusal> {
+) -> Result<Upstream, Refusal> {
     let (head, body) = response.into_parts();
     // An answer that was crossed with another one would show one workspace's
     // data to another. The echoed attempt gives it away; the connection is
@@ -58,7 +58,7 @@
             "The backend server answered another request.",
         ));
     }
-    let (chunks, receiver) = answer::channel();
+    let (chunks, receiver) = response::channel();
     let events = open.events && Format::of(&head.headers) == Format::EventStream;
     let forwarder = Forwarder {
         permit,
@@ -73,7 +73,7 @@
         healthy_checks: 0,
     };
     tokio::spawn(forwarder.run());
-    Ok(Answer {
+    Ok(Upstream {
         status: head.status,
         headers: end_to_end(head.headers),
         body: receiver,
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -16,10 +16,10 @@
 use verdict::Refusal;
 
 use crate::{
-    answer::{self, Body},
     entry::{self, Entry, Served},
     limits,
     request::Request as Checked,
+    response::{self, Body},
     shutdown::Phase,
 };
 
@@ -93,7 +93,7 @@
         Err(refusal) => {
             entry.metrics.refused(&refusal);
             log_refusal(id, &refusal);
-            answer::refuse(&refusal, id, &entry.clock)
+            response::refuse(&refusal, id, &entry.clock)
         }
     };
     if let Ok(value) = header::HeaderValue::from_str(&id.to_string()) {
@@ -101,7 +101,7 @@
     }
     entry
         .metrics
-        .answered(response.status(), entry.clock.now().since(started));
+        .responded(response.status(), entry.clock.now().since(started));
     Ok(response)
 }
 
@@ -131,7 +131,7 @@
                 request = id,
                 status = outcome.status
             );
-            answer::replay(outcome)
+            response::replay(outcome)
         }
         Ok(entry::Reply::Served(served)) => {
             logging::event!(
@@ -141,7 +141,7 @@
                 workspace = workspace,
                 route = route,
                 server = served.reporter.server(),
-                status = served.answer.status.as_u16(),
+                status = served.upstream.status.as_u16(),
                 head_ms = head_ms
             );
             stream(*served, id)
@@ -149,16 +149,16 @@
         Err(refusal) => {
             log_refusal(id, &refusal);
             entry.metrics.refused(&refusal);
-            answer::refuse(&refusal, id, &entry.clock)
+            response::refuse(&refusal, id, &entry.clock)
         }
     }
 }
 
 fn stream(served: Served, id: request::Id) -> Response<Body> {
-    let Served { answer, reporter } = served;
-    let status = answer.status;
-    let headers = answer.headers.clone();
-    let mut response = Response::new(Body::stream(answer, id, reporter));
+    let Served { upstream, reporter } = served;
+    let status = upstream.status;
+    let headers = upstream.headers.clone();
+    let mut response = Response::new(Body::stream(upstream, id, reporter));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
     response
--- a/crates/router/src/caller/pages.rs
+++ b/crates/router/src/caller/pages.rs
@@ -4,7 +4,7 @@
 
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, body::Incoming, header};
 
-use crate::{answer::Body, entry::Entry};
+use crate::{entry::Entry, response::Body};
 
 /// The answer to a request for one of the router's own pages.
 pub async fn respond(request: &Request<Incoming>, entry: &Arc<Entry>) -> Option<Response<Body>> {
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -8,8 +8,8 @@
 use verdict::{Code, Refusal};
 
 use crate::{
-    answer::Answer,
     claims, entry,
+    response::Upstream,
     tracker::{self, Ending},
     view::Target,
 };
@@ -76,11 +76,11 @@
     }
 
     /// The trace of an answer whose outcome is recorded under `claim`.
-    pub fn with_claim(self, claim: Option<claims::Guard>, answer: &Answer) -> Self {
-        let content_type = answer.headers.get(header::CONTENT_TYPE);
+    pub fn with_claim(self, claim: Option<claims::Guard>, upstream: &Upstream) -> Self {
+        let content_type = upstream.headers.get(header::CONTENT_TYPE);
         let record = claim.map(|claim| Record {
             claim,
-            status: answer.status.as_u16(),
+            status: upstream.status.as_u16(),
             content_type: content_type.and_then(|value| value.to_str().ok().map(String::from)),
             body: Some(Vec::new()),
         });
--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -18,7 +18,6 @@
 use wire::seal;
 
 use crate::{
-    answer::{Answer, retry_instant},
     claims,
     clock::Clock,
     completion::Reporter,
@@ -26,6 +25,7 @@
     members::{Members, Peer},
     metrics::Metrics,
     owner,
+    response::{Upstream, retry_instant},
     shutdown::Phase,
     status, tracker,
     view::View,
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 pub struct Served {
     /// The response.
-    pub answer: Answer,
+    pub upstream: Upstream,
     /// Reports the end of the response.
     pub reporter: Reporter,
 }
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -9,17 +9,17 @@
 
 use super::{Entry, progress::Progress};
 use crate::{
-    answer::Answer,
     backend as http, claims,
     hop::{client, server},
     owner::{self, Rejected},
     request::{Repeat, Request},
+    response::Upstream,
     view::Target,
 };
 
 /// An attempt that got a response.
 pub(super) struct Success {
-    pub(super) answer: Answer,
+    pub(super) upstream: Upstream,
     /// Identifies the crash of the server, if it crashes during the response.
     pub(super) crash_id: u64,
 }
@@ -99,7 +99,7 @@
             Grant::Remote(admitted) => admitted.send(&request.body, self.clock).await,
         };
         match ran {
-            Ok(answer) => Ok(Success { answer, crash_id }),
+            Ok(upstream) => Ok(Success { upstream, crash_id }),
             Err(refusal) => Err(Failure { refusal, crash_id }),
         }
     }
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -12,10 +12,10 @@
     progress::{Progress, ending_of},
 };
 use crate::{
-    answer::retry_instant,
     claims::{self, Claimed},
     completion::Reporter,
     request::{Repeat, Request},
+    response::retry_instant,
     tracker::{self, Ending},
     view::{Pool, Target},
 };
@@ -39,7 +39,7 @@
         };
         match self.dispatch(request, &mut claim).await {
             Ok(served) => {
-                let reporter = served.reporter.with_claim(claim.take(), &served.answer);
+                let reporter = served.reporter.with_claim(claim.take(), &served.upstream);
                 Ok(Reply::Served(Box::new(Served { reporter, ..served })))
             }
             Err(refusal) => {
@@ -91,7 +91,7 @@
                 Ok(attempted) => {
                     let reporter = Reporter::new(begun.guard, target, attempted.crash_id);
                     return Ok(Served {
-                        answer: attempted.answer,
+                        upstream: attempted.upstream,
                         reporter,
                     });
                 }
--- a/crates/router/src/hop/client.rs
+++ b/crates/router/src/hop/client.rs
@@ -18,10 +18,10 @@
     link::{Error, Link},
 };
 use crate::{
-    answer::{self, Answer, Chunk},
     clock::Clock,
     follow::update::Update,
     owner::Rejected,
+    response::{self, Chunk, Upstream},
 };
 
 /// The most idle links that are kept for one peer.
@@ -53,9 +53,9 @@
     }
 
     async fn take(&self, address: net::SocketAddr) -> Option<Link> {
-        let (reply, answer) = oneshot::channel();
+        let (reply, receiver) = oneshot::channel();
         self.messages.send(Message::Take(address, reply)).ok()?;
-        answer.await.ok()?
+        receiver.await.ok()?
     }
 
     fn put(&self, address: net::SocketAddr, link: Link) {
@@ -128,7 +128,7 @@
                     Code::NoServer,
                     "The router that owns the backend server cannot be reached.",
                 )
-                .retry_at(answer::retry_instant(clock, 1000)),
+                .retry_at(response::retry_instant(clock, 1000)),
                 load: None,
             })
         }
@@ -184,7 +184,7 @@
     ///
     /// A refusal by the owner, or the verdict that the request may have run
     /// when the link broke after the whole body had left.
-    pub async fn send(mut self, body: &Bytes, clock: Clock) -> Result<Answer, Refusal> {
+    pub async fn send(mut self, body: &Bytes, clock: Clock) -> Result<Upstream, Refusal> {
         if let Err(error) = self.send_body(body).await {
             logging::event!(warn, "hop_broken", peer = self.address, error = error);
             return Err(Refusal::not_run(
@@ -198,7 +198,7 @@
         loop {
             match self.link.reader.receive_within(KEEPALIVE_TIMEOUT).await {
                 Ok(Frame::Message(Reply::Alive)) => {}
-                Ok(Frame::Message(Reply::Head(head))) => return self.answer(head, clock),
+                Ok(Frame::Message(Reply::Head(head))) => return self.into_response(head, clock),
                 Ok(Frame::Message(Reply::Refused(refused))) => {
                     let refusal = from_wire(refused, &clock);
                     self.links.put(self.address, self.link);
@@ -226,13 +226,13 @@
         )
     }
 
-    fn answer(self, head: wire::hop::Head, clock: Clock) -> Result<Answer, Refusal> {
+    fn into_response(self, head: wire::hop::Head, clock: Clock) -> Result<Upstream, Refusal> {
         let status = StatusCode::from_u16(head.status)
             .map_err(|_| self.link_failure(&Error::Frame(wire::Error::Malformed)))?;
         let headers = head::to_map(head.headers);
-        let (chunks, body) = answer::channel();
+        let (chunks, body) = response::channel();
         tokio::spawn(self.forward(chunks, clock));
-        Ok(Answer {
+        Ok(Upstream {
             status,
             headers,
             body,
--- a/crates/router/src/hop/server.rs
+++ b/crates/router/src/hop/server.rs
@@ -22,12 +22,12 @@
     to_wire,
 };
 use crate::{
-    answer::Answer,
     backend,
     clock::Clock,
     entry, follow,
     limits::MAX_BODY_BYTES,
     owner::{self, Offer, Rejected, Reply as OfferReply},
+    response::Upstream,
     tracker,
 };
 
@@ -155,7 +155,7 @@
     let run = backend::run(permit, &open, body, clock);
     let result = with_keepalives(&mut link.reader, &mut link.writer, run).await?;
     let refusal = match result {
-        Ok(answer) => match forward(link, answer).await? {
+        Ok(upstream) => match forward(link, upstream).await? {
             Some(refusal) => refusal,
             None => return Ok(()),
         },
@@ -218,14 +218,15 @@
 }
 
 /// Passes an answer on to the entry; a refusal tells why it broke off.
-async fn forward(link: &mut Link, mut answer: Answer) -> Result<Option<Refusal>, Error> {
+async fn forward(link: &mut Link, mut upstream: Upstream) -> Result<Option<Refusal>, Error> {
     let head = Head {
-        status: answer.status.as_u16(),
-        headers: head::from_map(&answer.headers),
+        status: upstream.status.as_u16(),
+        headers: head::from_map(&upstream.headers),
     };
     link.writer.send(&Reply::Head(head)).await?;
     loop {
-        let chunk = with_keepalives(&mut link.reader, &mut link.writer, answer.body.recv()).await?;
+        let chunk =
+            with_keepalives(&mut link.reader, &mut link.writer, upstream.body.recv()).await?;
         match chunk {
             Some(Ok(data)) => link.writer.send_data(&data).await?,
             Some(Err(refusal)) => return Ok(Some(refusal)),
@@ -239,10 +240,10 @@
 
 /// What changed in the configuration after `since`, as JSON.
 async fn changes(since: revision::Id, context: &Context) -> Option<Vec<u8>> {
-    let (reply, answer) = oneshot::channel();
+    let (reply, receiver) = oneshot::channel();
     let message = follow::Message::Changes { since, reply };
     context.follow.send(message).await.ok()?;
-    let update = answer.await.ok().flatten()?;
+    let update = receiver.await.ok().flatten()?;
     update.to_json().ok()
 }
 
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -5,7 +5,6 @@
 //! the router that owns that server ([`hop`]). The owner admits it ([`owner`])
 //! and runs it on the server ([`backend`]).
 
-pub mod answer;
 pub mod backend;
 pub mod caller;
 pub mod claims;
@@ -20,6 +19,7 @@
 pub mod metrics;
 pub mod owner;
 pub mod request;
+pub mod response;
 pub mod settings;
 pub mod start;
 pub mod status;
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -69,7 +69,7 @@
 pub struct Metrics {
     registry: Registry,
     refusals: Family<RefusalLabels, Counter>,
-    answers: Family<StatusLabels, Counter>,
+    responses: Family<StatusLabels, Counter>,
     head_seconds: Option<Histogram>,
     control_bytes: Family<TrafficLabels, Counter>,
     prompt_tokens: Counter,
@@ -93,7 +93,11 @@
         let mut metrics = Self::default();
         let registry = &mut metrics.registry;
         registry.register("weir_refusals", "Final refusals", metrics.refusals.clone());
-        registry.register("weir_answers", "Answers by status", metrics.answers.clone());
+        registry.register(
+            "weir_answers",
+            "Answers by status",
+            metrics.responses.clone(),
+        );
         let head_seconds = Histogram::new(BUCKETS);
         registry.register(
             "weir_head_seconds",
@@ -178,9 +182,9 @@
     }
 
     /// Counts an answer and the time to its head.
-    pub fn answered(&self, status: StatusCode, time: Duration) {
+    pub fn responded(&self, status: StatusCode, time: Duration) {
         let class = format!("{}xx", status.as_u16() / 100);
-        self.answers.get_or_create(&StatusLabels { class }).inc();
+        self.responses.get_or_create(&StatusLabels { class }).inc();
         if let Some(histogram) = &self.head_seconds {
             histogram.observe(time.as_secs_f64());
         }
--- a/crates/router/src/answer.rs
+++ b/crates/router/src/response.rs
@@ -34,7 +34,7 @@
 
 /// The answer of a backend server, streamed.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Upstream {
     /// The HTTP status.
     pub status: StatusCode,
     /// The headers, hop-by-hop ones removed.
@@ -110,12 +110,12 @@
     }
 
     /// The body of an answer that arrives in pieces.
-    pub fn stream(answer: Answer, id: request::Id, reporter: Reporter) -> Self {
-        let length = answer.headers.get(header::CONTENT_LENGTH);
+    pub fn stream(upstream: Upstream, id: request::Id, reporter: Reporter) -> Self {
+        let length = upstream.headers.get(header::CONTENT_LENGTH);
         Self::Stream(Box::new(Stream {
-            format: Format::of(&answer.headers),
+            format: Format::of(&upstream.headers),
             remaining: length.and_then(|value| value.to_str().ok()?.parse().ok()),
-            chunks: answer.body,
+            chunks: upstream.body,
             state: State::Open,
             id,
             reporter,
--- a/crates/router/tests/fleet/claims.rs
+++ b/crates/router/tests/fleet/claims.rs
@@ -36,10 +36,10 @@
         let call = Call::booking(&key);
         let (one, other) = tokio::join!(cluster.send(0, &call), cluster.send(1, &call));
         assert_eq!(cluster.runs(&key), 1);
-        for answer in [one, other] {
-            if answer.status != 200 {
-                assert_eq!(answer.error("code"), "claim_taken");
-                assert_eq!(answer.error("verdict"), "may_have_run");
+        for response in [one, other] {
+            if response.status != 200 {
+                assert_eq!(response.error("code"), "claim_taken");
+                assert_eq!(response.error("verdict"), "may_have_run");
             }
         }
         let later = cluster.wait_for(0, &call, 200).await;
@@ -61,8 +61,13 @@
             .handle
             .fault(service::Fault::LoseAnswer { count: Some(1) });
     }
-    let answer = cluster.send(0, &Call::booking("pickup")).await;
-    assert_eq!(answer.error("verdict"), "may_have_run", "{}", answer.body);
+    let response = cluster.send(0, &Call::booking("pickup")).await;
+    assert_eq!(
+        response.error("verdict"),
+        "may_have_run",
+        "{}",
+        response.body
+    );
     for round in 0..4 {
         let again = cluster.send(round % 2, &Call::booking("pickup")).await;
         assert_eq!(again.error("code"), "claim_taken", "{}", again.body);
@@ -79,10 +84,15 @@
     let cluster = Cluster::start(Topology::default()).await;
     cluster.platform.fault(platform::Fault::Down);
     for round in 0..4 {
-        let answer = cluster.send(round % 2, &Call::booking("pickup")).await;
-        assert_eq!(answer.error("code"), "claim_unavailable", "{}", answer.body);
-        assert_eq!(answer.error("verdict"), "not_run");
-        assert_ne!(answer.error("retry_after"), "null");
+        let response = cluster.send(round % 2, &Call::booking("pickup")).await;
+        assert_eq!(
+            response.error("code"),
+            "claim_unavailable",
+            "{}",
+            response.body
+        );
+        assert_eq!(response.error("verdict"), "not_run");
+        assert_ne!(response.error("retry_after"), "null");
     }
     cluster
         .send_until_served(0, &Call::chat("c", "hello", 2))
@@ -104,9 +114,9 @@
         cluster
             .platform
             .fault(platform::Fault::LoseAnswer { count: Some(1) });
-        let answer = cluster.send(round % 2, &Call::booking(&key)).await;
-        if answer.status != 200 {
-            let verdict = answer.error("verdict");
+        let response = cluster.send(round % 2, &Call::booking(&key)).await;
+        if response.status != 200 {
+            let verdict = response.error("verdict");
             assert!(verdict == "not_run" || cluster.runs(&key) == 1);
         }
         cluster.platform.fault(platform::Fault::Normal);
@@ -154,8 +164,8 @@
 async fn a_booking_that_did_not_run_can_be_sent_again() {
     let cluster = Cluster::start(Topology::one_zone()).await;
     cluster.services[0].handle.fault(service::Fault::Crash);
-    let answer = cluster.send(0, &Call::booking("pickup")).await;
-    assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
+    let response = cluster.send(0, &Call::booking("pickup")).await;
+    assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
     cluster.services[0]
         .handle
         .restart()
--- a/crates/router/tests/fleet/client.rs
+++ b/crates/router/tests/fleet/client.rs
@@ -11,7 +11,7 @@
 
 /// What a caller got.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub request_id: Option<String>,
     /// What arrived of the body.
@@ -20,7 +20,7 @@
     pub complete: bool,
 }
 
-impl Answer {
+impl Response {
     /// A field of the error that the answer holds.
     pub fn error(&self, field: &str) -> String {
         let json: Value = serde_json::from_str(&self.body).unwrap_or_default();
@@ -135,7 +135,7 @@
     }
 
     /// Makes the call on a connection of its own. `None`: there was no answer.
-    pub async fn send(&self, address: SocketAddr) -> Option<Answer> {
+    pub async fn send(&self, address: SocketAddr) -> Option<Response> {
         let stream = TcpStream::connect(address).await.ok()?;
         let (mut sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
         tokio::spawn(driver);
@@ -153,7 +153,7 @@
             let value = response.headers().get(name)?.to_str().ok()?;
             Some(String::from(value))
         };
-        let mut answer = Answer {
+        let mut result = Response {
             status: response.status().as_u16(),
             request_id: text("x-request-id"),
             body: String::new(),
@@ -162,11 +162,11 @@
         let mut body = response.into_body();
         while let Some(frame) = body.frame().await {
             match frame.map(hyper::body::Frame::into_data) {
-                Ok(Ok(data)) => answer.body.push_str(&String::from_utf8_lossy(&data)),
+                Ok(Ok(data)) => result.body.push_str(&String::from_utf8_lossy(&data)),
                 Ok(Err(_)) => {}
-                Err(_) => answer.complete = false,
+                Err(_) => result.complete = false,
             }
         }
-        Some(answer)
+        Some(result)
     }
 }
--- a/crates/router/tests/fleet/cluster.rs
+++ b/crates/router/tests/fleet/cluster.rs
@@ -11,7 +11,7 @@
 use standin::{engine, platform, platform::Host, service};
 
 use crate::{
-    client::{Answer, Call},
+    client::{Call, Response},
     process::Process,
 };
 
@@ -195,20 +195,20 @@
                 "from": from, "to": self.revision, "puts": resources, "deletes": []},
         }));
         let transaction = json!({"checks": [], "puts": puts, "deletes": []});
-        let answer = Call::post("/table/transact", &transaction.to_string())
+        let response = Call::post("/table/transact", &transaction.to_string())
             .send(self.platform.address())
             .await
             .expect("the platform answers");
-        assert_eq!(answer.status, 200, "{}", answer.body);
+        assert_eq!(response.status, 200, "{}", response.body);
     }
 
     /// The status page of a router, `Null` when it does not answer.
     pub async fn status(&self, router: usize) -> Value {
-        let answer = Call::get("/weir/status")
+        let response = Call::get("/weir/status")
             .send(self.routers[router].address)
             .await;
-        answer
-            .and_then(|answer| serde_json::from_str(&answer.body).ok())
+        response
+            .and_then(|response| serde_json::from_str(&response.body).ok())
             .unwrap_or_default()
     }
 
@@ -301,37 +301,37 @@
     }
 
     /// Sends a call to one router.
-    pub async fn send(&self, router: usize, call: &Call) -> Answer {
-        let answer = call.send(self.routers[router].address).await;
-        answer.expect("the router answers")
+    pub async fn send(&self, router: usize, call: &Call) -> Response {
+        let response = call.send(self.routers[router].address).await;
+        response.expect("the router answers")
     }
 
     /// Sends a call to one router, and repeats it until it is served, as a
     /// caller may while the verdict is `not_run`.
-    pub async fn send_until_served(&self, router: usize, call: &Call) -> Answer {
+    pub async fn send_until_served(&self, router: usize, call: &Call) -> Response {
         let started = Instant::now();
         loop {
-            let answer = self.send(router, call).await;
-            if answer.status == 200 {
-                return answer;
+            let response = self.send(router, call).await;
+            if response.status == 200 {
+                return response;
             }
-            let verdict = answer.error("verdict");
-            assert_eq!(verdict, "not_run", "{}", answer.body);
-            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
+            let verdict = response.error("verdict");
+            assert_eq!(verdict, "not_run", "{}", response.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", response.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
 
     /// Sends a call to one router, and repeats it until the response has
     /// `status`.
-    pub async fn wait_for(&self, router: usize, call: &Call, status: u16) -> Answer {
+    pub async fn wait_for(&self, router: usize, call: &Call, status: u16) -> Response {
         let started = Instant::now();
         loop {
-            let answer = self.send(router, call).await;
-            if answer.status == status {
-                return answer;
+            let response = self.send(router, call).await;
+            if response.status == status {
+                return response;
             }
-            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", answer.body);
+            assert!(started.elapsed() < WAIT_TIMEOUT, "{}", response.body);
             tokio::time::sleep(Duration::from_millis(100)).await;
         }
     }
--- a/crates/router/tests/fleet/failures.rs
+++ b/crates/router/tests/fleet/failures.rs
@@ -49,13 +49,13 @@
     let engine = busy_engine(&cluster).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
     cluster.engines[engine].handle.fault(engine::Fault::Crash);
-    let answer = caller.await.expect("no panic").expect("a response head");
-    assert!(!answer.complete, "the connection must be reset");
-    assert!(!answer.body.contains("[DONE]"));
+    let response = caller.await.expect("no panic").expect("a response head");
+    assert!(!response.complete, "the connection must be reset");
+    assert!(!response.body.contains("[DONE]"));
     assert!(
-        answer.body.contains(r#""verdict":"may_have_run""#),
+        response.body.contains(r#""verdict":"may_have_run""#),
         "{}",
-        answer.body
+        response.body
     );
     // The next request is served by the other engine.
     let next = cluster
@@ -75,11 +75,11 @@
     for engine in &cluster.engines {
         engine.handle.fault(engine::Fault::ShortStream { count: 1 });
     }
-    let answer = cluster.send(0, &call).await;
-    if answer.complete {
-        assert_eq!(answer.streamed_text(), answer::text("hello", 20));
+    let response = cluster.send(0, &call).await;
+    if response.complete {
+        assert_eq!(response.streamed_text(), answer::text("hello", 20));
     } else {
-        assert!(answer.body.contains(r#""verdict":"may_have_run""#));
+        assert!(response.body.contains(r#""verdict":"may_have_run""#));
     }
 }
 
@@ -94,9 +94,9 @@
     cluster.engines[0]
         .handle
         .fault(engine::Fault::CutStream { count: 1 });
-    let answer = cluster.send(0, &call).await;
-    assert!(answer.complete, "{}", answer.body);
-    assert_eq!(answer.streamed_text(), answer::text("hello", 20));
+    let response = cluster.send(0, &call).await;
+    assert!(response.complete, "{}", response.body);
+    assert_eq!(response.streamed_text(), answer::text("hello", 20));
 }
 
 // A network device between router and engine loses the state of open
@@ -119,9 +119,9 @@
     cluster.engines[engine]
         .handle
         .fault(engine::Fault::SilentConnections);
-    let answer = caller.await.expect("no panic").expect("a response");
-    assert!(answer.complete, "{}", answer.body);
-    assert_eq!(answer.streamed_text(), answer::text("hello", 60));
+    let response = caller.await.expect("no panic").expect("a response");
+    assert!(response.complete, "{}", response.body);
+    assert_eq!(response.streamed_text(), answer::text("hello", 60));
     let again = cluster
         .send_until_served(0, &Call::chat("c", "hello", 3))
         .await;
@@ -148,9 +148,14 @@
     cluster.services[0]
         .handle
         .fault(service::Fault::SilentConnections);
-    let answer = cluster.send(0, &Call::booking("pickup")).await;
-    if answer.status != 200 {
-        assert_eq!(answer.error("verdict"), "may_have_run", "{}", answer.body);
+    let response = cluster.send(0, &Call::booking("pickup")).await;
+    if response.status != 200 {
+        assert_eq!(
+            response.error("verdict"),
+            "may_have_run",
+            "{}",
+            response.body
+        );
     }
     assert!(cluster.runs("pickup") <= 1);
     cluster.send_until_served(0, &Call::booking("next")).await;
@@ -169,12 +174,12 @@
     cluster.engines[0]
         .handle
         .fault(engine::Fault::CrossedAnswer { count: 1 });
-    let answer = cluster.send(0, &Call::chat("c", "mine", 3)).await;
-    if answer.status == 200 {
-        assert_eq!(answer.text(), answer::text("mine", 3));
+    let response = cluster.send(0, &Call::chat("c", "mine", 3)).await;
+    if response.status == 200 {
+        assert_eq!(response.text(), answer::text("mine", 3));
     } else {
-        assert_eq!(answer.error("code"), "bad_answer");
-        assert_eq!(answer.error("verdict"), "may_have_run");
+        assert_eq!(response.error("code"), "bad_answer");
+        assert_eq!(response.error("verdict"), "may_have_run");
     }
 }
 
@@ -191,9 +196,9 @@
             .handle
             .fault(service::Fault::LoseAnswer { count: Some(1) });
     }
-    let answer = cluster.send(0, &Call::booking("pickup")).await;
-    assert_eq!(answer.status, 502, "{}", answer.body);
-    assert_eq!(answer.error("verdict"), "may_have_run");
+    let response = cluster.send(0, &Call::booking("pickup")).await;
+    assert_eq!(response.status, 502, "{}", response.body);
+    assert_eq!(response.error("verdict"), "may_have_run");
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
@@ -209,9 +214,9 @@
     cluster.engines[0].handle.fault(engine::Fault::Crash);
     for chat in 0..8 {
         let call = Call::chat(&format!("c{chat}"), "hello", 3);
-        let answer = cluster.send(1, &call).await;
-        assert_eq!(answer.status, 200, "{}", answer.body);
-        assert_eq!(answer.text(), answer::text("hello", 3));
+        let response = cluster.send(1, &call).await;
+        assert_eq!(response.status, 200, "{}", response.body);
+        assert_eq!(response.text(), answer::text("hello", 3));
     }
 }
 
@@ -232,8 +237,8 @@
     for router in others {
         for chat in 0..4 {
             let call = Call::chat(&format!("c{chat}"), "hello", 3);
-            let answer = cluster.send_until_served(router, &call).await;
-            assert_eq!(answer.text(), answer::text("hello", 3));
+            let response = cluster.send_until_served(router, &call).await;
+            assert_eq!(response.text(), answer::text("hello", 3));
         }
         cluster
             .send_until_served(router, &Call::booking(&format!("b{router}")))
@@ -265,13 +270,13 @@
     for round in 0..12 {
         let key = format!("b{round}");
         let router = others[round % others.len()];
-        let answer = cluster.send(router, &Call::booking(&key)).await;
+        let response = cluster.send(router, &Call::booking(&key)).await;
         let runs = cluster.runs(&key);
-        match (answer.status, answer.error("verdict").as_str()) {
+        match (response.status, response.error("verdict").as_str()) {
             (200, _) => assert_eq!(runs, 1),
-            (_, "not_run") => assert_eq!(runs, 0, "{}", answer.body),
+            (_, "not_run") => assert_eq!(runs, 0, "{}", response.body),
             (_, verdict) => {
-                assert_eq!(verdict, "may_have_run", "{}", answer.body);
+                assert_eq!(verdict, "may_have_run", "{}", response.body);
                 assert!(runs <= 1);
             }
         }
@@ -301,10 +306,10 @@
     cluster.platform.fault(platform::Fault::Down);
     tokio::time::sleep(Duration::from_secs(3)).await;
     for router in 0..cluster.routers.len() {
-        let answer = cluster
+        let response = cluster
             .send_until_served(router, &Call::chat("c", "hello", 3))
             .await;
-        assert_eq!(answer.text(), answer::text("hello", 3));
+        assert_eq!(response.text(), answer::text("hello", 3));
         cluster
             .send_until_served(router, &Call::get("/lookups/1"))
             .await;
@@ -320,10 +325,10 @@
     cluster.platform.fault(platform::Fault::Down);
     cluster.start_router("router-0-1", &zone(0));
     cluster.wait_settled().await;
-    let answer = cluster
+    let response = cluster
         .send_until_served(2, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(answer.text(), answer::text("hello", 3));
+    assert_eq!(response.text(), answer::text("hello", 3));
     cluster.send_until_served(2, &Call::get("/lookups/1")).await;
 }
 
@@ -344,9 +349,9 @@
     let poison = Call::chat("bad", "poison", 3);
     let mut refused = 0;
     for round in 0..10 {
-        let answer = cluster.send(round % 2, &poison).await;
-        assert_ne!(answer.status, 200);
-        if answer.error("code") == "suspect" {
+        let response = cluster.send(round % 2, &poison).await;
+        assert_ne!(response.status, 200);
+        if response.error("code") == "suspect" {
             // The request that crashed two engines gets this verdict; later
             // ones have not run.
             let verdict = if round == 0 {
@@ -354,7 +359,7 @@
             } else {
                 "not_run"
             };
-            assert_eq!(answer.error("verdict"), verdict, "round {round}");
+            assert_eq!(response.error("verdict"), verdict, "round {round}");
             refused += 1;
         }
         let good = cluster
--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -66,16 +66,16 @@
 /// One call and what came back, with the log lines that name it.
 async fn step(cluster: &Cluster, number: u32, call: Call) -> String {
     let id = format!("{number:016x}");
-    let answer = cluster
+    let response = cluster
         .send(0, &call.clone().header("x-request-id", &id))
         .await;
     let mut text = format!("> {}\n", call.line());
     text += &format!(
         "< {} request_id={}\n",
-        answer.status,
-        answer.request_id.unwrap_or_default()
+        response.status,
+        response.request_id.unwrap_or_default()
     );
-    for line in answer.body.lines() {
+    for line in response.body.lines() {
         text += &format!("< {}\n", masked(line));
     }
     // The answer may arrive before the last lines of the logs.
@@ -128,8 +128,8 @@
     }
     session += &step(&cluster, 7, Call::booking("lost")).await;
     wait_until("the outcome is recorded as unknown", async || {
-        let answer = cluster.send(1, &Call::booking("lost")).await;
-        answer.error("message").contains("outcome is unknown")
+        let response = cluster.send(1, &Call::booking("lost")).await;
+        response.error("message").contains("outcome is unknown")
     })
     .await;
     session += &step(&cluster, 8, Call::booking("lost")).await;
--- a/crates/router/tests/fleet/input.rs
+++ b/crates/router/tests/fleet/input.rs
@@ -58,12 +58,12 @@
         ),
     ];
     for (call, status, code) in cases {
-        let answer = cluster.send(0, &call).await;
-        assert_eq!(answer.status, status, "{}", answer.body);
-        assert_eq!(answer.error("code"), code);
-        assert_eq!(answer.error("verdict"), "not_run");
-        assert_eq!(answer.error("request_id").len(), 16);
-        assert_eq!(answer.request_id, Some(answer.error("request_id")));
+        let response = cluster.send(0, &call).await;
+        assert_eq!(response.status, status, "{}", response.body);
+        assert_eq!(response.error("code"), code);
+        assert_eq!(response.error("verdict"), "not_run");
+        assert_eq!(response.error("request_id").len(), 16);
+        assert_eq!(response.request_id, Some(response.error("request_id")));
     }
     let key = chat()
         .header("x-weir-workspace", "locked")
--- a/crates/router/tests/fleet/serving.rs
+++ b/crates/router/tests/fleet/serving.rs
@@ -45,13 +45,13 @@
     let call = Call::chat("diary", &prompt, 2);
     cluster.send_until_served(0, &call).await;
     for round in 0..6 {
-        let answer = cluster
+        let response = cluster
             .send_until_served(round % cluster.routers.len(), &call)
             .await;
         assert!(
-            answer.body.contains(r#""cached_tokens":80"#),
+            response.body.contains(r#""cached_tokens":80"#),
             "{}",
-            answer.body
+            response.body
         );
     }
 }
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -39,13 +39,13 @@
     cluster.routers[0].terminate();
     let mut served = 0;
     for caller in callers {
-        let answer = caller.await.expect("no panic").expect("an answer");
-        if answer.status == 200 {
-            assert!(answer.complete, "{}", answer.body);
-            assert_eq!(answer.streamed_text(), answer::text("hello", 100));
+        let response = caller.await.expect("no panic").expect("an answer");
+        if response.status == 200 {
+            assert!(response.complete, "{}", response.body);
+            assert_eq!(response.streamed_text(), answer::text("hello", 100));
             served += 1;
         } else {
-            assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
+            assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
         }
     }
     assert!(served >= 6, "only {served} were served");
@@ -77,12 +77,12 @@
     .await;
     cluster.routers[1].terminate();
     for caller in callers {
-        let answer = caller.await.expect("no panic").expect("an answer");
-        if answer.status == 200 {
-            assert!(answer.complete, "{}", answer.body);
-            assert_eq!(answer.streamed_text(), answer::text("hello", 150));
+        let response = caller.await.expect("no panic").expect("an answer");
+        if response.status == 200 {
+            assert!(response.complete, "{}", response.body);
+            assert_eq!(response.streamed_text(), answer::text("hello", 150));
         } else {
-            assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
+            assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
         }
     }
     assert!(cluster.routers[1].wait(), "the process ends in order");
@@ -109,9 +109,9 @@
         log.contains("event=server_handed_over server=engine-0-0")
     })
     .await;
-    let answer = cluster
+    let response = cluster
         .send_until_served(next, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(answer.text(), answer::text("hello", 3));
+    assert_eq!(response.text(), answer::text("hello", 3));
     assert!(cluster.routers[leaving].wait(), "the process ends in order");
 }
--- a/crates/router/tests/fleet/zones.rs
+++ b/crates/router/tests/fleet/zones.rs
@@ -11,9 +11,9 @@
 async fn send_many(cluster: &Cluster, count: usize) {
     for number in 0..count {
         let call = Call::chat(&format!("c{number}"), "hello", 2);
-        let answer = cluster.send(number % cluster.routers.len(), &call).await;
-        assert_eq!(answer.status, 200, "{}", answer.body);
-        assert_eq!(answer.text(), answer::text("hello", 2));
+        let response = cluster.send(number % cluster.routers.len(), &call).await;
+        assert_eq!(response.status, 200, "{}", response.body);
+        assert_eq!(response.text(), answer::text("hello", 2));
     }
 }
 
