--- a/crates/router/src/backend.rs
+++ b/crates/router/src/backend.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1 to backend servers.
+//! HTTP/1.1 client for backend servers.
 
 pub mod load;
 pub mod relay;
@@ -16,21 +16,22 @@
 
 use crate::{clock::Clock, owner, response::Upstream};
 
-/// How long a backend server may stay without any byte of an answer before its
-/// connection is examined.
+/// Time without a received byte of a response after which the backend server is
+/// checked over a new connection.
 pub const PROGRESS_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The header that carries the attempt to the backend server and back.
+/// The header with the attempt id, which the backend server echoes in its
+/// response.
 pub const ATTEMPT_HEADER: &str = "x-weir-attempt";
 
 /// Runs an admitted request on its backend server.
 ///
-/// The answer's head is returned as soon as it is there; its body follows
-/// through the answer's channel. The permit is given back when the body ends.
+/// Returns once the response head was received; the body is streamed through
+/// the channel of the response. The permit is released when the body ends.
 ///
 /// # Errors
 ///
-/// A refusal with the verdict `NotRun` only if no byte of the request left.
+/// A refusal, with the verdict `NotRun` only if no byte of the request was sent.
 pub async fn run(
     mut permit: owner::Permit,
     open: &hop::Open,
@@ -55,8 +56,8 @@
     let response = match first {
         Ok(response) => response,
         Err(relay::Error::Unsent(request)) => {
-            // The server closed the idle connection while it was not in use. No
-            // byte has left, so the same attempt goes over a fresh one.
+            // The server closed the idle connection. No byte of the request was
+            // sent, so the same attempt is made over a new connection.
             connection = match Connection::open(permit.address()).await {
                 Ok(fresh) => fresh,
                 Err(error) => return Err(unreachable(permit, &error)),
@@ -75,7 +76,7 @@
     response::start(permit, connection, response, open, watchdog)
 }
 
-/// What a wait without progress leads to.
+/// Selects the action for a response without progress.
 fn mode(open: &hop::Open) -> relay::Mode {
     if open.events {
         relay::Mode::Resume
--- a/crates/router/src/backend/load.rs
+++ b/crates/router/src/backend/load.rs
@@ -1,4 +1,4 @@
-//! Reports that backend servers make of their load.
+//! Load reports of backend servers.
 
 use std::{error, fmt, io, net, sync::Arc, time::Duration};
 
@@ -10,40 +10,41 @@
 
 use super::Connection;
 
-/// How long a report may take.
+/// Timeout for reading a load report.
 pub const TIMEOUT: Duration = Duration::from_millis(800);
-/// The largest report, in bytes.
+/// Maximum size of a load report.
 const MAX_REPORT_BYTES: usize = 64 * 1024;
 
-/// What a backend server reports of itself.
+/// A load report of a backend server.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 pub struct Report {
-    /// An id that changes at a restart.
+    /// The boot id, which changes with every restart of the server.
     pub boot: String,
-    /// The number of the report.
+    /// The sequence number of the report.
     #[serde(default)]
     pub seq: u64,
-    /// Requests that run.
+    /// Number of running requests.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     #[serde(default)]
     pub waiting: u32,
-    /// Requests that it can run at once when warm. Zero: it does not say.
+    /// Number of requests that the server can run concurrently when warm, or
+    /// zero if unknown.
     #[serde(default)]
     pub capacity: u32,
 }
 
-/// Why there is no report.
+/// Why a load report could not be read.
 #[derive(Debug)]
 pub enum Error {
     /// The server does not accept connections.
     Connect(io::Error),
-    /// It closed the connection.
+    /// The server closed the connection.
     Closed,
-    /// It answered with another status than success.
+    /// The response has a status other than success.
     Status(u16),
-    /// Its report is malformed or too long.
+    /// The report is malformed or too large.
     Malformed,
 }
 
@@ -60,27 +61,27 @@
 
 impl error::Error for Error {}
 
-/// Sends a GET on a connection of its own.
+/// Sends a GET request over a new connection.
 ///
 /// # Errors
 ///
-/// When the server does not accept the connection or closes it.
+/// If the server does not accept the connection or closes it.
 pub async fn get(address: net::SocketAddr, target: &str) -> Result<Response<Incoming>, Error> {
     let mut connection = Connection::open(address).await.map_err(Error::Connect)?;
     let request = build_request(address, target)?;
     connection.send(request).await.map_err(|_| Error::Closed)
 }
 
-/// Reads a server's load report over a connection of its own.
+/// Reads the load report of a server over a new connection.
 ///
 /// # Errors
 ///
-/// When there is none, or it is not understood.
+/// If the server cannot be reached or its report is invalid.
 pub async fn read(address: net::SocketAddr) -> Result<Report, Error> {
     report(get(address, "/load").await?).await
 }
 
-/// Asks one server for its load again and again.
+/// A client that polls the load reports of one server.
 #[derive(Debug)]
 pub struct Client {
     address: net::SocketAddr,
@@ -89,7 +90,7 @@
 }
 
 impl Client {
-    /// A client whose bytes are counted in `traffic`.
+    /// Creates a client that counts its sent and received bytes in `traffic`.
     pub fn new(address: net::SocketAddr, traffic: Arc<Traffic>) -> Self {
         Self {
             address,
@@ -98,7 +99,7 @@
         }
     }
 
-    /// Asks over the kept connection, or over a fresh one.
+    /// Reads a load report over the idle connection, or over a new one.
     ///
     /// # Errors
     ///
@@ -117,7 +118,7 @@
         Ok(report)
     }
 
-    /// Drops the kept connection, which may have gone silent.
+    /// Drops the idle connection, which may no longer deliver data.
     pub fn disconnect(&mut self) {
         self.connection = None;
     }
--- a/crates/router/src/backend/relay.rs
+++ b/crates/router/src/backend/relay.rs
@@ -1,4 +1,5 @@
-//! The wait for a backend server's answer, and what a broken wait means.
+//! Waiting for the response of a backend server, and handling of stalls and
+//! connection failures.
 
 use std::{fmt, net, time::Duration};
 
@@ -12,45 +13,47 @@
 use super::{Connection, Failure, PROGRESS_TIMEOUT, load};
 use crate::{clock::Clock, owner};
 
-/// How often a server that is well may be found without progress before the
-/// connection counts as silent.
+/// Number of checks without progress, with the server healthy in each of them,
+/// after which the connection counts as stalled.
 const MAX_HEALTHY_CHECKS: u32 = 2;
-/// The same where the request cannot be run again: a late answer is worth more
-/// than none, but a caller must not be held until its deadline.
+/// As [`MAX_HEALTHY_CHECKS`], for requests that cannot be retried. The limit is
+/// higher, since a late response is better than none, but finite, so that the
+/// caller does not have to wait until its deadline.
 const MAX_HEALTHY_CHECKS_NO_RETRY: u32 = 3;
-/// How long a caller should wait after a missed deadline.
+/// Delay after which a caller may retry a request that missed its deadline.
 const RETRY_DELAY: Duration = Duration::from_secs(1);
 
-/// What a wait without progress leads to.
+/// The action for a response without progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// The attempt's stream is resumed on a fresh connection.
+    /// Resume the event stream of the attempt over a new connection.
     Resume,
-    /// The request can be run again elsewhere.
+    /// Fail the attempt, so that the request is retried on another server.
     Retry,
-    /// Nothing can be done but to wait for a while.
+    /// Keep waiting up to a limit, since the request cannot be retried.
     Wait,
 }
 
-/// What bounds the wait for an answer.
+/// Limits of the wait for a response.
 #[derive(Clone, Copy, Debug)]
 pub struct Watchdog {
-    /// The clock that the deadline refers to.
+    /// The clock of the deadline.
     pub clock: Clock,
-    /// When the caller stops waiting.
+    /// The instant at which the caller stops waiting.
     pub deadline: Instant,
-    /// What a wait without progress leads to.
+    /// The action for a response without progress.
     pub mode: Mode,
 }
 
 impl Watchdog {
-    /// When the connection is examined if no byte has arrived by then.
+    /// Returns the instant of the next check, if no byte is received before.
     pub fn next_check(&self) -> time::Instant {
         let instant = self.deadline.min(self.clock.now() + PROGRESS_TIMEOUT);
         self.clock.at(instant)
     }
 
-    /// Whether a server that is well was found without progress too often.
+    /// Returns whether the connection counts as stalled after `healthy_checks`
+    /// checks without progress.
     pub fn is_stalled(&self, healthy_checks: u32) -> bool {
         let max_checks = match self.mode {
             Mode::Resume | Mode::Retry => MAX_HEALTHY_CHECKS,
@@ -59,30 +62,30 @@
         healthy_checks >= max_checks
     }
 
-    /// Whether the caller has stopped waiting.
+    /// Returns whether the deadline has passed.
     pub fn is_expired(&self) -> bool {
         self.clock.now() >= self.deadline
     }
 }
 
-/// Why there is no head of an answer.
+/// Why no response head was received.
 #[derive(Debug)]
 pub enum Error {
-    /// No byte of the request has left.
+    /// No byte of the request was sent.
     Unsent(Box<Request<Full<Bytes>>>),
-    /// The connection broke.
+    /// The connection was closed or failed.
     Closed(hyper::Error),
     /// The caller's deadline passed.
     DeadlineExceeded,
-    /// The connection went silent, and the server answers on a fresh one.
+    /// The connection stalled, while the server responds over a new one.
     Stalled,
-    /// The server answers nowhere.
+    /// The server does not respond over a new connection either.
     Unresponsive,
 }
 
 impl fmt::Display for Error {
-    /// The reason alone: the request that was not sent holds the caller's data,
-    /// which has no place in a log.
+    /// Writes the reason without the unsent request, since the data of callers
+    /// must not appear in logs.
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Unsent(_) => f.write_str("unsent"),
@@ -94,17 +97,17 @@
     }
 }
 
-/// Sends a request and waits for the head of the answer.
+/// Sends a request and waits for the response head.
 ///
-/// A connection can go silent for good while the server is well, because
-/// something in between has lost track of it. The caller would wait until its
-/// deadline for an answer that was given long ago. So a wait without progress
-/// makes the router ask the server on a fresh connection, and only the silent
-/// connection is dropped.
+/// A connection can stop delivering data while the server is healthy, for
+/// example if a device on the network path lost the state of the connection.
+/// The caller would then wait until its deadline for a response that was
+/// already sent. After a time without progress, the router therefore checks the
+/// server over a new connection, and drops only the stalled connection.
 ///
 /// # Errors
 ///
-/// Why there is no head.
+/// If no response head was received.
 pub async fn head(
     connection: &mut Connection,
     request: Request<Full<Bytes>>,
@@ -140,18 +143,19 @@
     }
 }
 
-/// What a server without progress says on a fresh connection.
+/// Result of a check of a server over a new connection.
 #[derive(Debug)]
 pub enum Check {
-    /// It goes on with the attempt's stream there.
+    /// The server resumed the event stream of the attempt.
     Resumed(Box<Response<Incoming>>),
-    /// It answers, but cannot resume the attempt.
+    /// The server responds, but did not resume the attempt.
     Healthy,
-    /// It does not answer.
+    /// The server does not respond.
     Unresponsive,
 }
 
-/// Asks a server on a fresh connection about an attempt without progress.
+/// Checks the server of an attempt without progress over a new connection, and
+/// resumes the event stream after `from` events if the mode allows it.
 pub async fn check_backend(permit: &owner::Permit, watchdog: &Watchdog, from: u64) -> Check {
     let address = permit.address();
     if watchdog.mode != Mode::Resume {
@@ -177,7 +181,8 @@
     format!("/streams/{attempt}?from={from}")
 }
 
-/// Gives the permit back and tells what a broken wait means for the caller.
+/// Releases the permit and returns the refusal for an attempt without a
+/// response head.
 pub async fn into_refusal(permit: owner::Permit, error: Error, watchdog: &Watchdog) -> Refusal {
     logging::event!(
         warn,
@@ -217,11 +222,11 @@
     }
 }
 
-/// Tells whether a server that closed a connection has died.
+/// Determines whether a server that closed a connection has crashed.
 ///
-/// Only a server that died counts towards the suspicion against the requests
-/// that it ran; one that closed a single connection does not. A new boot id or
-/// a refused connection shows that it died.
+/// Only a crash counts as a strike against the requests that the server was
+/// running; a single closed connection does not. A changed boot id or a refused
+/// connection indicates a crash.
 pub async fn classify_close(address: net::SocketAddr, boot: Option<&str>) -> Code {
     match time::timeout(load::TIMEOUT, load::read(address)).await {
         Ok(Ok(report)) => match boot {
--- a/crates/router/src/backend/response.rs
+++ b/crates/router/src/backend/response.rs
@@ -1,4 +1,4 @@
-//! The answer of a backend server on its way to the caller.
+//! Streaming of a backend server's response to the caller.
 
 use bytes::Bytes;
 use http_body_util::BodyExt as _;
@@ -17,9 +17,9 @@
     response::{self, Chunk, Format, Upstream},
 };
 
-/// The event that ends a whole stream.
+/// The final event of a complete stream.
 const LAST_EVENT: &[u8] = b"data: [DONE]";
-/// Headers that belong to one connection only.
+/// Headers that apply to a single connection.
 const HOP_BY_HOP: [header::HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -29,11 +29,11 @@
     header::PROXY_AUTHENTICATE,
 ];
 
-/// Checks the head of an answer and starts the task that passes its body on.
+/// Checks the response head and starts the task that forwards the body.
 ///
 /// # Errors
 ///
-/// When the answer belongs to another attempt.
+/// If the response belongs to another attempt.
 pub fn start(
     permit: owner::Permit,
     connection: Connection,
@@ -42,9 +42,10 @@
     watchdog: Watchdog,
 ) -> Result<Upstream, Refusal> {
     let (head, body) = response.into_parts();
-    // An answer that was crossed with another one would show one workspace's
-    // data to another. The echoed attempt gives it away; the connection is
-    // dropped with it, since all its later answers would be off by one.
+    // Forwarding the response to another request could disclose the data of one
+    // workspace to another. The echoed attempt id reveals the mismatch. The
+    // connection is dropped, since all later responses on it would be shifted
+    // by one request as well.
     if !matches_attempt(&head.headers, permit.attempt()) {
         logging::event!(
             error,
@@ -95,8 +96,8 @@
     headers
 }
 
-/// The end of an answer, kept to tell a whole stream from a cut one and to
-/// read what the engine says of its use of tokens.
+/// The last bytes of a response body. They show whether a stream is complete,
+/// and contain the token usage that the engine reports.
 #[derive(Debug)]
 struct Tail {
     events: bool,
@@ -105,7 +106,8 @@
 }
 
 impl Tail {
-    /// Bytes that are kept: the last events of a stream, or the end of an object.
+    /// Number of buffered bytes. It suffices for the last events of a stream, or
+    /// the end of a JSON object.
     const LENGTH: usize = 512;
 
     fn new(events: bool) -> Self {
@@ -126,7 +128,8 @@
         self.bytes.drain(..excess);
     }
 
-    /// Whether all of the answer has been seen.
+    /// Returns whether the response ended regularly: a stream of events must
+    /// contain its final event.
     fn is_complete(&self) -> bool {
         !self.events
             || self
@@ -135,7 +138,7 @@
                 .any(|window| window == LAST_EVENT)
     }
 
-    /// What the engine says of its use of tokens.
+    /// Returns the token usage that the engine reported.
     fn usage(&self) -> Option<owner::Usage> {
         let text = String::from_utf8_lossy(&self.bytes);
         let (_, usage) = text.rsplit_once("\"usage\"")?;
@@ -146,13 +149,13 @@
         })
     }
 
-    /// Whether the stream may be resumed without a gap or a repeat.
+    /// Returns whether the stream can be resumed without lost or duplicate data.
     fn ends_at_event_boundary(&self) -> bool {
         self.bytes.is_empty() || self.bytes.ends_with(b"\n\n")
     }
 }
 
-/// The number that follows the key `name` in the text of an object.
+/// Returns the number after the key `name` in the text of a JSON object.
 fn number(object: &str, name: &str) -> Option<u32> {
     let (_, rest) = object.split_once(name)?;
     let rest = rest.trim_start_matches(['"', ':', ' ']);
@@ -160,7 +163,7 @@
     rest[..end].parse().ok()
 }
 
-/// Counts the ends of events in `chunk`, given the bytes before it.
+/// Counts the events that end in `chunk`, given the bytes before it.
 fn count_events(before: &[u8], chunk: &Bytes) -> u64 {
     let spans_boundary = before.last() == Some(&b'\n') && !before.ends_with(b"\n\n");
     let at_start = spans_boundary && chunk.first() == Some(&b'\n');
@@ -168,7 +171,7 @@
     within + u64::from(at_start)
 }
 
-/// Passes the body of one answer on.
+/// Forwards the body of one response.
 struct Forwarder {
     permit: owner::Permit,
     connection: Connection,
@@ -176,17 +179,17 @@
     chunks: mpsc::Sender<Chunk>,
     watchdog: Watchdog,
     tail: Tail,
-    /// How often the server was found well since the last progress.
+    /// Number of checks since the last progress that found the server healthy.
     healthy_checks: u32,
 }
 
-/// How the body of an answer ended.
+/// How a response body ended.
 enum End {
-    /// It is whole.
+    /// The body is complete.
     Complete,
-    /// The caller has gone.
+    /// The caller disconnected.
     Cancelled,
-    /// It broke off.
+    /// The body ended early.
     Failed(Refusal, owner::Outcome),
 }
 
@@ -209,7 +212,7 @@
                     code = refusal.code
                 );
                 self.permit.finish(outcome, None);
-                // The receiver may have gone meanwhile; then nobody waits.
+                // The receiver is dropped if the caller disconnected.
                 let _ = self.chunks.send(Err(refusal)).await;
             }
         }
@@ -246,7 +249,7 @@
         }
     }
 
-    /// Examines a stream without progress; `None` lets it go on.
+    /// Checks a stream without progress. Returns `None` if it continues.
     async fn check_stalled_stream(&mut self) -> Option<End> {
         if self.watchdog.is_expired() {
             let refusal =
@@ -279,15 +282,15 @@
         }
     }
 
-    /// Resumes a stream that was cut, or explains why it cannot.
+    /// Resumes an interrupted stream, or returns why it failed.
     async fn resume_or_fail(&mut self) -> End {
         if self.watchdog.mode == Mode::Resume && self.tail.ends_at_event_boundary() {
             let check =
                 relay::check_backend(&self.permit, &self.watchdog, self.tail.events_seen).await;
             if let Check::Resumed(response) = check {
                 self.body = response.into_body();
-                // One resumption for each cut: a server that cuts again at the
-                // same place makes no progress and is left.
+                // Resume at most once after an interruption: a server that
+                // interrupts the stream at the same place again makes no progress.
                 self.watchdog.mode = Mode::Wait;
                 return Box::pin(self.forward()).await;
             }
--- a/crates/router/src/caller.rs
+++ b/crates/router/src/caller.rs
@@ -1,4 +1,4 @@
-//! The HTTP server that callers speak to.
+//! The HTTP server for callers.
 
 mod pages;
 mod parse;
@@ -23,10 +23,11 @@
     shutdown::Phase,
 };
 
-/// The header that names a request in the answer.
+/// The response header with the request id.
 const REQUEST_ID: header::HeaderName = header::HeaderName::from_static("x-request-id");
 
-/// Serves callers until the listener is told to close and all answers are out.
+/// Serves callers until the router reaches the closing phase and all connections
+/// have ended.
 pub async fn serve(listener: TcpListener, entry: Arc<Entry>, mut phase: watch::Receiver<Phase>) {
     let connections = Arc::new(Semaphore::new(limits::MAX_CONNECTIONS));
     loop {
@@ -38,8 +39,8 @@
             time::sleep(Duration::from_millis(50)).await;
             continue;
         };
-        // Over the limit the connection is closed at once: the balancer tries
-        // another router, while an accepted one would only wait here.
+        // Close connections above the limit at once: the load balancer then tries
+        // another router, whereas a queued connection would only wait here.
         let Ok(slot) = Arc::clone(&connections).try_acquire_owned() else {
             continue;
         };
@@ -52,12 +53,14 @@
     }
     drop(listener);
     let all = u32::try_from(limits::MAX_CONNECTIONS).unwrap_or(u32::MAX);
-    // The semaphore is never closed, so this waits for the last connection.
+    // The semaphore is never closed, so this waits until all connections have
+    // ended.
     let _ = connections.acquire_many(all).await;
 }
 
 async fn serve_connection(stream: TcpStream, entry: Arc<Entry>, mut phase: watch::Receiver<Phase>) {
-    // Without this, small events of a stream wait for an acknowledgement.
+    // Nagle's algorithm would delay small events of a stream until the previous
+    // data is acknowledged.
     let _ = stream.set_nodelay(true);
     let service = service::service_fn(move |request| {
         let entry = Arc::clone(&entry);
--- a/crates/router/src/caller/pages.rs
+++ b/crates/router/src/caller/pages.rs
@@ -1,4 +1,4 @@
-//! The router's own pages.
+//! Health, metrics and status endpoints of the router.
 
 use std::sync::Arc;
 
@@ -6,7 +6,8 @@
 
 use crate::{entry::Entry, response::Body};
 
-/// The answer to a request for one of the router's own pages.
+/// Responds to a request for one of these endpoints, or returns `None` for any
+/// other request.
 pub async fn respond(request: &Request<Incoming>, entry: &Arc<Entry>) -> Option<Response<Body>> {
     if request.method() != Method::GET {
         return None;
--- a/crates/router/src/caller/parse.rs
+++ b/crates/router/src/caller/parse.rs
@@ -1,4 +1,4 @@
-//! The check of what a caller sent.
+//! Validation of requests from callers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,12 +20,12 @@
     request::{Repeat, Request as Checked},
 };
 
-/// Output tokens that are assumed where the caller does not limit them.
+/// Number of output tokens assumed for a request without `max_tokens`.
 const DEFAULT_OUTPUT_TOKENS: u64 = 256;
-/// Bytes of a prompt that make about one token.
+/// Approximate number of prompt bytes per token.
 const BYTES_PER_TOKEN: u64 = 4;
 
-/// The part of a model request that the router reads.
+/// The fields of a chat completion request that the router reads.
 #[derive(Debug, Default, Deserialize)]
 struct Prompt {
     model: Option<String>,
@@ -34,7 +34,7 @@
     max_tokens: Option<u64>,
 }
 
-/// The id that the caller gave its request, or a fresh one.
+/// Returns the request id set by the caller, or a new one.
 pub fn id(headers: &HeaderMap) -> request::Id {
     header_text(headers, "x-request-id")
         .filter(|value| value.len() == 16)
@@ -42,11 +42,11 @@
         .unwrap_or_else(|| request::Id(rand::random()))
 }
 
-/// Checks a request and reads its body.
+/// Validates a request and reads its body.
 ///
 /// # Errors
 ///
-/// A refusal that names the first thing that is wrong. Nothing has run.
+/// A refusal that names the first fault found. The request has not run.
 pub async fn request(
     request: Request<Incoming>,
     id: request::Id,
@@ -149,10 +149,10 @@
     Ok(id)
 }
 
-/// Whether the caller's key is one of the workspace's.
+/// Returns whether the caller's API key belongs to the workspace.
 ///
-/// Hashes are compared in constant time: the time of a comparison that ends at
-/// the first difference would tell a guesser how far its guess was right.
+/// Hashes are compared in constant time, since the duration of a comparison that
+/// stops at the first difference would reveal how many leading bytes match.
 fn is_authorized(headers: &HeaderMap, declared: &resource::Workspace) -> bool {
     let Some(key) = header_text(headers, header::AUTHORIZATION.as_str())
         .and_then(|value| value.strip_prefix("Bearer "))
--- a/crates/router/src/completion.rs
+++ b/crates/router/src/completion.rs
@@ -1,4 +1,4 @@
-//! What is told when the answer to a request ends.
+//! Reports how the response to a request ended.
 
 use std::mem;
 
@@ -14,13 +14,13 @@
     view::Target,
 };
 
-/// The longest body that is kept with an outcome, in bytes.
+/// Maximum size of a response body that is stored with a recorded outcome.
 const MAX_RECORDED_BODY_BYTES: usize = 8 * 1024;
 
-/// Follows an answer to its end.
+/// Reports the end of a response to the tracker and to the claim, if any.
 ///
-/// A server that dies in the middle of an answer is noticed only here, long
-/// after the head of the answer has gone to the caller.
+/// A server that crashes while it streams a response body is detected only
+/// here, after the response head was sent to the caller.
 #[derive(Debug)]
 pub struct Reporter {
     guard: tracker::Guard,
@@ -31,13 +31,13 @@
     record: Option<Record>,
 }
 
-/// The outcome of a claimed request while its answer passes.
+/// The outcome of a claimed request, collected while its response is streamed.
 #[derive(Debug)]
 struct Record {
     claim: claims::Guard,
     status: u16,
     content_type: Option<String>,
-    /// What has passed of the body; `None` once it is too long to be kept.
+    /// The body so far, or `None` once it exceeds [`MAX_RECORDED_BODY_BYTES`].
     body: Option<Vec<u8>>,
 }
 
@@ -63,7 +63,8 @@
 }
 
 impl Reporter {
-    /// A trace of an attempt on `target`; `crash_id` names the server's death, if it dies.
+    /// Creates a reporter for an attempt on `target`. If the server crashes, the
+    /// crash is reported under `crash_id`.
     pub fn new(guard: tracker::Guard, target: &Target, crash_id: u64) -> Self {
         Self {
             guard,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// The trace of an answer whose outcome is recorded under `claim`.
+    /// Also records the outcome of the request under `claim`.
     pub fn with_claim(self, claim: Option<claims::Guard>, upstream: &Upstream) -> Self {
         let content_type = upstream.headers.get(header::CONTENT_TYPE);
         let record = claim.map(|claim| Record {
@@ -87,19 +88,19 @@
         Self { record, ..self }
     }
 
-    /// Notes a piece of the answer's body.
+    /// Adds a chunk of the response body to the recorded outcome.
     pub fn record_chunk(&mut self, chunk: &[u8]) {
         if let Some(record) = &mut self.record {
             record.push(chunk);
         }
     }
 
-    /// The server.
+    /// The backend server that runs the request.
     pub fn server(&self) -> &backend::Server {
         &self.server
     }
 
-    /// The answer is whole.
+    /// Reports that the response is complete.
     pub fn completed(&mut self) {
         if mem::replace(&mut self.ended, true) {
             return;
@@ -110,7 +111,7 @@
         }
     }
 
-    /// The answer broke off.
+    /// Reports that the response ended early with `refusal`.
     pub fn failed(&mut self, refusal: &Refusal) {
         self.ended = true;
         if refusal.code != Code::Deadline {
--- a/crates/router/src/hop.rs
+++ b/crates/router/src/hop.rs
@@ -1,4 +1,4 @@
-//! Requests on their way between routers.
+//! Forwarding of requests between routers.
 
 pub mod client;
 pub mod head;
@@ -14,12 +14,14 @@
 
 use crate::clock::Clock;
 
-/// How often an owner shows the entry that a request is still being worked on.
+/// Interval at which an owner sends keepalive frames while a request is pending.
 pub const KEEPALIVE_INTERVAL: Duration = Duration::from_millis(500);
-/// How long an entry hears nothing before it takes the link for broken.
+/// Time without a frame from the owner after which the entry router treats the
+/// link as broken.
 pub const KEEPALIVE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// A refusal as it goes over the hop; instants become remaining times.
+/// Converts a refusal to its wire format. Instants become remaining durations,
+/// since routers do not share a clock.
 pub fn to_wire(refusal: &Refusal, load: Option<hop::Load>, clock: &Clock) -> hop::Refused {
     let millis = |instant: time::Instant| {
         u64::try_from(instant.since(clock.now()).as_millis()).unwrap_or(u64::MAX)
@@ -33,7 +35,7 @@
     }
 }
 
-/// A refusal as it came over the hop.
+/// Converts a refusal from its wire format.
 pub fn from_wire(refused: hop::Refused, clock: &Clock) -> Refusal {
     let instant = |millis| clock.now() + Duration::from_millis(millis);
     Refusal {
--- a/crates/router/src/hop/client.rs
+++ b/crates/router/src/hop/client.rs
@@ -1,4 +1,4 @@
-//! The entry's side of a hop.
+//! Client side of a link, used by entry routers.
 
 use std::{collections::BTreeMap, net, time::Duration};
 
@@ -24,14 +24,14 @@
     response::{self, Chunk, Upstream},
 };
 
-/// The most idle links that are kept for one peer.
+/// Maximum number of idle links per peer.
 const MAX_IDLE: usize = 16;
-/// The longest update of the configuration, in bytes.
+/// Maximum size of a configuration update or a host list.
 const MAX_UPDATE_BYTES: usize = 64 * 1024 * 1024;
-/// How long a peer may take to send the next piece of an update.
+/// Timeout for the next frame of a reply to a fetch from a peer.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Takes and keeps idle links; a task owns them.
+/// Handle of the task that holds the idle links to peers.
 #[derive(Clone, Debug)]
 pub struct Links {
     messages: mpsc::UnboundedSender<Message>,
@@ -45,7 +45,7 @@
 }
 
 impl Links {
-    /// Starts the task that owns the idle links.
+    /// Starts the task that holds the idle links.
     pub fn start(key: seal::Key) -> Self {
         let (messages, receiver) = mpsc::unbounded_channel();
         tokio::spawn(run(receiver));
@@ -70,7 +70,7 @@
         match message {
             Message::Take(address, reply) => {
                 let link = idle.get_mut(&address).and_then(Vec::pop);
-                // The asker may have gone; the link is closed then.
+                // If the requester was cancelled, the link is closed.
                 let _ = reply.send(link);
             }
             Message::Put(address, link) => {
@@ -83,32 +83,32 @@
     }
 }
 
-/// A request that its owner admitted and that waits for its body.
+/// A request that was admitted by the owner and whose body was not sent yet.
 #[derive(Debug)]
 pub struct Admitted {
     link: Link,
     links: Links,
     address: net::SocketAddr,
-    /// What the owner's servers of the pool carry.
+    /// The total load of the owner's servers in the pool.
     pub load: wire::hop::Load,
-    /// The hash of the server's boot id, zero if it is not known.
+    /// The hash of the server's boot id, or zero if unknown.
     pub boot: u64,
 }
 
-/// Asks the owner at `address` for a slot.
+/// Requests admission from the owner at `address`.
 ///
 /// # Errors
 ///
-/// When the owner does not give one. The request has not run, since its body
-/// was not sent.
+/// If the owner refuses the request or cannot be reached. The request has not
+/// run, since its body was not sent.
 pub async fn admit(
     links: &Links,
     address: net::SocketAddr,
     open: &Open,
     clock: &Clock,
 ) -> Result<Admitted, Rejected> {
-    // An idle link may have been closed, or have gone silent, while nobody
-    // used it. No body was sent, so a fresh link can be tried.
+    // An idle link may have been closed or may have stalled while unused. No
+    // body was sent, so the request can be repeated over a new link.
     if let Some(link) = links.take(address).await {
         match request_admission(link, open, clock).await {
             Ok(admission) => return admission.into_result(links, address),
@@ -135,7 +135,7 @@
     }
 }
 
-/// What an owner said.
+/// The owner's decision on a request for admission.
 enum Admission {
     Ready(Link, wire::hop::Slot),
     Refused(Link, Rejected),
@@ -178,12 +178,12 @@
 }
 
 impl Admitted {
-    /// Sends the body and waits for the head of the answer.
+    /// Sends the body and waits for the response head.
     ///
     /// # Errors
     ///
-    /// A refusal by the owner, or the verdict that the request may have run
-    /// when the link broke after the whole body had left.
+    /// The refusal of the owner, or a refusal of the entry router if the link
+    /// failed. Once the complete body was sent, the request may have run.
     pub async fn send(mut self, body: &Bytes, clock: Clock) -> Result<Upstream, Refusal> {
         if let Err(error) = self.send_body(body).await {
             logging::event!(warn, "hop_broken", peer = self.address, error = error);
@@ -214,10 +214,10 @@
         self.link.writer.send_data(body).await
     }
 
-    /// The verdict on a link that broke after the body had left.
+    /// Returns the refusal for a link that failed after the body was sent.
     ///
-    /// The owner may have passed the request on before it died, so nobody can
-    /// say that it has not run.
+    /// The owner may have forwarded the request to the backend server before the
+    /// failure, so the request may have run.
     fn link_failure(&self, error: &Error) -> Refusal {
         logging::event!(warn, "hop_broken", peer = self.address, error = error);
         Refusal::may_have_run(
@@ -239,12 +239,12 @@
         })
     }
 
-    /// Passes the body of the answer on.
+    /// Forwards the response body.
     async fn forward(mut self, chunks: mpsc::Sender<Chunk>, clock: Clock) {
         loop {
             let frame = tokio::select! {
                 frame = self.link.reader.receive_within(KEEPALIVE_TIMEOUT) => frame,
-                // Dropping the link tells the owner that the caller has gone.
+                // Dropping the link makes the owner cancel the request.
                 () = chunks.closed() => return,
             };
             match frame {
@@ -261,7 +261,7 @@
                 Ok(Frame::Message(Reply::Refused(refused))) => {
                     let refusal = from_wire(refused, &clock);
                     self.links.put(self.address, self.link);
-                    // The receiver may have gone meanwhile; then nobody waits.
+                    // The receiver is dropped if the caller disconnected.
                     let _ = chunks.send(Err(refusal)).await;
                     return;
                 }
@@ -281,11 +281,11 @@
     }
 }
 
-/// Asks a peer for what changed in the configuration after `since`.
+/// Fetches the configuration changes after the revision `since` from a peer.
 ///
 /// # Errors
 ///
-/// When the peer cannot be reached or holds nothing.
+/// If the peer cannot be reached or has no configuration.
 pub async fn fetch_changes(
     address: net::SocketAddr,
     key: &seal::Key,
@@ -295,7 +295,7 @@
     Update::from_json(&json).map_err(|_| Error::Frame(wire::Error::Malformed))
 }
 
-/// Asks a peer for the host list that it last read.
+/// Fetches the host list that a peer read most recently.
 ///
 /// # Errors
 ///
@@ -308,12 +308,12 @@
     serde_json::from_slice(&json).map_err(|_| Error::Frame(wire::Error::Malformed))
 }
 
-/// Asks the earlier owner of a server what it learned of it; `None` while it
-/// may still admit work.
+/// Fetches the state that the previous owner of a server learned about it.
+/// Returns `None` while the previous owner may still admit requests.
 ///
 /// # Errors
 ///
-/// When the peer cannot be reached.
+/// If the peer cannot be reached.
 pub async fn fetch_handover(
     address: net::SocketAddr,
     key: &seal::Key,
@@ -327,7 +327,7 @@
     }
 }
 
-/// Asks a question whose answer is JSON.
+/// Sends a call to a peer and reads the JSON reply.
 async fn fetch_json(
     address: net::SocketAddr,
     key: &seal::Key,
--- a/crates/router/src/hop/head.rs
+++ b/crates/router/src/hop/head.rs
@@ -1,4 +1,4 @@
-//! HTTP headers as they go over the hop.
+//! Conversion of HTTP headers for links between routers.
 
 use hyper::{
     HeaderMap,
@@ -6,7 +6,7 @@
 };
 use wire::hop;
 
-/// Headers that belong to one connection, or that only the router may set.
+/// Headers that apply to a single connection or that must not be forwarded.
 const STRIPPED: [HeaderName; 10] = [
     header::AUTHORIZATION,
     header::CONNECTION,
@@ -20,7 +20,8 @@
     header::UPGRADE,
 ];
 
-/// Headers of the caller that the router sets itself.
+/// Headers that only the router may set, and that are removed from requests of
+/// callers.
 const RESERVED: [&str; 5] = [
     "x-weir-attempt",
     "x-weir-chat",
@@ -29,7 +30,7 @@
     "x-request-id",
 ];
 
-/// The headers of a request or an answer that are passed on.
+/// Returns the headers of a request or response that are forwarded.
 pub fn from_map(map: &HeaderMap) -> Vec<hop::Header> {
     map.iter()
         .filter(|(name, _)| !STRIPPED.contains(name) && !RESERVED.contains(&name.as_str()))
@@ -40,7 +41,7 @@
         .collect()
 }
 
-/// The header map that `headers` make up; malformed ones are left out.
+/// Builds a header map from `headers`, without malformed ones.
 pub fn to_map(headers: Vec<hop::Header>) -> HeaderMap {
     headers
         .into_iter()
--- a/crates/router/src/hop/server.rs
+++ b/crates/router/src/hop/server.rs
@@ -1,4 +1,4 @@
-//! The owner's side of a hop.
+//! Server side of a link, used by owners.
 
 use std::{sync::Arc, time::Duration};
 
@@ -31,27 +31,27 @@
     tracker,
 };
 
-/// How long the entry may take to send the next piece of a body.
+/// Timeout for the next frame of a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// What a hop needs.
+/// Dependencies of the link server.
 #[derive(Clone, Debug)]
 pub struct Context {
-    /// The process's clock.
+    /// The clock of the process.
     pub clock: Clock,
     /// The key that the routers share.
     pub key: seal::Key,
-    /// The task that admits work.
+    /// The task that admits requests to owned servers.
     pub owner: owner::Handle,
-    /// The task that holds strikes.
+    /// The task that tracks the crashes caused by requests.
     pub tracker: tracker::Handle,
-    /// The host list as last read.
+    /// The most recently read host list.
     pub hosts: watch::Receiver<Arc<Vec<hosts::Host>>>,
-    /// The task that follows the configuration.
+    /// The task that keeps the configuration up to date.
     pub follow: mpsc::Sender<follow::Message>,
 }
 
-/// Serves the links that peers open, until the process ends.
+/// Accepts and serves links from peers until the task is aborted.
 pub async fn serve(listener: TcpListener, context: Context) {
     loop {
         match listener.accept().await {
@@ -98,11 +98,11 @@
     }
 }
 
-/// Waits for `work` and shows the entry meanwhile that this router lives.
+/// Waits for `work` and sends keepalive frames to the entry router meanwhile.
 ///
 /// # Errors
 ///
-/// When the entry closes the link; the work is dropped with that.
+/// If the entry router closes the link. This cancels `work`.
 async fn with_keepalives<T>(
     reader: &mut Reader,
     writer: &mut Writer,
@@ -125,8 +125,8 @@
 
 async fn serve_request(link: &mut Link, open: Open, context: &Context) -> Result<(), Error> {
     let clock = context.clock;
-    // The entry may not have heard yet of the deaths that others saw, and this
-    // router may not have heard of those that the entry saw.
+    // The entry router may not know the crashes that other routers recorded, and
+    // this router may not know those that the entry router recorded.
     if let Err(refusal) = context.tracker.check(open.fingerprint, &open.deaths).await {
         return refuse(&mut link.writer, &refusal, &clock).await;
     }
@@ -172,7 +172,7 @@
     writer.send(&Reply::Refused(refused)).await
 }
 
-/// The offer that a forwarded request makes.
+/// Creates the offer to the owner task for a forwarded request.
 pub fn offer(open: &Open, reply: OfferReply, clock: &Clock) -> Offer {
     Offer {
         server: open.server.clone(),
@@ -217,7 +217,8 @@
     }
 }
 
-/// Passes an answer on to the entry; a refusal tells why it broke off.
+/// Forwards a response to the entry router. Returns a refusal if the response
+/// ended early.
 async fn forward(link: &mut Link, mut upstream: Upstream) -> Result<Option<Refusal>, Error> {
     let head = Head {
         status: upstream.status.as_u16(),
@@ -238,7 +239,7 @@
     }
 }
 
-/// What changed in the configuration after `since`, as JSON.
+/// Returns the configuration changes after the revision `since`, as JSON.
 async fn changes(since: revision::Id, context: &Context) -> Option<Vec<u8>> {
     let (reply, receiver) = oneshot::channel();
     let message = follow::Message::Changes { since, reply };
--- a/crates/router/src/lib.rs
+++ b/crates/router/src/lib.rs
@@ -1,9 +1,9 @@
-//! The request path: entry, owner, backend server.
+//! The router process and its request path.
 //!
-//! Callers reach any router over HTTP ([`caller`]). It decides as the entry
-//! ([`entry`]) which backend server a request is offered to, and passes it to
-//! the router that owns that server ([`hop`]). The owner admits it ([`owner`])
-//! and runs it on the server ([`backend`]).
+//! Callers send requests over HTTP to any router ([`caller`]). This entry
+//! router ([`entry`]) selects a backend server and forwards the request to the
+//! router that owns the server ([`hop`]). The owner admits the request
+//! ([`owner`]) and runs it on the server ([`backend`]).
 
 pub mod backend;
 pub mod caller;
--- a/crates/router/src/limits.rs
+++ b/crates/router/src/limits.rs
@@ -1,24 +1,24 @@
-//! Limits on what callers and peers may send.
+//! Size limits and timeouts for requests from callers and peers.
 
 use std::time::Duration;
 
-/// The longest body of a request, in bytes.
+/// Maximum size of a request body.
 pub const MAX_BODY_BYTES: usize = 8 * 1024 * 1024;
-/// The longest head of a request, in bytes.
+/// Maximum size of a request head: request target and headers.
 pub const MAX_HEAD_BYTES: usize = 32 * 1024;
-/// The most headers of a request.
+/// Maximum number of headers of a request.
 pub const MAX_HEADERS: usize = 64;
-/// The longest head that is read at all, in bytes. One between the two limits
-/// is answered with an error that names the limit, a longer one by the HTTP
-/// library with a bare status.
+/// Maximum size of a request head that the HTTP library accepts. It exceeds
+/// [`MAX_HEAD_BYTES`] so that most oversized heads get an error response that
+/// names the limit; above it, the library responds with a status and no body.
 pub const MAX_HEAD_READ_BYTES: usize = 4 * MAX_HEAD_BYTES;
-/// The most headers that are read at all.
+/// Maximum number of headers that the HTTP library accepts.
 pub const MAX_HEADERS_READ: usize = 4 * MAX_HEADERS;
-/// The longest name that a caller gives a chat or a request, in bytes.
+/// Maximum size of a chat name or idempotency key set by a caller.
 pub const MAX_NAME_BYTES: usize = 256;
-/// How long a caller may take to send the head of a request.
+/// Timeout for receiving the head of a request.
 pub const HEAD_TIMEOUT: Duration = Duration::from_secs(10);
-/// How long a caller may take to send the body of a request.
+/// Timeout for receiving the body of a request.
 pub const BODY_TIMEOUT: Duration = Duration::from_secs(20);
-/// The most connections of callers.
+/// Maximum number of concurrent caller connections.
 pub const MAX_CONNECTIONS: usize = 8192;
--- a/crates/router/src/loads.rs
+++ b/crates/router/src/loads.rs
@@ -1,17 +1,17 @@
-//! The load of a pool, as one router knows it.
+//! One router's view of the total load of a pool.
 
 use std::{collections::BTreeMap, time::Duration};
 
 use placement::TotalLoad;
 use units::{host, time};
 
-/// How long a load counts that was heard of.
+/// Maximum age of a load report from another owner.
 const MAX_AGE: Duration = Duration::from_secs(8);
 
-/// The loads of a pool's servers, summed up by their owners.
+/// The load of a pool, as one total per owner.
 ///
-/// Each answer to a forwarded request tells what its owner's servers carry, so
-/// the mean over the pool costs no traffic of its own.
+/// Owners include the total in every reply to a forwarded request, so computing
+/// the mean load of the pool needs no additional traffic.
 #[derive(Clone, Debug, Default)]
 pub struct Loads {
     own: TotalLoad,
@@ -25,17 +25,17 @@
 }
 
 impl Loads {
-    /// Sets what this router's own servers carry.
+    /// Sets the total load of the servers that this router owns.
     pub fn set_own(&mut self, total: TotalLoad) {
         self.own = total;
     }
 
-    /// What this router's own servers carry.
+    /// The total load of the servers that this router owns.
     pub fn own(&self) -> TotalLoad {
         self.own
     }
 
-    /// Notes what the servers of another owner carry.
+    /// Records the total load that another owner reported for its servers.
     pub fn record(&mut self, owner: host::Id, total: TotalLoad, now: time::Instant) {
         let report = Report {
             total,
@@ -44,12 +44,12 @@
         self.others.insert(owner, report);
     }
 
-    /// Forgets what is too old to count.
+    /// Removes reports that are older than [`MAX_AGE`].
     pub fn expire(&mut self, now: time::Instant) {
         self.others.retain(|_, report| now < report.valid_until);
     }
 
-    /// What the servers of all owners carry that were heard of lately.
+    /// The total load over all owners with a current report.
     pub fn total(&self) -> TotalLoad {
         let others = self.others.values().map(|report| report.total);
         self.own + others.sum()
--- a/crates/router/src/main.rs
+++ b/crates/router/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts `weir-router`.
+//! The `weir-router` binary.
 
 use std::process;
 
--- a/crates/router/src/members.rs
+++ b/crates/router/src/members.rs
@@ -1,4 +1,4 @@
-//! The routers, as this one knows them.
+//! One router's view of the routers of the fleet.
 
 use std::net;
 
@@ -7,49 +7,49 @@
 /// A router.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Peer {
-    /// Its host.
+    /// Host of the router.
     pub host: host::Id,
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: availability::Zone,
-    /// Where it takes hops.
+    /// Address at which the router accepts connections from peers.
     pub address: net::SocketAddr,
-    /// The revision that it applied.
+    /// Configuration revision that the router applied.
     pub revision: revision::Id,
-    /// Its phase, for the status page.
+    /// Lifecycle phase, as shown on the status page.
     pub phase: String,
-    /// Whether it may own backend servers.
+    /// Whether the router may own backend servers.
     pub role: Role,
 }
 
 /// Whether a router may own backend servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// It may.
+    /// The router may own servers.
     Owner,
-    /// It may no longer, and hands its servers over.
+    /// The router is shutting down and hands its servers over.
     Leaving,
-    /// It may not: it starts or is down.
+    /// The router is starting or down.
     Ineligible,
 }
 
-/// All routers at one moment.
+/// The membership at one point in time.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Members {
-    /// This router's host.
+    /// Host of this router.
     pub own: host::Id,
     /// All routers, this one included.
     pub peers: Vec<Peer>,
 }
 
 impl Members {
-    /// The router that owns a server.
+    /// Returns the router that owns a server.
     pub fn owner(&self, server: &backend::Server, zone: &availability::Zone) -> Option<&Peer> {
         let owners = self.peers.iter().filter(|peer| peer.role == Role::Owner);
         let host = fleet::owner(server, zone, owners.map(|peer| (&peer.host, &peer.zone)))?;
         self.peers.iter().find(|peer| &peer.host == host)
     }
 
-    /// The router that would own a server if this one did not run.
+    /// Returns the router that would own a server if this router were not a member.
     pub fn successor(&self, server: &backend::Server, zone: &availability::Zone) -> Option<&Peer> {
         let owners = self
             .peers
@@ -59,22 +59,22 @@
         self.peers.iter().find(|peer| &peer.host == host)
     }
 
-    /// A router that runs and owns, or owned, backend servers.
+    /// Returns the router on `host` if it may own servers or is handing them over.
     pub fn live(&self, host: &host::Id) -> Option<&Peer> {
         self.peers
             .iter()
             .find(|peer| &peer.host == host && peer.role != Role::Ineligible)
     }
 
-    /// Whether any router may own backend servers, as far as this one knows.
+    /// Whether any known router may own backend servers.
     ///
-    /// A router that has just started knows of none for a moment, and would
-    /// refuse whatever the balancer sends it.
+    /// This is false for a short time after the start, during which the router
+    /// would refuse every request that the load balancer sends.
     pub fn has_owner(&self) -> bool {
         self.peers.iter().any(|peer| peer.role == Role::Owner)
     }
 
-    /// Whether this router owns a server.
+    /// Returns whether this router owns a server.
     pub fn owns(&self, server: &backend::Server, zone: &availability::Zone) -> bool {
         self.owner(server, zone)
             .is_some_and(|peer| peer.host == self.own)
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -1,60 +1,62 @@
-//! A caller's request, checked and held whole.
+//! A validated request, buffered in memory.
 
 use bytes::Bytes;
 use hyper::Method;
 use units::{chat, cost, pool, request, time, workspace};
 use wire::hop;
 
-/// Whether a request may be run twice.
+/// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Repeat {
-    /// It is idempotent.
+    /// The request is idempotent.
     Allowed,
-    /// It must run at most once.
+    /// The request must run at most once.
     Forbidden,
 }
 
-/// A request as the entry router holds it while it is served.
+/// A request as held by the entry router while it is served.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its id, in logs, at the backend server and in the answer.
+    /// The request id, used in logs, sent to the backend server and returned in
+    /// the response.
     pub id: request::Id,
-    /// Whose it is.
+    /// The workspace that sent it.
     pub workspace: workspace::Id,
-    /// Its chat, on routes to engines.
+    /// The chat, set on routes to engines.
     pub chat: Option<chat::Key>,
     /// The name of its route.
     pub route: String,
     /// The pool that serves the route.
     pub pool: pool::Id,
-    /// Its method.
+    /// The HTTP method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub target: String,
-    /// Its headers, hop-by-hop ones and the caller's key removed.
+    /// The headers, without hop-by-hop headers and the caller's API key.
     pub headers: Vec<hop::Header>,
-    /// Its body.
+    /// The request body.
     pub body: Bytes,
-    /// What it is expected to cost.
+    /// The estimated cost.
     pub cost: cost::Cost,
-    /// How urgent it is.
+    /// The priority.
     pub priority: request::Priority,
-    /// When its caller stops waiting.
+    /// The instant at which the caller stops waiting.
     pub deadline: time::Instant,
-    /// Whether it may be run twice.
+    /// Whether it may be run more than once.
     pub repeat: Repeat,
-    /// The caller's idempotency key.
+    /// The idempotency key set by the caller.
     pub idempotency_key: Option<String>,
-    /// The hash of workspace, route and body.
+    /// A keyed hash of the workspace, route, target and body.
     pub fingerprint: request::Fingerprint,
-    /// Whether its answer is a stream of events that ends with `[DONE]`.
+    /// Whether the caller asked for a stream of server-sent events, which ends
+    /// with `[DONE]`.
     pub events: bool,
 }
 
 impl Request {
-    /// Whether a caller that sends it again may have it run twice.
+    /// Whether a retry by the caller could run the request twice.
     ///
-    /// Such a caller is never told when to come back once the request may have run.
+    /// Once such a request may have run, refusals do not include a time to retry.
     pub fn is_unsafe_to_retry(&self) -> bool {
         self.repeat == Repeat::Forbidden && self.idempotency_key.is_none()
     }
--- a/crates/router/src/response.rs
+++ b/crates/router/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers: their heads, their streamed bodies and the JSON of a refusal.
+//! Responses to callers: heads, streamed bodies and the JSON of a refusal.
 
 use std::{
     mem, pin,
@@ -20,30 +20,30 @@
 
 use crate::{clock::Clock, completion::Reporter};
 
-/// How many pieces of a body are held between its reader and its writer.
+/// Number of body chunks that are buffered between the upstream and the caller.
 ///
-/// A small number keeps the backpressure end to end: a slow caller slows down
-/// the backend server instead of filling the router's memory.
+/// A small buffer gives end-to-end backpressure: a slow caller slows down the
+/// backend server instead of filling the router's memory.
 const CHUNK_BUFFER: usize = 4;
 
-/// The header that marks the repeated outcome of a request that ran before.
+/// The header that marks the replayed outcome of an earlier run of a request.
 const REPLAYED_HEADER: header::HeaderName = header::HeaderName::from_static("x-weir-replayed");
 
-/// A piece of an answer's body, or why it broke off.
+/// A chunk of a response body, or the reason why the body ended early.
 pub type Chunk = Result<Bytes, Refusal>;
 
-/// The answer of a backend server, streamed.
+/// The response of a backend server, with a streamed body.
 #[derive(Debug)]
 pub struct Upstream {
-    /// The HTTP status.
+    /// The HTTP status code.
     pub status: StatusCode,
-    /// The headers, hop-by-hop ones removed.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
-    /// The body.
+    /// The chunks of the body.
     pub body: mpsc::Receiver<Chunk>,
 }
 
-/// A channel for the pieces of a body.
+/// Creates a channel for the chunks of a body.
 pub fn channel() -> (mpsc::Sender<Chunk>, mpsc::Receiver<Chunk>) {
     mpsc::channel(CHUNK_BUFFER)
 }
@@ -51,9 +51,9 @@
 /// The body of a response to a caller.
 #[derive(Debug)]
 pub enum Body {
-    /// It is held whole.
+    /// A body that is completely in memory.
     Full(Full<Bytes>),
-    /// It arrives in pieces.
+    /// A body that is streamed from a backend server.
     Stream(Box<Stream>),
 }
 
@@ -63,36 +63,36 @@
     chunks: mpsc::Receiver<Chunk>,
     format: Format,
     state: State,
-    /// Bytes that are still to come, where the length was announced.
+    /// Number of remaining bytes, if the response has a content length.
     remaining: Option<u64>,
     id: request::Id,
     reporter: Reporter,
 }
 
-/// How far a stream that broke off has come.
+/// Progress of a stream, and of reporting its error to the caller.
 #[derive(Debug)]
 enum State {
-    /// It has not broken off.
+    /// The stream has not failed.
     Open,
-    /// Its last event was handed on and has to leave the process yet.
+    /// The error event was returned to the HTTP server, which has not written it yet.
     ErrorQueued(Refusal),
-    /// Its last event has left.
+    /// The error event was written to the connection.
     ErrorFlushed(Refusal),
-    /// It was reset.
+    /// The stream ended with an error, which resets the connection.
     Reset,
 }
 
-/// Whether a stream consists of server-sent events.
+/// The format of a response body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Format {
-    /// It does: an error can be told in a last event.
+    /// Server-sent events, so that an error can be reported in a final event.
     EventStream,
-    /// It does not.
+    /// Any other format.
     Other,
 }
 
 impl Format {
-    /// What an answer with these headers consists of.
+    /// Returns the body format of a response with these headers.
     pub fn of(headers: &HeaderMap) -> Self {
         let content_type = headers.get(header::CONTENT_TYPE);
         let text = content_type.and_then(|value| value.to_str().ok());
@@ -104,12 +104,12 @@
 }
 
 impl Body {
-    /// A body that is held whole.
+    /// Creates a body from bytes in memory.
     pub fn full(bytes: impl Into<Bytes>) -> Self {
         Self::Full(Full::new(bytes.into()))
     }
 
-    /// The body of an answer that arrives in pieces.
+    /// Creates a body that streams the response of a backend server.
     pub fn stream(upstream: Upstream, id: request::Id, reporter: Reporter) -> Self {
         let length = upstream.headers.get(header::CONTENT_LENGTH);
         Self::Stream(Box::new(Stream {
@@ -159,9 +159,10 @@
         match mem::replace(&mut self.state, State::Reset) {
             State::Open => self.state = State::Open,
             State::ErrorQueued(refusal) => {
-                // The server drops what it has not written yet when a body
-                // fails, and the caller would see a bare reset. It writes
-                // everything out whenever a body is not ready.
+                // When a body fails, the HTTP server drops the data that it has
+                // not written yet, so the caller would get a reset without the
+                // error event. The server flushes its buffer when a body is
+                // pending, so return `Pending` once before the error.
                 self.state = State::ErrorFlushed(refusal);
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
@@ -183,10 +184,10 @@
         }
     }
 
-    /// Notes a piece that goes to the caller.
+    /// Records a chunk that is sent to the caller.
     ///
-    /// The server does not ask for more once the announced length has passed,
-    /// so the end of such a body is noticed here.
+    /// The HTTP server stops polling a body once its content length is reached,
+    /// so the completion of such a body is detected here.
     fn record(&mut self, bytes: &Bytes) {
         self.reporter.record_chunk(bytes);
         self.remaining = self
@@ -197,11 +198,11 @@
         }
     }
 
-    /// Ends a stream that broke off.
+    /// Ends a stream that failed.
     ///
-    /// A caller that sees a clean end takes half an answer for the whole one.
-    /// So the error goes out as a last event where there are events, and the
-    /// connection is reset after it in any case.
+    /// After a regular end, the caller would treat a truncated response as
+    /// complete. Therefore the connection is reset, after a final event with the
+    /// error if the body consists of server-sent events.
     fn fail(&mut self, refusal: Refusal) -> Poll<Option<Result<Frame<Bytes>, Refusal>>> {
         self.reporter.failed(&refusal);
         if self.format == Format::Other {
@@ -213,7 +214,7 @@
     }
 }
 
-/// The response that repeats the recorded outcome of a request that ran before.
+/// Creates a response from the recorded outcome of an earlier run of the request.
 pub fn replay(outcome: Outcome) -> Response<Body> {
     let mut response = Response::new(Body::full(outcome.body.unwrap_or_default()));
     if let Ok(status) = StatusCode::from_u16(outcome.status) {
@@ -228,7 +229,7 @@
     response
 }
 
-/// The response that tells a caller of a refusal.
+/// Creates the error response for a refusal.
 pub fn refuse(refusal: &Refusal, id: request::Id, clock: &Clock) -> Response<Body> {
     let retry_after = refusal
         .retry_at
@@ -246,7 +247,8 @@
     response
 }
 
-/// The instant `millis` milliseconds from now, for a refusal.
+/// Returns the instant `millis` milliseconds from now, for the retry time of a
+/// refusal.
 pub fn retry_instant(clock: &Clock, millis: u64) -> time::Instant {
     clock.now() + Duration::from_millis(millis)
 }
@@ -268,7 +270,7 @@
     serde_json::json!({ "error": error }).to_string()
 }
 
-/// The HTTP status for a refusal's code.
+/// Returns the HTTP status for the code of a refusal.
 pub fn status(code: Code) -> StatusCode {
     match code {
         Code::Malformed | Code::MissingChat => StatusCode::BAD_REQUEST,
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -7,31 +7,32 @@
 use units::{availability, host};
 use wire::seal;
 
-/// What is allowed as a name.
+/// Allowed values of a name, as shown in error messages.
 const NAME: &str = "1 to 64 of a-z, A-Z, 0-9, '.', '_' and '-'";
-/// What is allowed as a list of routers.
+/// Allowed values of a list of routers.
 const SEEDS: &str = "HOST/ZONE/IP:PORT, more of them after commas";
-/// What is allowed as the key of the fleet.
+/// Allowed values of the fleet key.
 const KEY: &str = "64 hex digits, the same on all routers";
 
 /// The settings of one router.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The name of its host.
+    /// The host name of the router.
     pub host: host::Id,
-    /// Its availability zone.
+    /// The availability zone of the router.
     pub zone: availability::Zone,
-    /// Where callers reach it.
+    /// The listen address for callers.
     pub listen: SocketAddr,
-    /// Where other routers reach it, by UDP and TCP.
+    /// The listen address for other routers, over UDP and TCP.
     pub peer: SocketAddr,
-    /// Where the platform is.
+    /// The address of the platform.
     pub platform: SocketAddr,
-    /// Routers to ask at the start, for the time of an outage of the platform.
+    /// Routers to contact at the start if the platform is down.
     pub seeds: Vec<fleet::Seed>,
-    /// The key that all routers share.
+    /// The secret key shared by all routers.
     pub key: seal::Key,
-    /// How long the process says that it is not ready before it closes, in milliseconds.
+    /// Time between reporting not ready and closing the listener at shutdown, in
+    /// milliseconds.
     pub leave_ms: u64,
 }
 
@@ -47,7 +48,7 @@
 }
 
 impl Settings {
-    /// Reads the settings of the process, or ends it.
+    /// Loads the settings, or exits the process if they are invalid.
     pub fn load() -> Self {
         settings::load(
             "Routes callers' requests to backend servers",
@@ -128,7 +129,7 @@
     })
 }
 
-/// Reads one router of a list.
+/// Parses one router of a list.
 fn seed(text: &str) -> Option<fleet::Seed> {
     let mut parts = text.split('/');
     let seed = fleet::Seed {
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -1,4 +1,4 @@
-//! The start and the end of a router.
+//! Start and graceful shutdown of a router.
 
 use std::{fmt, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -31,27 +31,28 @@
     view::View,
 };
 
-/// How long answers may take to end after the listener is closed.
+/// Timeout for draining: responses in flight may take this long after the
+/// listener was closed.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(600);
-/// How long the last heartbeat may take to leave.
+/// Time allowed for sending the last heartbeat before the process exits.
 const LAST_HEARTBEAT_DELAY: Duration = Duration::from_millis(50);
-/// The use of the shared key for fingerprints.
+/// The key derivation context for the fingerprint key.
 const FINGERPRINT_USAGE: &str = "sesameweir fingerprint 1";
 
-/// A router that could not start.
+/// Why a router could not start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Error {
-    /// It could not listen for callers.
+    /// The listener for callers could not be opened.
     Listen,
-    /// It could not listen for other routers.
+    /// The sockets for other routers could not be opened.
     Peer,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Listen => "cannot listen for callers",
-            Self::Peer => "cannot listen for other routers",
+            Self::Listen => "cannot open the listener for callers",
+            Self::Peer => "cannot open the sockets for other routers",
         })
     }
 }
@@ -76,7 +77,7 @@
     ///
     /// # Errors
     ///
-    /// When an address cannot be listened on.
+    /// If a listen address cannot be bound.
     pub async fn start(settings: Settings) -> Result<Self, Report<Error>> {
         let clock = Clock::start();
         let listener = TcpListener::bind(settings.listen)
@@ -181,22 +182,22 @@
         })
     }
 
-    /// Where callers reach it.
+    /// The bound address for callers.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Where other routers reach it.
+    /// The bound address for other routers.
     pub fn peer(&self) -> SocketAddr {
         self.peer
     }
 
-    /// What its requests share.
+    /// The state that is shared by all requests.
     pub fn entry(&self) -> &Arc<Entry> {
         &self.entry
     }
 
-    /// Runs until the process is told to end, then shuts down gracefully.
+    /// Runs until SIGTERM or SIGINT is received, then shuts down gracefully.
     pub async fn run_until_signalled(self) {
         let (Ok(mut terminate), Ok(mut interrupt)) = (
             signal(SignalKind::terminate()),
@@ -212,29 +213,30 @@
         self.shut_down().await;
     }
 
-    /// Shuts down without cutting off a request.
+    /// Shuts down without interrupting requests in flight.
     ///
-    /// The balancer takes a while to notice that the router is not ready, and
-    /// sends callers until then. They are still served; only after that the
-    /// listener closes. The process ends with the last answer, also of those
-    /// that pass through it from other routers to the servers that it owned.
+    /// The load balancer needs some time to detect that the router is not ready,
+    /// and sends new callers until then. They are still served, and the listener
+    /// is closed only afterwards. The process then waits for all responses in
+    /// flight, including those of requests that other routers forwarded to
+    /// servers owned by this router.
     pub async fn shut_down(self) {
         logging::event!(info, "leaving");
         self.phase.send_replace(Phase::Leaving);
-        // The task ends only with the process.
+        // Sending does not fail, since the gossip task runs until the process ends.
         let _ = self.gossip.send(gossip::Message::Leaving);
         time::sleep(self.leave_delay).await;
         self.phase.send_replace(Phase::Closing);
         logging::event!(info, "closing");
         let drained = async {
-            // A panic of the task was logged already.
+            // A panic of the task was already logged.
             let _ = self.callers.await;
             self.entry.owner.wait_drained().await;
         };
         if time::timeout(DRAIN_TIMEOUT, drained).await.is_err() {
             logging::event!(warn, "drain_timed_out");
         }
-        // As above.
+        // Sending does not fail, as above.
         let _ = self.gossip.send(gossip::Message::Left);
         time::sleep(LAST_HEARTBEAT_DELAY).await;
         for task in self.tasks {
--- a/crates/router/src/status.rs
+++ b/crates/router/src/status.rs
@@ -1,65 +1,65 @@
-//! What the router tells of its state.
+//! The status page of the router.
 
 use serde::Serialize;
 use units::{availability, backend, host, revision};
 use verdict::{Code, Verdict};
 
-/// The state of one owned backend server.
+/// State of a backend server that this router owns.
 #[derive(Clone, Debug, Serialize)]
 pub struct Engine {
-    /// Its name.
+    /// Name of the server.
     pub name: backend::Server,
-    /// Its availability zone.
+    /// Availability zone of the server.
     pub zone: availability::Zone,
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// The most requests allowed at present.
+    /// Current concurrency limit.
     pub limit: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// What admission does.
+    /// Current state of admission control.
     pub state: String,
 }
 
-/// Another router, as heartbeats told of it.
+/// A router, as known from heartbeats.
 #[derive(Clone, Debug, Serialize)]
 pub struct Member {
-    /// Its host.
+    /// Host of the router.
     pub host: host::Id,
-    /// Its availability zone.
+    /// Availability zone of the router.
     pub zone: availability::Zone,
-    /// The revision that it applied.
+    /// Configuration revision that the router applied.
     pub revision: revision::Id,
-    /// Its phase.
+    /// Lifecycle phase of the router.
     pub state: String,
 }
 
-/// Refusals of one kind since the start.
+/// Number of refusals with one code and verdict since the start.
 #[derive(Clone, Debug, Serialize)]
 pub struct Refusals {
-    /// Why.
+    /// Error code of the refusals.
     pub code: Code,
-    /// Whether the requests may have run.
+    /// Whether the refused requests may have run.
     pub verdict: Verdict,
-    /// How many.
+    /// Number of refusals.
     pub count: u64,
 }
 
-/// The page `/weir/status`.
+/// Response body of `/weir/status`.
 #[derive(Clone, Debug, Serialize)]
 pub struct Page {
-    /// This router's host.
+    /// Host of this router.
     pub host: host::Id,
-    /// Its availability zone.
+    /// Availability zone of this router.
     pub zone: availability::Zone,
-    /// The revision that it applied.
+    /// Configuration revision that this router applied.
     pub revision: revision::Id,
-    /// Whether it takes callers.
+    /// Whether this router accepts requests from callers.
     pub ready: bool,
-    /// The routers.
+    /// The known routers, including this one.
     pub members: Vec<Member>,
-    /// The backend servers that it owns.
+    /// The backend servers that this router owns.
     pub engines: Vec<Engine>,
-    /// What it refused.
+    /// The refusals that this router returned, by kind.
     pub refusals: Vec<Refusals>,
 }
--- a/crates/router/src/view.rs
+++ b/crates/router/src/view.rs
@@ -1,4 +1,4 @@
-//! What the router knows of the configuration and of the backend servers.
+//! The router's view of the configuration and the backend servers.
 
 use std::{collections::BTreeMap, net, sync::Arc};
 
@@ -8,38 +8,38 @@
 use storage::hosts;
 use units::{availability, backend, pool, revision, time};
 
-/// A backend server as the configuration and the host list describe it.
+/// A backend server, as described by the configuration and the host list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Target {
-    /// Its name.
+    /// The name of the server.
     pub server: backend::Server,
-    /// Its pool.
+    /// The pool of the server.
     pub pool: pool::Id,
-    /// Its availability zone.
+    /// The availability zone of the server.
     pub zone: availability::Zone,
-    /// Where it listens.
+    /// The listen address of the server.
     pub address: net::SocketAddr,
-    /// Its size, relative to the others of the pool.
+    /// The weight of the server relative to the other servers of the pool.
     pub weight: u32,
-    /// Whether it gets new work.
+    /// Whether the server is eligible for new requests.
     pub state: topology::State,
 }
 
-/// A pool and the topologies that it had.
+/// A pool and its topology history.
 #[derive(Clone, Debug)]
 pub struct Pool {
-    /// As it was declared.
+    /// The pool as declared in the configuration.
     pub declared: resource::Pool,
-    /// Its topologies.
+    /// The current and previous topologies.
     pub history: placement::History,
 }
 
-/// What was known at one moment.
+/// The configuration and backend servers at one point in time.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    /// Whether this router may serve with it.
+    /// Whether this router may serve requests with this view.
     pub ready: bool,
-    /// The configuration, unset before the first one was read.
+    /// The configuration, or `None` before it was read for the first time.
     pub snapshot: Option<Arc<Snapshot>>,
     /// The pools.
     pub pools: BTreeMap<pool::Id, Pool>,
@@ -48,18 +48,20 @@
 }
 
 impl View {
-    /// The revision in force, zero before the first configuration.
+    /// Returns the revision of the configuration, or zero if there is none.
     pub fn revision(&self) -> revision::Id {
         self.snapshot
             .as_ref()
             .map_or_else(revision::Id::default, |snapshot| snapshot.revision())
     }
 
-    /// The view that follows from `snapshot` and `hosts`, with this one's history.
+    /// Builds the next view from `snapshot` and `hosts`, and keeps the topology
+    /// history of this view.
     ///
-    /// Only servers of the router's own region count: between regions the way
-    /// is longer than a prefill, and the routers there are not known well
-    /// enough to tell who owns a server.
+    /// The view contains only servers of the router's own region: the latency
+    /// between regions exceeds the time of a prefill, and the membership of
+    /// other regions is not known reliably enough to determine the owner of a
+    /// server.
     pub fn rebuild(
         &self,
         region: &Region,
@@ -105,7 +107,7 @@
     }
 }
 
-/// The settings of placement for a pool.
+/// Returns the placement settings for a pool.
 pub fn placement_settings(declared: &resource::Pool) -> placement::Settings {
     placement::Settings {
         load_bound: declared.load_bound,
@@ -123,7 +125,8 @@
     placement::Topology::new(members.collect())
 }
 
-/// The servers of a pool: the declared ones, and those that the host list adds.
+/// Returns the servers of a pool: those declared in the configuration, and those
+/// added by the host list.
 fn targets(snapshot: &Snapshot, declared: &resource::Pool, hosts: &[hosts::Host]) -> Vec<Target> {
     let mut targets: BTreeMap<backend::Server, Target> = declared
         .servers
