--- a/crates/router/src/hop/client.rs
+++ b/crates/router/src/hop/client.rs
@@ -59,7 +59,7 @@
     }
 
     fn put(&self, address: net::SocketAddr, link: Link) {
-        // The task ends with the process.
+        // Sending does not fail, since the task runs until the process ends.
         let _ = self.messages.send(Message::Put(address, Box::new(link)));
     }
 }
--- a/crates/router/src/hop/server.rs
+++ b/crates/router/src/hop/server.rs
@@ -43,7 +43,7 @@
     pub key: seal::Key,
     /// The task that admits requests to owned servers.
     pub owner: owner::Handle,
-    /// The task that tracks the crashes caused by requests.
+    /// The task that tracks suspect requests.
     pub tracker: tracker::Handle,
     /// The most recently read host list.
     pub hosts: watch::Receiver<Arc<Vec<hosts::Host>>>,
--- a/crates/router/src/metrics.rs
+++ b/crates/router/src/metrics.rs
@@ -1,7 +1,7 @@
-//! The router's metrics.
+//! Metrics of the router.
 //!
-//! Labels take their values from fixed lists only, so that no caller can make
-//! the number of series grow.
+//! Label values come only from fixed sets, so that callers cannot increase the
+//! number of time series.
 
 use std::{
     sync::{Arc, atomic::AtomicU64},
@@ -20,51 +20,53 @@
 
 use crate::status;
 
-/// Upper bounds of the buckets for the time to the head of an answer, in seconds.
+/// Histogram bucket bounds for the time to the response head and for the queue
+/// time, in seconds.
 const BUCKETS: [f64; 10] = [0.005, 0.02, 0.05, 0.1, 0.2, 0.47, 1.0, 2.0, 5.0, 20.0];
 
-/// The labels of a refusal.
+/// The labels of the refusal counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct RefusalLabels {
     code: String,
     verdict: String,
 }
 
-/// The labels of an answer.
+/// The labels of the response counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StatusLabels {
     class: String,
 }
 
-/// The labels of control traffic.
+/// The labels of the control traffic counter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct TrafficLabels {
     direction: &'static str,
 }
 
-/// Which way control traffic goes.
+/// The direction of control traffic.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From this router.
+    /// Sent by this router.
     Sent,
-    /// To this router.
+    /// Received by this router.
     Received,
 }
 
-/// How the servers stand that a router owns.
+/// Totals over the servers that a router owns.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Owned {
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub in_flight: u32,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub queued: u32,
-    /// The sum of their limits.
+    /// Sum of the concurrency limits.
     pub limit: u32,
-    /// The largest load over the mean of its pool; zero while the mean is small.
+    /// Largest ratio of a server's load to the mean load of its pool, or zero
+    /// while the mean is small.
     pub skew: f64,
 }
 
-/// All metrics.
+/// The metrics of a router and their registry.
 #[derive(Debug, Default)]
 pub struct Metrics {
     registry: Registry,
@@ -88,7 +90,7 @@
 }
 
 impl Metrics {
-    /// Metrics that count from zero.
+    /// Registers all metrics.
     pub fn new() -> Self {
         let mut metrics = Self::default();
         let registry = &mut metrics.registry;
@@ -175,13 +177,13 @@
         metrics
     }
 
-    /// Counts a final refusal.
+    /// Counts a final refusal of a request.
     pub fn refused(&self, refusal: &Refusal) {
         let labels = refusal_labels(refusal.code, refusal.verdict);
         self.refusals.get_or_create(&labels).inc();
     }
 
-    /// Counts an answer and the time to its head.
+    /// Counts a response, and records the time to its head.
     pub fn responded(&self, status: StatusCode, time: Duration) {
         let class = format!("{}xx", status.as_u16() / 100);
         self.responses.get_or_create(&StatusLabels { class }).inc();
@@ -201,23 +203,23 @@
             .inc_by(bytes as u64);
     }
 
-    /// Counts the prompt tokens of an answer, and those that were cached.
+    /// Counts the prompt tokens of a request, and those of them that were cached.
     pub fn token_usage(&self, prompt: u64, cached: u64) {
         self.prompt_tokens.inc_by(prompt);
         self.cached_tokens.inc_by(cached);
     }
 
-    /// Counts an offer that went to the next server.
+    /// Counts a refused offer after which the next server was tried.
     pub fn spilled(&self) {
         self.spills.inc();
     }
 
-    /// Counts a second attempt.
+    /// Counts a retry.
     pub fn retried(&self) {
         self.retries.inc();
     }
 
-    /// Notes how the servers stand that this router owns.
+    /// Sets the totals over the servers that this router owns.
     pub fn owned(&self, owned: Owned) {
         self.in_flight.set(i64::from(owned.in_flight));
         self.queued.set(i64::from(owned.queued));
@@ -225,35 +227,35 @@
         self.skew.set(owned.skew);
     }
 
-    /// Notes how long a request waited in a server's queue.
+    /// Records the time that a request spent in the queue of a server.
     pub fn waited(&self, time: Duration) {
         if let Some(histogram) = &self.queue_seconds {
             histogram.observe(time.as_secs_f64());
         }
     }
 
-    /// Notes the revision in force.
+    /// Sets the configuration revision in force.
     pub fn applied(&self, revision: revision::Id) {
         self.revision
             .set(i64::try_from(revision.0).unwrap_or(i64::MAX));
     }
 
-    /// Counts the bytes of polls and probes.
+    /// Returns the counters for the traffic of platform polls and load probes.
     pub fn traffic(&self) -> Arc<Traffic> {
         Arc::clone(&self.traffic)
     }
 
-    /// The metrics in the text format of OpenMetrics.
+    /// Encodes the metrics in the OpenMetrics text format.
     pub fn encode(&self) -> String {
         self.polled_sent.set(self.traffic.sent() as i64);
         self.polled_received.set(self.traffic.received() as i64);
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = text::encode(&mut text, &self.registry);
         text
     }
 
-    /// The refusals for the status page.
+    /// Returns the refusal counts for the status page.
     pub fn refusals(&self) -> Vec<status::Refusals> {
         let verdicts = [Verdict::NotRun, Verdict::MayHaveRun];
         let pairs = Code::ALL
--- a/crates/router/src/settings.rs
+++ b/crates/router/src/settings.rs
@@ -51,7 +51,7 @@
     /// Loads the settings, or exits the process if they are invalid.
     pub fn load() -> Self {
         settings::load(
-            "Routes callers' requests to backend servers",
+            "Routes requests of callers to backend servers",
             arguments(),
             check,
         )
@@ -78,14 +78,14 @@
         "seeds",
         "WEIR_SEEDS",
         "HOST/ZONE/IP:PORT,...",
-        "Routers to ask at the start if the platform is down",
+        "Routers to contact at the start if the platform is down",
     );
     let key = settings::secret("WEIR_FLEET_KEY");
     let leave_ms = settings::text(
         "leave-ms",
         "WEIR_LEAVE_MS",
         "MS",
-        "How long to be unready before closing, in milliseconds",
+        "Time between reporting not ready and closing, in milliseconds",
     );
     construct!(Arguments {
         host,
--- a/crates/router/src/start.rs
+++ b/crates/router/src/start.rs
@@ -51,8 +51,8 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Listen => "cannot open the listener for callers",
-            Self::Peer => "cannot open the sockets for other routers",
+            Self::Listen => "cannot listen for callers",
+            Self::Peer => "cannot listen for other routers",
         })
     }
 }
--- a/crates/router/tests/fleet/client.rs
+++ b/crates/router/tests/fleet/client.rs
@@ -1,4 +1,4 @@
-//! A caller.
+//! An HTTP client that acts as a caller.
 
 use std::net::SocketAddr;
 
@@ -9,19 +9,19 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// What a caller got.
+/// The response that a caller received.
 #[derive(Debug)]
 pub struct Response {
     pub status: u16,
     pub request_id: Option<String>,
-    /// What arrived of the body.
+    /// The received part of the body.
     pub body: String,
-    /// Whether the body ended as announced.
+    /// Whether the body was received completely.
     pub complete: bool,
 }
 
 impl Response {
-    /// A field of the error that the answer holds.
+    /// Returns a field of the error in the body.
     pub fn error(&self, field: &str) -> String {
         let json: Value = serde_json::from_str(&self.body).unwrap_or_default();
         match &json["error"][field] {
@@ -30,14 +30,14 @@
         }
     }
 
-    /// The text of a completion that was not streamed.
+    /// Returns the text of a completion that was not streamed.
     pub fn text(&self) -> String {
         let json: Value = serde_json::from_str(&self.body).unwrap_or_default();
         let content = &json["choices"][0]["message"]["content"];
         String::from(content.as_str().unwrap_or_default())
     }
 
-    /// The text of a streamed completion.
+    /// Returns the text of a streamed completion.
     pub fn streamed_text(&self) -> String {
         self.body
             .lines()
@@ -51,7 +51,7 @@
     }
 }
 
-/// A call that is made up step by step.
+/// A request builder.
 #[derive(Clone, Debug)]
 pub struct Call {
     method: &'static str,
@@ -61,7 +61,7 @@
 }
 
 impl Call {
-    /// A call without a body.
+    /// Creates a GET request.
     pub fn get(path: &str) -> Self {
         Self {
             method: "GET",
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A call with a body.
+    /// Creates a POST request.
     pub fn post(path: &str, body: &str) -> Self {
         Self {
             method: "POST",
@@ -80,12 +80,13 @@
         }
     }
 
-    /// A completion of `prompt` with `tokens` tokens in `chat`.
+    /// Creates a completion request for `prompt` in `chat`, with at most `tokens`
+    /// output tokens.
     pub fn chat(chat: &str, prompt: &str, tokens: u32) -> Self {
         Self::completion(chat, prompt, tokens, false)
     }
 
-    /// The same, streamed.
+    /// Like [`Call::chat`], with a streamed response.
     pub fn stream(chat: &str, prompt: &str, tokens: u32) -> Self {
         Self::completion(chat, prompt, tokens, true)
     }
@@ -100,25 +101,25 @@
         Self::post("/v1/chat/completions", &body.to_string()).header("x-weir-chat", chat)
     }
 
-    /// A booking, which must not run twice.
+    /// Creates a booking request with an idempotency key, which must not run twice.
     pub fn booking(key: &str) -> Self {
         Self::post("/bookings", "{}").header("idempotency-key", key)
     }
 
-    /// The call with a header set.
+    /// Sets a header.
     pub fn header(mut self, name: &'static str, value: &str) -> Self {
         self.headers.retain(|(other, _)| *other != name);
         self.headers.push((name, String::from(value)));
         self
     }
 
-    /// The call without a header.
+    /// Removes a header.
     pub fn without(mut self, name: &str) -> Self {
         self.headers.retain(|(other, _)| *other != name);
         self
     }
 
-    /// The call as one line.
+    /// Formats the request as one line.
     pub fn line(&self) -> String {
         let headers = self.headers.iter();
         let headers: Vec<String> = headers
@@ -134,7 +135,8 @@
         String::from(line.trim_end())
     }
 
-    /// Makes the call on a connection of its own. `None`: there was no answer.
+    /// Sends the request over a new connection. Returns `None` if no response was
+    /// received.
     pub async fn send(&self, address: SocketAddr) -> Option<Response> {
         let stream = TcpStream::connect(address).await.ok()?;
         let (mut sender, driver) = http1::handshake(TokioIo::new(stream)).await.ok()?;
--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -1,4 +1,4 @@
-//! A whole session, compared with a golden file byte by byte.
+//! Compares the responses and logs of a session with a golden file.
 //!
 //! `UPDATE_GOLDEN=1 cargo test -p router golden` rewrites the file.
 
@@ -11,13 +11,13 @@
     cluster::{Cluster, Topology, wait_until},
 };
 
-/// A value that differs from run to run.
+/// A value that differs between runs and is masked.
 struct Mask {
-    /// The text before it.
+    /// The text before the value.
     before: &'static str,
-    /// What stands in its place.
+    /// The replacement of the value.
     mask: &'static str,
-    /// What it consists of.
+    /// Whether a character belongs to the value.
     matches: fn(char) -> bool,
 }
 
@@ -63,7 +63,7 @@
     out + rest
 }
 
-/// One call and what came back, with the log lines that name it.
+/// Makes a call, and returns it with its response and log lines.
 async fn step(cluster: &Cluster, number: u32, call: Call) -> String {
     let id = format!("{number:016x}");
     let response = cluster
@@ -78,7 +78,7 @@
     for line in response.body.lines() {
         text += &format!("< {}\n", masked(line));
     }
-    // The answer may arrive before the last lines of the logs.
+    // The response may arrive before the last log lines were written.
     wait_until("the request is logged", async || {
         is_complete(&logged(cluster, &id))
     })
@@ -86,7 +86,7 @@
     text + &logged(cluster, &id) + "\n"
 }
 
-/// What the routers logged of a request.
+/// Returns the log lines of all routers about a request.
 fn logged(cluster: &Cluster, id: &str) -> String {
     let mut text = String::new();
     for router in &cluster.routers {
@@ -97,7 +97,8 @@
     text
 }
 
-/// Whether both ends of a hop, and the end of the request, were logged.
+/// Returns whether the result of the request was logged, and each hop by both the
+/// entry router and the owner.
 fn is_complete(log: &str) -> bool {
     let ended = log.contains("request_answered") || log.contains("request_refused");
     let hops = log.matches("way=hop").count();
@@ -107,7 +108,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_session_matches_the_golden_file() {
     let cluster = Cluster::start(Topology::default()).await;
-    // While an earlier owner may still admit, offers are refused now and then.
+    // As long as a previous owner may still admit requests, some offers are refused.
     cluster.wait_for_states(&["cold", "warm"]).await;
     let mut session = String::new();
     let calls = [
@@ -135,7 +136,7 @@
     session += &step(&cluster, 8, Call::booking("lost")).await;
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/session.txt");
     if env::var_os("UPDATE_GOLDEN").is_some() {
-        fs::write(&path, &session).expect("the file can be written");
+        fs::write(&path, &session).expect("the golden file must be writable");
     }
     let golden = fs::read_to_string(&path).unwrap_or_default();
     assert_eq!(session, golden);
--- a/crates/router/tests/fleet/input.rs
+++ b/crates/router/tests/fleet/input.rs
@@ -1,4 +1,4 @@
-//! Bad input.
+//! Invalid requests and settings.
 
 use std::process::Command;
 
@@ -86,5 +86,8 @@
     assert_eq!(output.status.code(), Some(2));
     let text = String::from_utf8_lossy(&output.stderr);
     assert!(text.contains(expected), "{text}");
-    assert!(!text.contains("short"), "a secret is never shown: {text}");
+    assert!(
+        !text.contains("short"),
+        "a secret must not be shown: {text}"
+    );
 }
--- a/crates/router/tests/fleet/main.rs
+++ b/crates/router/tests/fleet/main.rs
@@ -1,4 +1,5 @@
-//! Tests of routers as processes, over real sockets, beside stand-ins.
+//! Tests of router processes over real sockets, with stand-ins of the platform
+//! and the backend servers.
 
 mod client;
 mod cluster;
--- a/crates/router/tests/fleet/process.rs
+++ b/crates/router/tests/fleet/process.rs
@@ -1,4 +1,4 @@
-//! One router as a process.
+//! A router process.
 
 use std::{
     io::{BufRead as _, BufReader},
@@ -8,10 +8,10 @@
     thread,
 };
 
-/// The key that the routers of a test share.
+/// The fleet key of the routers in a test.
 pub const KEY: &str = "00112233445566778899aabbccddeeff00112233445566778899aabbccddeeff";
 
-/// A running router, killed when dropped.
+/// A running router process, killed when dropped.
 #[derive(Debug)]
 pub struct Process {
     pub host: String,
@@ -23,7 +23,7 @@
 }
 
 impl Process {
-    /// Starts a router on free ports; `seeds` are routers that it may ask.
+    /// Starts a router on free ports, with `seeds` as its seed routers.
     pub fn start(host: &str, zone: &str, platform: SocketAddr, seeds: &[Self]) -> Self {
         let seeds: Vec<String> = seeds
             .iter()
@@ -41,12 +41,12 @@
             .stdout(Stdio::piped())
             .stderr(Stdio::piped())
             .spawn()
-            .expect("the router starts");
-        let stdout = child.stdout.take().expect("its output is piped");
+            .expect("the router must start");
+        let stdout = child.stdout.take().expect("stdout is piped");
         let mut lines = BufReader::new(stdout).lines();
         let mut value = |key: &str| -> SocketAddr {
             let line = lines.next().expect("a line").expect("readable");
-            let text = line.strip_prefix(key).expect("the announced key");
+            let text = line.strip_prefix(key).expect("the expected key");
             text.parse().expect("an address")
         };
         let peer = value("peer=");
@@ -62,57 +62,60 @@
         }
     }
 
-    /// The lines that it has logged.
+    /// The log lines so far.
     pub fn log(&self) -> Vec<String> {
         self.log.lock().expect("no panic").clone()
     }
 
-    /// Ends the process at once, as when its host loses power.
+    /// Kills the process without a graceful shutdown, as on a power failure.
     pub fn kill(&mut self) {
-        self.child.kill().expect("it is running");
-        self.child.wait().expect("it has ended");
+        self.child.kill().expect("the process is running");
+        self.child.wait().expect("the process can be reaped");
     }
 
-    /// Stops the process without ending it, as a long pause of its host does.
+    /// Suspends the process, as during a long pause of its host.
     pub fn freeze(&self) {
         self.signal("-STOP");
     }
 
-    /// Lets a frozen process go on.
+    /// Resumes a suspended process.
     pub fn thaw(&self) {
         self.signal("-CONT");
     }
 
-    /// Asks the process to shut down gracefully.
+    /// Sends SIGTERM for a graceful shutdown.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// Waits for the process's end; whether it ended in order.
+    /// Waits for the process to exit, and returns whether it exited with success.
     pub fn wait(&mut self) -> bool {
-        self.child.wait().expect("it ends").success()
+        self.child
+            .wait()
+            .expect("the process can be reaped")
+            .success()
     }
 
     fn signal(&self, signal: &str) {
         let status = Command::new("kill")
             .args([signal, &self.child.id().to_string()])
             .status()
-            .expect("kill runs");
+            .expect("kill can be run");
         assert!(status.success(), "signal {signal} to {}", self.host);
     }
 }
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // It may have ended already.
+        // The process may have exited already.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
-/// Collects the log, and shows it in the output of a test that fails.
+/// Collects the log, and prints it to the output of the test.
 fn collect_log(child: &mut Child, host: &str) -> Arc<Mutex<Vec<String>>> {
-    let stderr = child.stderr.take().expect("its log is piped");
+    let stderr = child.stderr.take().expect("stderr is piped");
     let host = String::from(host);
     let log = Arc::new(Mutex::new(Vec::new()));
     let lines = Arc::clone(&log);
--- a/crates/router/tests/fleet/serving.rs
+++ b/crates/router/tests/fleet/serving.rs
@@ -1,4 +1,4 @@
-//! The whole path without failures.
+//! The request path without failures.
 
 use standin::answer;
 
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -9,9 +9,9 @@
     cluster::{Cluster, Topology, wait_until},
 };
 
-// A host is taken out of service while streams run through it, as entry and as
-// owner. Callers that are connected, and those whom the balancer still sends,
-// get their whole answers.
+// A router that is shut down while it serves streams, both as entry router and
+// as owner, must not interrupt them. Connected callers, and callers that the load
+// balancer still sends, get complete responses.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_graceful_shutdown_completes_all_requests() {
     let mut cluster = Cluster::start(Topology {
@@ -31,7 +31,7 @@
             callers.push(tokio::spawn(async move { call.send(address).await }));
         }
     }
-    wait_until("streams run", async || {
+    wait_until("streams are running", async || {
         let engines = cluster.engines.iter();
         engines.map(|e| e.handle.counters().started).sum::<u64>() >= 2
     })
@@ -39,7 +39,7 @@
     cluster.routers[0].terminate();
     let mut served = 0;
     for caller in callers {
-        let response = caller.await.expect("no panic").expect("an answer");
+        let response = caller.await.expect("no panic").expect("a response");
         if response.status == 200 {
             assert!(response.complete, "{}", response.body);
             assert_eq!(response.streamed_text(), answer::text("hello", 100));
@@ -48,13 +48,16 @@
             assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
         }
     }
-    assert!(served >= 6, "only {served} were served");
-    assert!(cluster.routers[0].wait(), "the process ends in order");
+    assert!(served >= 6, "only {served} requests were served");
+    assert!(
+        cluster.routers[0].wait(),
+        "the process must exit with success"
+    );
 }
 
-// A router that owns an engine shuts down while streams of other routers'
-// callers pass through it. Its own callers are gone early, and it must not take
-// the others' streams with it.
+// A router that owns an engine is shut down while it relays streams for callers
+// of other routers. Since it has no callers of its own, it could exit early and
+// interrupt the relayed streams.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_shutdown_waits_for_streams_relayed_for_other_routers() {
     let mut cluster = Cluster::start(Topology {
@@ -77,7 +80,7 @@
     .await;
     cluster.routers[1].terminate();
     for caller in callers {
-        let response = caller.await.expect("no panic").expect("an answer");
+        let response = caller.await.expect("no panic").expect("a response");
         if response.status == 200 {
             assert!(response.complete, "{}", response.body);
             assert_eq!(response.streamed_text(), answer::text("hello", 150));
@@ -85,11 +88,15 @@
             assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
         }
     }
-    assert!(cluster.routers[1].wait(), "the process ends in order");
+    assert!(
+        cluster.routers[1].wait(),
+        "the process must exit with success"
+    );
 }
 
-// A router leaves in order. If the next owner of its engines had to learn their
-// limits from one again, chats would wait for half a minute beside idle engines.
+// A router that shuts down gracefully hands the learned limits of its engines to
+// the next owner. Otherwise the next owner would start again with a limit of one
+// request, and chats would be queued for half a minute although engines are idle.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leaving_router_hands_learned_limits_to_the_next_owner() {
     let mut cluster = Cluster::start(Topology {
@@ -104,7 +111,7 @@
         .send_until_served(next, &Call::chat("c", "hello", 3))
         .await;
     cluster.routers[leaving].terminate();
-    wait_until("the next owner has what was learned", async || {
+    wait_until("the next owner has the learned limits", async || {
         let log = cluster.routers[next].log().join("\n");
         log.contains("event=server_handed_over server=engine-0-0")
     })
@@ -113,5 +120,8 @@
         .send_until_served(next, &Call::chat("c", "hello", 3))
         .await;
     assert_eq!(response.text(), answer::text("hello", 3));
-    assert!(cluster.routers[leaving].wait(), "the process ends in order");
+    assert!(
+        cluster.routers[leaving].wait(),
+        "the process must exit with success"
+    );
 }
