--- a/crates/router/src/caller/parse.rs
+++ b/crates/router/src/caller/parse.rs
@@ -17,7 +17,7 @@
     entry::Entry,
     hop::head,
     limits,
-    request::{Repeat, Request as Checked},
+    request::{Request as Checked, Semantics},
 };
 
 /// Number of output tokens assumed for a request without `max_tokens`.
@@ -81,10 +81,10 @@
     };
     let chat = chat(headers, &workspace, kind)?;
     let method = parts.method.clone();
-    let repeat = if route.is_idempotent(method.as_str()) {
-        Repeat::Allowed
+    let semantics = if route.is_idempotent(method.as_str()) {
+        Semantics::Idempotent
     } else {
-        Repeat::Forbidden
+        Semantics::AtMostOnce
     };
     let target = parts
         .uri
@@ -98,7 +98,7 @@
         cost: cost(kind, &prompt, &body),
         priority: route.priority,
         deadline: entry.clock.now() + timeout(headers, route)?,
-        repeat,
+        semantics,
         idempotency_key: idempotency_key(headers)?,
         fingerprint: entry.fingerprint(&workspace, &route.name, &target, &body),
         events: prompt.stream,
--- a/crates/router/src/entry/attempt.rs
+++ b/crates/router/src/entry/attempt.rs
@@ -12,7 +12,7 @@
     backend as http, claims,
     hop::{client, server},
     owner::{self, Rejected},
-    request::{Repeat, Request},
+    request::{Request, Semantics},
     response::Upstream,
     view::Target,
 };
@@ -158,7 +158,7 @@
             fingerprint: request.fingerprint,
             deaths: progress.crashes.clone(),
             suspect: progress.standing == admission::Standing::Suspect,
-            idempotent: request.repeat == Repeat::Allowed,
+            idempotent: request.semantics == Semantics::Idempotent,
             events: request.events,
             method: String::from(request.method.as_str()),
             target: request.target.clone(),
--- a/crates/router/src/entry/serve.rs
+++ b/crates/router/src/entry/serve.rs
@@ -14,7 +14,7 @@
 use crate::{
     claims::{self, Claimed},
     completion::Reporter,
-    request::{Repeat, Request},
+    request::{Request, Semantics},
     response::retry_instant,
     tracker::{self, Ending},
     view::{Pool, Target},
@@ -28,7 +28,7 @@
     /// The final refusal, whose verdict covers all attempts.
     pub async fn handle(&self, request: Request) -> Result<Reply, Refusal> {
         let key = request.idempotency_key.as_ref();
-        let key = key.filter(|_| request.repeat == Repeat::Forbidden);
+        let key = key.filter(|_| request.semantics == Semantics::AtMostOnce);
         let Some(key) = key else {
             let served = self.dispatch(request, &mut None).await?;
             return Ok(Reply::Served(Box::new(served)));
@@ -150,7 +150,7 @@
             workspace: request.workspace.clone(),
             cause: recovery::Cause::Failed,
             refusal: progress.refusal.clone(),
-            idempotent: request.repeat == Repeat::Allowed,
+            idempotent: request.semantics == Semantics::Idempotent,
             attempts: progress.attempts,
             refusals: 0,
             candidates: remaining,
--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -7,11 +7,11 @@
 
 /// Whether a request may be run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Semantics {
     /// The request is idempotent.
-    Allowed,
+    Idempotent,
     /// The request must run at most once.
-    Forbidden,
+    AtMostOnce,
 }
 
 /// A request as held by the entry router while it is served.
@@ -43,7 +43,7 @@
     /// The instant at which the caller stops waiting.
     pub deadline: time::Instant,
     /// Whether it may be run more than once.
-    pub repeat: Repeat,
+    pub semantics: Semantics,
     /// The idempotency key set by the caller.
     pub idempotency_key: Option<String>,
     /// A keyed hash of the workspace, route, target and body.
@@ -58,6 +58,6 @@
     ///
     /// Once such a request may have run, refusals do not include a time to retry.
     pub fn is_unsafe_to_retry(&self) -> bool {
-        self.repeat == Repeat::Forbidden && self.idempotency_key.is_none()
+        self.semantics == Semantics::AtMostOnce && self.idempotency_key.is_none()
     }
 }
