--- a/crates/router/src/request.rs
+++ b/crates/router/src/request.rs
@@ -5,10 +5,10 @@
 use units::{chat, cost, pool, request, time, workspace};
 use wire::hop;
 
-/// Whether a request may be run more than once.
+/// The execution semantics of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Semantics {
-    /// The request is idempotent.
+    /// The request is idempotent and may run more than once.
     Idempotent,
     /// The request must run at most once.
     AtMostOnce,
@@ -20,11 +20,11 @@
     /// The request id, used in logs, sent to the backend server and returned in
     /// the response.
     pub id: request::Id,
-    /// The workspace that sent it.
+    /// The workspace of the caller.
     pub workspace: workspace::Id,
     /// The chat, set on routes to engines.
     pub chat: Option<chat::Key>,
-    /// The name of its route.
+    /// The name of the matched route.
     pub route: String,
     /// The pool that serves the route.
     pub pool: pool::Id,
@@ -42,7 +42,7 @@
     pub priority: request::Priority,
     /// The instant at which the caller stops waiting.
     pub deadline: time::Instant,
-    /// Whether it may be run more than once.
+    /// Whether the request may run more than once.
     pub semantics: Semantics,
     /// The idempotency key set by the caller.
     pub idempotency_key: Option<String>,
