--- a/crates/router/src/entry.rs
+++ b/crates/router/src/entry.rs
@@ -75,7 +75,7 @@
     Recorded(Outcome),
 }
 
-/// A response, and the trace that reports its end.
+/// A response, and the reporter of its end.
 #[derive(Debug)]
 pub struct Served {
     /// The response.
