--- a/crates/bench/src/policy/owned.rs
+++ b/crates/bench/src/policy/owned.rs
@@ -335,7 +335,7 @@
 
     fn handle(&mut self, core: &mut Core<Event>, event: Event, now: Instant) {
         match event {
-            Event::Offer(request, candidate) => self.offered(core, request, &candidate, now),
+            Event::Offer(request, candidate) => self.handle_offer(core, request, &candidate, now),
             Event::Declined(request) => self.offer_next(core, request, now),
             Event::FirstToken(attempt, engine) => {
                 if self.offered.get(&attempt) == Some(&engine) {
--- a/crates/bench/src/policy/owned/offer.rs
+++ b/crates/bench/src/policy/owned/offer.rs
@@ -54,7 +54,7 @@
         );
     }
 
-    pub(super) fn offered(
+    pub(super) fn handle_offer(
         &mut self,
         core: &mut Core<Event>,
         request: usize,
--- a/crates/bench/src/policy/owned/owner.rs
+++ b/crates/bench/src/policy/owned/owner.rs
@@ -48,9 +48,9 @@
     /// Takes note of what another router told. A heartbeat may arrive after an
     /// answer that was sent later.
     pub(super) fn record_peer_load(&mut self, router: usize, from: usize, peer_load: PeerLoad) {
-        let peer_loads = &mut self.routers[router].peer_loads[from];
-        if peer_loads.at <= peer_load.at {
-            *peer_loads = peer_load;
+        let stored = &mut self.routers[router].peer_loads[from];
+        if stored.at <= peer_load.at {
+            *stored = peer_load;
         }
     }
 
