--- a/crates/bench/src/bounds.rs
+++ b/crates/bench/src/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds beyond which a figure is a regression.
+//! Bounds beyond which a figure counts as a regression.
 
 use std::fmt;
 
@@ -6,11 +6,11 @@
 
 use crate::figure::Figure;
 
-/// The bounds of all figures that have some.
+/// The bounds of all figures that have one.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bounds {
-    /// One for each figure.
+    /// One entry per bounded figure.
     #[serde(default)]
     pub bound: Vec<Bound>,
 }
@@ -19,38 +19,38 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Bound {
-    /// The measure.
+    /// Name of the measure.
     pub measure: String,
-    /// The deployment. Unset: all.
+    /// Name of the deployment. Applies to all if unset.
     pub deployment: Option<String>,
-    /// The policy.
+    /// Name of the policy.
     pub policy: String,
-    /// The lowest value that is no regression.
+    /// Lowest accepted value.
     pub min: Option<f64>,
-    /// The highest value that is no regression.
+    /// Highest accepted value.
     pub max: Option<f64>,
 }
 
 /// A figure beyond its bound.
 #[derive(Clone, Debug)]
 pub struct Regression {
-    /// The figure.
+    /// The figure that is out of bounds.
     pub figure: Figure,
-    /// The bound.
+    /// The bound that it violates.
     pub bound: Bound,
 }
 
 impl Bounds {
-    /// Reads bounds in TOML.
+    /// Parses bounds from TOML.
     ///
     /// # Errors
     ///
-    /// The parser's, which names the line.
+    /// Returns the parser's error, which names the line.
     pub fn parse(text: &str) -> Result<Self, toml::de::Error> {
         toml::from_str(text)
     }
 
-    /// The figures that are beyond a bound.
+    /// Returns the figures that violate a bound.
     pub fn check(&self, figures: &[Figure]) -> Vec<Regression> {
         let pairs = figures
             .iter()
@@ -74,7 +74,7 @@
     }
 
     fn contains(&self, value: f64) -> bool {
-        // A value that is not a number is within no bound.
+        // NaN violates every bound that is set.
         let above = self.min.is_none_or(|min| value >= min);
         let below = self.max.is_none_or(|max| value <= max);
         above && below
--- a/crates/bench/src/cache.rs
+++ b/crates/bench/src/cache.rs
@@ -1,10 +1,11 @@
-//! A prompt prefix cache in limited memory.
+//! A prompt prefix cache of limited capacity.
 
 use std::collections::{BTreeMap, HashMap};
 
 use units::chat;
 
-/// The number of the first use; what is put back is older.
+/// Sequence number of the first use. Reinserted entries get lower numbers, so that they
+/// count as older.
 const FIRST_USE: u64 = 1 << 32;
 
 #[derive(Clone, Copy, Debug)]
@@ -13,7 +14,7 @@
     last_use: u64,
 }
 
-/// A cache of chats' prefixes that evicts the least recently used.
+/// A cache of chat prefixes with least-recently-used eviction.
 #[derive(Clone, Debug)]
 pub struct Cache {
     capacity: u64,
@@ -35,7 +36,7 @@
         }
     }
 
-    /// How many tokens of a prompt of `chat` are cached.
+    /// Number of cached prompt tokens of `chat`.
     pub fn cached(&self, chat: chat::Key) -> u32 {
         self.chats.get(&chat).map_or(0, |entry| entry.tokens)
     }
@@ -45,15 +46,16 @@
         self.total_tokens
     }
 
-    /// Stores the first `tokens` of `chat` and returns the chats evicted for it.
+    /// Stores the first `tokens` tokens of `chat` and returns the chats evicted to make
+    /// room.
     pub fn store(&mut self, chat: chat::Key, tokens: u32) -> Vec<chat::Key> {
         self.uses += 1;
         self.insert(chat, tokens, self.uses);
         self.evict()
     }
 
-    /// Puts a chat back that was taken out, as the least recently used one,
-    /// unless it has been stored since.
+    /// Reinserts a removed chat as the least recently used entry, unless it has been
+    /// stored since.
     pub fn insert_oldest(&mut self, chat: chat::Key, tokens: u32) {
         if self.chats.contains_key(&chat) {
             return;
@@ -63,7 +65,7 @@
         self.evict();
     }
 
-    /// Takes a chat out.
+    /// Removes a chat and returns its tokens.
     pub fn remove(&mut self, chat: chat::Key) -> Option<u32> {
         let entry = self.chats.remove(&chat)?;
         self.by_use.remove(&entry.last_use);
@@ -71,7 +73,7 @@
         Some(entry.tokens)
     }
 
-    /// Changes the capacity and evicts what no longer fits.
+    /// Changes the capacity and evicts entries that no longer fit.
     pub fn set_capacity(&mut self, capacity: u64) {
         self.capacity = capacity;
         self.evict();
@@ -100,7 +102,7 @@
         evicted
     }
 
-    /// Drops all.
+    /// Removes all entries.
     pub fn clear(&mut self) {
         *self = Self::new(self.capacity);
     }
--- a/crates/bench/src/control.rs
+++ b/crates/bench/src/control.rs
@@ -1,4 +1,5 @@
-//! Control traffic and the spread of configuration, by the real membership.
+//! Measures control traffic and the propagation of configuration with the real
+//! membership protocol.
 //!
 //! Every heartbeat is encoded and sealed as a router would send it.
 
@@ -10,76 +11,79 @@
 
 use crate::{deployment::Deployment, queue::Queue, random::Random};
 
-/// What the headers of UDP and IPv4 add to a datagram.
+/// Bytes of the UDP and IPv4 headers of a datagram.
 const UDP_HEADER_BYTES: usize = 28;
-/// What the headers of TCP and IPv4 add to a question, an answer and their acknowledgements.
+/// Bytes of the TCP and IPv4 headers of a request, a response and their
+/// acknowledgements.
 const TCP_HEADER_BYTES: usize = 4 * 40;
-/// How long the table takes to answer.
+/// Response time of the configuration table.
 const TABLE_LATENCY: Duration = Duration::from_millis(10);
-/// The least time between two load reports of an engine.
+/// Minimum time between two load polls of an engine.
 const MIN_LOAD_INTERVAL: Duration = Duration::from_secs(2);
-/// The time between two load reports of any engines of one owner.
+/// Time between two load polls of any engines of one owner.
 const LOAD_INTERVAL_PER_ENGINE: Duration = Duration::from_millis(1_500);
-/// How often a router reads the platform's host list.
+/// Time between two reads of the platform's host list by a router.
 const HOSTS_INTERVAL: Duration = Duration::from_secs(2);
-/// When the membership has settled and counting starts.
+/// Start of the measurement, when the membership has converged.
 const COUNT_FROM: Instant = Instant::from_millis(20_000);
-/// For how long is counted.
+/// Duration of the measurement.
 const COUNT_DURATION: Duration = Duration::from_secs(40);
-/// When a revision is accepted by the table.
+/// When the table accepts a revision.
 const REVISION_ACCEPTED_AT: Instant = Instant::from_millis(60_300);
-/// When it ends.
+/// When the simulation ends.
 const END_AT: Instant = Instant::from_millis(75_000);
 
-/// What was measured.
+/// Measured control traffic.
 #[derive(Clone, Debug)]
 pub struct Traffic {
-    /// Bytes a second of heartbeats that the busiest router sends and receives.
+    /// Heartbeat bytes per second that the busiest router sends and receives.
     pub heartbeats: f64,
-    /// Bytes a second of polls of the table by the busiest router.
+    /// Bytes per second of the table polls of the busiest router.
     pub polls: f64,
-    /// The bytes of one sealed heartbeat with its headers, on average.
+    /// Mean size of a sealed heartbeat with its headers, in bytes.
     pub frame: f64,
-    /// How long after its acceptance each router had the revision, in seconds.
+    /// For each router, the time from the acceptance of the revision until it is
+    /// applied, in seconds.
     pub applied: Vec<f64>,
 }
 
-/// The bytes of one exchange over HTTP on an open connection.
+/// Bytes of one HTTP exchange on an open connection.
 fn exchange_bytes(request: &str, response: &str) -> usize {
     request.len() + response.len() + TCP_HEADER_BYTES
 }
 
-/// The bytes of one poll of the table's revision.
+/// Bytes of one poll of the table's revision.
 pub fn poll_bytes() -> usize {
     let request = "GET /table/rows/config/revision HTTP/1.1\r\nhost: 10.0.0.1:7000\r\n\r\n";
     let response = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 62\r\ndate: Thu, 01 Jan 2026 00:00:00 GMT\r\n\r\n{\"key\":\"config/revision\",\"value\":12345,\"generation\":123456}\r\n";
     exchange_bytes(request, response)
 }
 
-/// The bytes of one load report.
+/// Bytes of one load report with its request.
 pub fn load_bytes() -> usize {
     let request = "GET /load HTTP/1.1\r\nhost: 10.0.0.1:7000\r\n\r\n";
     let response = "HTTP/1.1 200 OK\r\ncontent-type: application/json\r\ncontent-length: 132\r\ndate: Thu, 01 Jan 2026 00:00:00 GMT\r\n\r\n{\"boot\":\"0123456789abcdef\",\"seq\":12345,\"running\":12,\"waiting\":0,\"capacity\":64,\"cached_tokens\":1234567,\"models\":[\"weir-large-1\"]}";
     exchange_bytes(request, response)
 }
 
-/// How often the owner of `engines` asks each of them for its load, as the router does.
+/// Time between two load polls of an engine by the owner of `engines` engines, as in
+/// the router.
 pub fn load_interval(engines: usize) -> Duration {
     let engines = u32::try_from(engines).unwrap_or(u32::MAX);
     MIN_LOAD_INTERVAL.max(LOAD_INTERVAL_PER_ENGINE.saturating_mul(engines))
 }
 
-/// Bytes a second that the owner of `engines` spends on load reports.
+/// Bytes per second of the load reports to the owner of `engines` engines.
 pub fn load_rate(engines: usize) -> f64 {
     (engines * load_bytes()) as f64 / load_interval(engines).as_secs_f64()
 }
 
-/// Bytes a second of load reports when every router asks every engine once a second.
+/// Bytes per second of load reports to a router that polls every engine once a second.
 pub fn poll_all_rate(engines: usize) -> f64 {
     (engines * load_bytes()) as f64
 }
 
-/// Bytes a second of asking for a host list that has not changed.
+/// Bytes per second of polling a host list that does not change.
 pub fn hosts_rate() -> f64 {
     let request =
         "GET /hosts HTTP/1.1\r\nhost: 10.0.0.1:7000\r\nif-none-match: \"0123456789abcdef\"\r\n\r\n";
@@ -127,7 +131,7 @@
 
 const BOOT: seal::Boot = seal::Boot(1);
 
-/// Lets the routers of a deployment talk, without requests.
+/// Simulates the membership protocol of a deployment without requests.
 pub fn measure(deployment: &Deployment, seed: u64) -> Traffic {
     let mut cluster = Cluster::new(deployment, seed);
     while let Some((now, event)) = cluster.queue.pop() {
@@ -321,7 +325,7 @@
         let payload = send
             .frame
             .encode()
-            .expect("the membership sends valid frames");
+            .expect("the membership sends encodable frames");
         let sealed = self.nodes[node].sealer.seal(&payload, send.audience);
         let bytes = sealed.len() + UDP_HEADER_BYTES;
         if self.is_counting() {
@@ -341,7 +345,8 @@
     }
 
     fn arrive(&mut self, node: usize, message: Message) {
-        let frame = heartbeat::Frame::decode(&message.payload).expect("it was encoded just now");
+        let frame =
+            heartbeat::Frame::decode(&message.payload).expect("a frame that the sender encoded");
         let sender = &self.nodes[message.from];
         let own = seal::Audience::Process(self.nodes[node].tag, BOOT);
         let received = Received {
--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -1,56 +1,56 @@
-//! The deployments that are measured.
+//! The deployments that the benchmarks simulate.
 
 use std::time;
 
 use crate::engine;
 
-/// The sizes and the traffic of one deployment.
+/// Size and traffic of one deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name in the figures.
+    /// Name in the figures.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Engines, spread evenly over the zones.
+    /// Number of engines, spread evenly over the zones.
     pub engines: usize,
-    /// Routers, spread evenly over the zones.
+    /// Number of routers, spread evenly over the zones.
     pub routers: usize,
-    /// Chats that are live at any time.
+    /// Number of concurrent chats.
     pub chats: usize,
-    /// The share of the traffic that each workspace has.
+    /// Relative share of the traffic of each workspace.
     pub workspaces: Vec<f64>,
-    /// Latency one way inside a zone.
+    /// One-way latency within a zone.
     pub zone_latency: time::Duration,
-    /// Latency one way between zones.
+    /// One-way latency between zones.
     pub cross_zone_latency: time::Duration,
-    /// The time over which the traffic rises at the start, in seconds.
+    /// Time over which the traffic rises at the start, in seconds.
     pub ramp: u64,
-    /// What the chats are like.
+    /// Parameters of the chats.
     pub chat: Chat,
-    /// What the engines are like.
+    /// Settings of the engines.
     pub engine: engine::Settings,
 }
 
-/// What the chats of a deployment are like.
+/// Parameters of the chats of a deployment.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// Median pause before a chat returns within minutes, in seconds.
+    /// Median of the short pauses between two turns, in seconds.
     pub pause: f64,
-    /// Mean pause of those that return later, in seconds.
+    /// Mean of the long pauses between two turns, in seconds.
     pub long_pause: f64,
-    /// The share of pauses that are long.
+    /// Share of the pauses that are long.
     pub long_share: f64,
-    /// Median tokens that a turn adds to the prompt.
+    /// Median number of tokens that a turn adds to the prompt.
     pub new_tokens: f64,
-    /// Median tokens that a turn puts out.
+    /// Median number of output tokens of a turn.
     pub output: f64,
-    /// Median tokens of a chat's first context.
+    /// Median number of tokens of a chat's initial context.
     pub context: f64,
-    /// The context at which a chat ends, in tokens.
+    /// Context length at which a chat ends, in tokens.
     pub max_context: u32,
 }
 
-/// Ten workspaces, a few large.
+/// Ten workspaces, of which a few have most of the traffic.
 fn few_large() -> Vec<f64> {
     vec![30.0, 22.0, 14.0, 10.0, 8.0, 6.0, 4.0, 3.0, 2.0, 1.0]
 }
@@ -108,7 +108,7 @@
     }
 }
 
-/// One availability zone of the size to design for.
+/// One availability zone of the planned maximum size.
 pub fn planned() -> Deployment {
     Deployment {
         name: "planned",
--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -1,8 +1,8 @@
-//! A small fake of a model engine in virtual time.
+//! Simulates a model engine in virtual time.
 //!
-//! Prefill is serial, decoding slows down with the batch, and the prefix cache
-//! is limited. After a start the engine is cold: it bears few requests, its
-//! prefill is slow, and it crashes when it gets far more than it bears.
+//! Prefill is serial, decoding slows down as the batch grows, and the prefix cache is
+//! limited. After a start the engine is cold: its safe load is low, its prefill is
+//! slow, and it crashes when it receives far more than its safe load.
 
 use std::{collections::BTreeMap, collections::VecDeque, time::Duration};
 
@@ -10,24 +10,26 @@
 
 use crate::cache::Cache;
 
-/// What an engine is like.
+/// Performance and limits of an engine.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// The most requests that it runs at once; more wait inside it.
+    /// Maximum number of requests that run at once; further ones wait inside the
+    /// engine.
     pub capacity: u32,
-    /// The tokens that its prefix cache holds.
+    /// Capacity of the prefix cache, in tokens.
     pub cache_tokens: u64,
-    /// The time that one prompt token takes that is not cached.
+    /// Prefill time of one uncached prompt token.
     pub prefill: Duration,
-    /// The time that one output token takes in a batch of one.
+    /// Decode time of one output token in a batch of one.
     pub decode: Duration,
-    /// The time from a start until it is warm.
+    /// Time from a start until the engine is warm.
     pub warm_up: Duration,
-    /// What it bears right after a start, in requests.
+    /// Safe load right after a start, in requests.
     pub cold_requests: u32,
-    /// How many times slower its prefill is right after a start.
+    /// Factor by which prefill is slower right after a start.
     pub cold_slowdown: f64,
-    /// It crashes when it got this many times what it bears since it turned cold.
+    /// The engine crashes once it has received more than this many times its safe load
+    /// while cold.
     pub crash_factor: u32,
 }
 
@@ -46,46 +48,46 @@
     }
 }
 
-/// One request as the engine gets it.
+/// One request as the engine receives it.
 #[derive(Clone, Copy, Debug)]
 pub struct Job {
     /// The attempt.
     pub attempt: request::Attempt,
     /// The chat.
     pub chat: chat::Key,
-    /// Tokens of the prompt.
+    /// Prompt tokens.
     pub prompt: u32,
-    /// Tokens to put out.
+    /// Output tokens to generate.
     pub output: u32,
 }
 
-/// A job that has begun to run.
+/// A job that has started to run.
 #[derive(Clone, Copy, Debug)]
 pub struct Run {
     /// The job.
     pub job: Job,
     /// Prompt tokens that were cached.
     pub cached: u32,
-    /// When it began.
+    /// When the engine started the job.
     pub begun_at: Instant,
-    /// When its first token is out.
+    /// When the engine produces the first token.
     pub first_token_at: Instant,
-    /// When it is done.
+    /// When the engine has produced the last token.
     pub done_at: Instant,
 }
 
-/// What an engine did with a job, or after one.
+/// Result of submitting a job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Submission {
-    /// It runs it.
+    /// The job is running.
     Running,
-    /// It waits inside the engine.
+    /// The job waits inside the engine.
     Waiting,
-    /// The engine is down, or fell over: these attempts are lost.
+    /// The engine is down or crashed from overload; these attempts are lost.
     Lost(Vec<request::Attempt>),
 }
 
-/// A fake engine.
+/// A simulated engine.
 #[derive(Clone, Debug)]
 pub struct Engine {
     settings: Settings,
@@ -117,42 +119,42 @@
         }
     }
 
-    /// Whether it takes connections.
+    /// Whether the engine accepts connections.
     pub fn is_up(&self) -> bool {
         self.up
     }
 
-    /// Which of its runs this is.
+    /// Number of starts, which identifies the current one.
     pub fn boot(&self) -> u64 {
         self.boot
     }
 
-    /// Requests that it runs.
+    /// Number of running requests.
     pub fn running(&self) -> u32 {
         self.running.len() as u32
     }
 
-    /// Requests that wait inside it.
+    /// Number of requests that wait inside the engine.
     pub fn waiting(&self) -> u32 {
         self.waiting.len() as u32
     }
 
-    /// Requests that it holds.
+    /// Number of running and waiting requests.
     pub fn load(&self) -> u32 {
         self.running() + self.waiting()
     }
 
-    /// The most requests that it runs at once.
+    /// Maximum number of requests that run at once.
     pub fn capacity(&self) -> u32 {
         self.settings.capacity
     }
 
-    /// Tokens in its cache.
+    /// Tokens in the prefix cache.
     pub fn cached_tokens(&self) -> u64 {
         self.cache.total_tokens()
     }
 
-    /// How warm it is, from zero to one.
+    /// Progress of the warm-up, from zero to one.
     fn warm_fraction(&self, now: Instant) -> f64 {
         if !self.cold {
             return 1.0;
@@ -161,19 +163,21 @@
         (age / self.settings.warm_up.as_secs_f64()).min(1.0)
     }
 
-    /// Whether it is still cold.
+    /// Whether the engine is still warming up.
     pub fn is_cold(&self, now: Instant) -> bool {
         self.warm_fraction(now) < 1.0
     }
 
-    /// How many requests it bears.
+    /// Number of requests that the engine can hold at its current warm-up without
+    /// overload.
     pub fn safe_load(&self, now: Instant) -> u32 {
         let cold = f64::from(self.settings.cold_requests);
         let full = f64::from(self.settings.capacity);
         (cold + (full - cold) * self.warm_fraction(now).powi(2)) as u32
     }
 
-    /// Takes a job.
+    /// Submits a job. A cold engine crashes if it has received too many jobs since it
+    /// turned cold.
     pub fn submit(&mut self, job: Job, now: Instant) -> Submission {
         if !self.up {
             return Submission::Lost(vec![job.attempt]);
@@ -193,19 +197,19 @@
         }
     }
 
-    /// Requests that it was given since it turned cold.
+    /// Number of jobs received since the engine turned cold.
     fn received_while_cold(&self) -> u32 {
         let begun = self.running.values();
         let begun = begun.filter(|run| run.begun_at >= self.started_at).count();
         begun as u32 + self.waiting()
     }
 
-    /// The run of an attempt.
+    /// The running job of an attempt, if any.
     pub fn run(&self, attempt: request::Attempt) -> Option<Run> {
         self.running.get(&attempt).copied()
     }
 
-    /// Ends a run. Returns the jobs that began to run in its place.
+    /// Ends a running job. Returns the jobs that start in its place.
     pub fn finish(&mut self, attempt: request::Attempt, now: Instant) -> Vec<Run> {
         let Some(run) = self.running.remove(&attempt) else {
             return Vec::new();
@@ -216,7 +220,7 @@
         self.start_waiting(now)
     }
 
-    /// Stops it. All that it held is lost.
+    /// Stops the engine. Returns the attempts that it held, which are lost.
     pub fn crash(&mut self) -> Vec<request::Attempt> {
         self.up = false;
         let running = std::mem::take(&mut self.running);
@@ -228,13 +232,13 @@
             .collect()
     }
 
-    /// Starts it again, cold.
+    /// Starts the engine again, cold.
     pub fn start(&mut self, now: Instant) {
         self.up = true;
         self.turn_cold(now);
     }
 
-    /// Turns it cold without a warning; what it runs goes on.
+    /// Makes the engine cold without a restart notice; its running jobs continue.
     pub fn turn_cold(&mut self, now: Instant) {
         self.boot += 1;
         self.cold = true;
@@ -244,7 +248,7 @@
         self.evicted.clear();
     }
 
-    /// The chats evicted since the last call.
+    /// Returns the chats evicted from the cache since the last call.
     pub fn take_evicted(&mut self) -> Vec<chat::Key> {
         std::mem::take(&mut self.evicted)
     }
--- a/crates/bench/src/figure.rs
+++ b/crates/bench/src/figure.rs
@@ -1,4 +1,4 @@
-//! The figures of a run and their form.
+//! The figures that a benchmark reports, and their output format.
 
 use std::fmt;
 
@@ -7,17 +7,17 @@
 /// One figure.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Figure {
-    /// What is measured.
+    /// Name of the measure.
     pub measure: &'static str,
-    /// In which deployment.
+    /// Name of the deployment.
     pub deployment: &'static str,
-    /// With which policy.
+    /// The policy that was measured.
     pub policy: policy::Name,
     /// The value.
     pub value: f64,
-    /// Its unit.
+    /// Unit of the value.
     pub unit: &'static str,
-    /// The seed of the run.
+    /// Seed of the run.
     pub seed: u64,
 }
 
--- a/crates/bench/src/lib.rs
+++ b/crates/bench/src/lib.rs
@@ -1,8 +1,8 @@
 //! Decision benchmarks in virtual time.
 //!
-//! Small fakes of engines stand around the real decision libraries, and a
-//! queue of events takes the place of clocks and sockets. Every policy gets
-//! the same requests and the same faults, drawn from one seed.
+//! Simulated engines are driven by the real decision libraries, and an event queue
+//! replaces clocks and sockets. Every policy receives the same requests and the same
+//! faults, drawn from one seed.
 
 pub mod bounds;
 pub mod cache;
--- a/crates/bench/src/main.rs
+++ b/crates/bench/src/main.rs
@@ -1,4 +1,4 @@
-//! Starts `weir-bench`.
+//! The `weir-bench` command.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -9,31 +9,32 @@
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
-    /// Shorter stretches and fewer policies
+    /// Shorter periods and fewer policies
     #[bpaf(switch)]
     quick: bool,
-    /// The seed of all draws
+    /// Seed of all random draws
     #[bpaf(argument("NUMBER"), fallback(1))]
     seed: u64,
-    /// Only this deployment: lankaclean, dagbog or planned
+    /// Run only this deployment: lankaclean, dagbog or planned
     #[bpaf(argument("NAME"), optional)]
     deployment: Option<String>,
-    /// Only measures whose scenario has this name: steady, churn, zone, cold, surge, failing or control
+    /// Run only this scenario: steady, churn, zone, cold, surge, failing or control
     #[bpaf(argument("NAME"), optional)]
     scenario: Option<String>,
-    /// Another `headroom` of placement
+    /// Override the placement setting `headroom`
     #[bpaf(argument("SHARE"), optional)]
     headroom: Option<f64>,
-    /// Another `patience` of placement, in milliseconds
+    /// Override the queue timeout of placement on servers with a cached prefix, in
+    /// milliseconds
     #[bpaf(argument("NUMBER"), optional)]
     patience_ms: Option<u64>,
-    /// Another number of servers that are asked and offered
+    /// Override the maximum number of candidate servers of placement
     #[bpaf(argument("NUMBER"), optional)]
     tries: Option<usize>,
-    /// How many topologies are kept for earlier homes
+    /// Number of past topologies considered for cached prefixes
     #[bpaf(argument("NUMBER"), optional)]
     topologies: Option<usize>,
-    /// Fails when a figure is beyond the bounds in this file
+    /// Fail when a figure is beyond the bounds in this file
     #[bpaf(argument("FILE"), optional)]
     bounds: Option<PathBuf>,
 }
--- a/crates/bench/src/measure.rs
+++ b/crates/bench/src/measure.rs
@@ -1,4 +1,4 @@
-//! What is computed from the counts of a run.
+//! Computes figures from the statistics of a run.
 
 use std::ops::Range;
 
@@ -10,10 +10,10 @@
     workload::Arrival,
 };
 
-/// The mean load from which on a sample counts.
+/// Minimum mean load for a sample to be used.
 const MIN_MEAN_LOAD: f64 = 4.0;
 
-/// A stretch of time.
+/// A period of virtual time.
 pub type Window = Range<Instant>;
 
 /// The records of the requests that arrived within `window`.
@@ -28,7 +28,7 @@
         .filter(|(arrival, _)| window.contains(&arrival.at))
 }
 
-/// Cached prompt tokens over what the oracle reuses.
+/// Ratio of the cached prompt tokens of served requests to those of the oracle.
 pub fn reuse(case: &Case, stats: &Stats, window: &Window) -> f64 {
     let mut reused = 0;
     let mut possible = 0;
@@ -44,12 +44,12 @@
     ratio(reused, possible)
 }
 
-/// The largest load of an engine over the mean, in any sample that counts.
+/// The highest ratio of an engine's load to the mean in any sample used.
 pub fn skew_max(stats: &Stats, window: &Window) -> f64 {
     skews(stats, window).fold(0.0, f64::max)
 }
 
-/// The share of samples with an engine over `bound` times the mean.
+/// The share of samples in which an engine exceeds `bound` times the mean.
 pub fn skew_over(stats: &Stats, window: &Window, bound: f64) -> f64 {
     let over = skews(stats, window).filter(|skew| *skew > bound + 1e-9);
     ratio(over.count() as u64, skews(stats, window).count() as u64)
@@ -63,7 +63,7 @@
         .map(|sample| sample.skew())
 }
 
-/// The mean of the samples' mean loads.
+/// The average of the samples' mean loads.
 pub fn mean_load(stats: &Stats, window: &Window) -> f64 {
     let means = stats
         .samples
@@ -74,20 +74,20 @@
     sum / f64::from(count.max(1))
 }
 
-/// The share of requests that ended as `end`.
+/// The share of requests with this status.
 pub fn share(case: &Case, stats: &Stats, window: &Window, status: Status) -> f64 {
     let all = requests_in(case, stats, window).count();
     let ended = requests_in(case, stats, window).filter(|(_, record)| record.status == status);
     ratio(ended.count() as u64, all as u64)
 }
 
-/// How many requests ended as `end`.
+/// The number of requests with this status.
 pub fn count(case: &Case, stats: &Stats, window: &Window, status: Status) -> u64 {
     let ended = requests_in(case, stats, window).filter(|(_, record)| record.status == status);
     ended.count() as u64
 }
 
-/// Messages for each request before it ran.
+/// The mean number of messages per request before it started on an engine.
 pub fn hops(case: &Case, stats: &Stats, window: &Window) -> f64 {
     let hops: u64 = requests_in(case, stats, window)
         .map(|(_, record)| u64::from(record.hops))
@@ -95,7 +95,8 @@
     ratio(hops, requests_in(case, stats, window).count() as u64)
 }
 
-/// The time from arrival to the engine of the served requests at `quantile`, in milliseconds.
+/// The time from the arrival of served requests at their entry router until they reach
+/// the engine, at `quantile`, in milliseconds.
 pub fn added_ms(case: &Case, stats: &Stats, window: &Window, quantile: f64) -> f64 {
     let served =
         requests_in(case, stats, window).filter(|(_, record)| record.status == Status::Served);
@@ -106,7 +107,8 @@
     )
 }
 
-/// The time from arrival to the first token of the served requests at `quantile`, in milliseconds.
+/// The time from the arrival of served requests to the first token at `quantile`, in
+/// milliseconds.
 pub fn first_token_ms(case: &Case, stats: &Stats, window: &Window, quantile: f64) -> f64 {
     let served =
         requests_in(case, stats, window).filter(|(_, record)| record.status == Status::Served);
@@ -117,14 +119,14 @@
     )
 }
 
-/// The value below which the share `quantile` of `values` lies.
+/// The value at `quantile` of `values`.
 pub fn quantile_value(mut values: Vec<f64>, quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = (values.len().saturating_sub(1) as f64 * quantile) as usize;
     values.get(rank).copied().unwrap_or(0.0)
 }
 
-/// `part` over `whole`, one when there is nothing.
+/// `part` over `whole`, or one if `whole` is zero.
 pub fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 1.0;
--- a/crates/bench/src/oracle.rs
+++ b/crates/bench/src/oracle.rs
@@ -1,4 +1,4 @@
-//! The most that any policy could reuse with the same cache memory.
+//! An upper bound for the cache hits of any policy with the same cache memory.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -11,11 +11,11 @@
     workload::Arrival,
 };
 
-/// One cache with the memory of all usable engines together.
+/// One cache with the combined memory of all usable engines.
 ///
-/// Each chat lies on one engine, so that the oracle loses what no policy could
-/// keep: what lay on an engine that restarts, and for as long as a zone is out
-/// its memory and what lies there.
+/// Each chat is assigned to one engine, so that the oracle loses what every policy must
+/// lose: the chats of an engine that restarts, and, while a zone is out of service, the
+/// memory of its engines and their chats.
 #[derive(Debug)]
 struct Oracle<'a> {
     deployment: &'a Deployment,
@@ -23,18 +23,18 @@
     places: HashMap<chat::Key, Place>,
     boots: Vec<u32>,
     usable: Vec<bool>,
-    /// What lies on engines that are out.
+    /// Cached tokens of the chats on engines of excluded zones.
     excluded: BTreeMap<chat::Key, u32>,
 }
 
-/// Where a chat lies.
+/// The engine that a chat is assigned to, and the boot at that time.
 #[derive(Clone, Copy, Debug)]
 struct Place {
     engine: usize,
     boot: u32,
 }
 
-/// For each request, the prompt tokens that the oracle has cached when it arrives.
+/// For each request, the number of prompt tokens that the oracle has cached on arrival.
 pub fn cached(deployment: &Deployment, arrivals: &[Arrival], script: &Script) -> Vec<u32> {
     let mut oracle = Oracle {
         cache: Cache::new(deployment.engine.cache_tokens * deployment.engines as u64),
--- a/crates/bench/src/policy.rs
+++ b/crates/bench/src/policy.rs
@@ -1,4 +1,4 @@
-//! Ways to place requests, side by side.
+//! The placement policies that the benchmarks compare.
 
 pub mod choice;
 pub mod direct;
@@ -7,25 +7,26 @@
 
 use std::fmt;
 
-/// The policies by the names that the figures give them.
+/// A policy, displayed under the name that the figures use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Name {
-    /// Entry, owner, engine: the product's policy.
+    /// The entry router offers the request to the owner of an engine, which admits it.
     Chosen,
-    /// Entry routers that decide with the gateway's pool.
+    /// The entry router decides with the gateway's pool.
     Entry,
-    /// Any engine.
+    /// A random engine.
     Random,
-    /// The less loaded of any two, by lagging reports.
+    /// The less loaded of two random engines, by delayed load reports.
     TwoChoices,
-    /// The chat's hash modulo the number of engines.
+    /// The hash of the chat modulo the number of engines.
     Modulo,
-    /// The chat's rendezvous order, bounded by the router's own requests.
+    /// The rendezvous order of the chat, with a load bound computed from the router's
+    /// own requests.
     RendezvousLocal,
 }
 
 impl Name {
-    /// All of them.
+    /// All policies.
     pub const ALL: [Self; 6] = [
         Self::Chosen,
         Self::Entry,
--- a/crates/bench/src/policy/choice.rs
+++ b/crates/bench/src/policy/choice.rs
@@ -1,28 +1,30 @@
-//! How an entry router that decides alone chooses an engine.
+//! Rules by which an entry router chooses an engine without other routers.
 
 use placement::{Bound, Topology, TotalLoad};
 use units::chat;
 
 use crate::random::Random;
 
-/// The most engines that a chat's rendezvous order is computed for.
+/// Maximum number of engines ranked in the rendezvous order of a chat.
 const MAX_RANKED: usize = 8;
 
-/// What a router knows when it chooses.
+/// What a router knows when it chooses an engine.
 #[derive(Debug)]
 pub struct View<'a> {
-    /// The topology that it knows.
+    /// The topology that the router has applied.
     pub topology: &'a Topology,
-    /// Its requests in flight on each engine, in the order of the engines' names.
+    /// The router's requests in flight on each engine, in the order of the engines'
+    /// names.
     pub in_flight: &'a [u32],
-    /// The load that each engine last reported to it.
+    /// The last load report of each engine.
     pub reported: &'a [u32],
-    /// Engines that have refused this request.
+    /// Engines to skip: already tried for this request, or avoided after a refused
+    /// connection.
     pub tried: &'a [usize],
 }
 
 impl View<'_> {
-    /// The engines that may be chosen, by index.
+    /// Indices of the eligible engines that are not to be skipped.
     fn eligible(&self) -> Vec<usize> {
         let members = self.topology.members().iter().enumerate();
         members
@@ -33,13 +35,13 @@
     }
 }
 
-/// A rule by which an engine is chosen.
+/// A rule that chooses an engine.
 pub trait Choice {
-    /// The engine for a request of `chat`, by index.
+    /// The index of the engine for a request of `chat`, if any is eligible.
     fn choose(&self, view: &View<'_>, chat: chat::Key, random: &mut Random) -> Option<usize>;
 }
 
-/// Any engine.
+/// A random engine.
 #[derive(Clone, Copy, Debug)]
 pub struct Any;
 
@@ -50,7 +52,7 @@
     }
 }
 
-/// The less loaded of any two, by lagging reports.
+/// The less loaded of two random engines, by delayed load reports.
 #[derive(Clone, Copy, Debug)]
 pub struct TwoChoices;
 
@@ -68,7 +70,7 @@
     }
 }
 
-/// The chat's hash modulo the number of engines.
+/// The hash of the chat modulo the number of engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Modulo;
 
@@ -82,7 +84,8 @@
     }
 }
 
-/// The chat's rendezvous order, bounded by the router's own requests in flight.
+/// The rendezvous order of the chat, with a load bound computed from the router's own
+/// requests in flight.
 #[derive(Clone, Debug, Default)]
 pub struct RendezvousLocal {
     bound: Bound,
--- a/crates/bench/src/policy/direct.rs
+++ b/crates/bench/src/policy/direct.rs
@@ -1,4 +1,4 @@
-//! Entry routers that decide alone and send to the engines themselves.
+//! Entry routers that send requests directly to engines, without coordination.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -12,31 +12,31 @@
     stats::Status,
 };
 
-/// How often each router asks each engine for its load.
+/// Time between two load polls.
 const REPORT_INTERVAL: Duration = Duration::from_secs(1);
-/// How old a report is when it arrives.
+/// Age of a load report on arrival.
 const REPORT_DELAY: Duration = Duration::from_millis(500);
-/// The most engines that a request is sent to.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS: usize = 4;
-/// How long a router avoids an engine that refused its connection.
+/// How long a router avoids an engine that refused a connection.
 const AVOID_DURATION: Duration = Duration::from_secs(3);
 
-/// Events of routers that decide alone.
+/// Events of the uncoordinated routers.
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
-    /// The engines are asked for their load.
+    /// The loads of the engines are read.
     PollLoad,
-    /// Their answers arrive.
+    /// The load reports reach the routers.
     ApplyReports,
-    /// The news that an attempt failed reaches the router.
+    /// The failure of an attempt reaches the router: request and engine.
     Failed(usize, usize),
 }
 
-/// Routers that decide alone, by the rule `C`.
+/// Uncoordinated routers that choose engines by the rule `C`.
 #[derive(Debug)]
 pub struct Direct<C> {
     choice: C,
-    /// Own requests by router and engine.
+    /// Requests in flight by router and engine.
     in_flight: Vec<Vec<u32>>,
     pending_reports: Vec<u32>,
     reported: Vec<u32>,
@@ -45,7 +45,7 @@
 }
 
 impl<C: Choice> Direct<C> {
-    /// Routers without requests.
+    /// Creates routers without requests.
     pub fn new(choice: C, routers: usize, engines: usize) -> Self {
         Self {
             choice,
--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -1,4 +1,5 @@
-//! Entry routers that decide with [`gateway::queue::Queue`] and tell each other their loads.
+//! Entry routers that decide with [`gateway::queue::Queue`] and exchange their
+//! loads.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -19,13 +20,13 @@
     stats::Status,
 };
 
-/// How often a router tells the others of its requests in flight.
+/// Time between two exchanges of the requests in flight.
 const GOSSIP_INTERVAL: Duration = Duration::from_millis(200);
-/// How long a request waits for a place: half of what callers wait for an answer.
+/// Maximum time that a request is queued: half of the callers' timeout for a response.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(30);
-/// The most engines that a request is sent to.
+/// Maximum number of engines that a request is sent to.
 const MAX_ATTEMPTS: usize = 4;
-/// What the bound of the deployments that are measured against allows.
+/// Load and retry limits of the measured deployments.
 const BOUNDS: Bounds = Bounds {
     load_multiple: 2.0,
     cold_multiple: 1.5,
@@ -37,20 +38,20 @@
     },
 };
 
-/// Events of such routers.
+/// Events of the entry routers.
 #[derive(Clone, Debug)]
 pub enum Event {
-    /// Routers tell each other what they have in flight.
+    /// Every router sends its requests in flight to the others.
     SendLoads,
-    /// What all routers told reaches the others, by router and engine.
+    /// The requests in flight of all routers, by router and engine, reach the others.
     ReceiveLoads(Vec<Vec<u32>>),
-    /// A request is placed again.
+    /// A request is placed again after a failed attempt.
     Retry(usize),
-    /// A router looks at the requests that wait.
+    /// A router checks its queued requests.
     Wake(usize),
 }
 
-/// A request at an engine.
+/// An attempt in flight on an engine.
 #[derive(Clone, Debug)]
 struct Sent {
     router: usize,
@@ -59,7 +60,7 @@
     sent_at: Instant,
 }
 
-/// Routers that decide with a pool of their own.
+/// Entry routers, each with its own pool.
 #[derive(Debug)]
 pub struct Entry {
     queues: Vec<Queue>,
@@ -72,7 +73,7 @@
 }
 
 impl Entry {
-    /// Routers without requests.
+    /// Creates routers without requests.
     pub fn new(core: &Core<Event>) -> Self {
         let routers = core.deployment.routers;
         let engines = core.deployment.engines;
@@ -155,7 +156,7 @@
         self.send(core, request, router, engine, place.uncached, now);
     }
 
-    /// Gives places that came free to those that wait at a router.
+    /// Places queued requests of a router for which capacity became free.
     fn dequeue_requests(&mut self, core: &mut Core<Event>, router: usize, now: Instant) {
         for (attempt, result) in self.queues[router].dequeue(&self.fleets[router], now) {
             let request = attempt.0 as usize;
@@ -221,16 +222,17 @@
         let name = &core.names[sent.engine];
         let workspace = usize::from(core.arrivals[request].workspace);
         let workspace = &self.workspaces[workspace];
-        // Only the change of a server's standing is told, which nobody needs here.
+        // The result reports only a change of the server's health, which the simulation
+        // does not use.
         let _ = self.queues[sent.router].ended(name, workspace, outcome, now);
         self.dequeue_requests(core, sent.router, now);
     }
 }
 
-/// What a token put out costs, in tokens read.
+/// Cost of an output token, in prompt tokens.
 const OUTPUT_TOKEN_COST: u64 = 20;
-/// Requests a second that a cold engine of the bench bears: its limit of four
-/// requests that take about half a second each.
+/// Requests per second that a cold simulated engine can serve: its limit of four
+/// requests at about half a second each.
 const COLD_REQUESTS_PER_S: f64 = 8.0;
 
 fn zone(index: usize) -> availability::Zone {
--- a/crates/bench/src/policy/owned.rs
+++ b/crates/bench/src/policy/owned.rs
@@ -1,8 +1,7 @@
-//! Entry, owner, engine: the product's policy.
+//! The product's policy: entry router, owner, engine.
 //!
-//! The entry router follows its [`placement::Plan`]; the owner of the engine
-//! decides with [`admission::Server`], [`placement::Bound`] and
-//! [`placement::CacheIndex`].
+//! The entry router follows its [`placement::Plan`]; the owner of the engine decides
+//! with [`admission::Server`], [`placement::Bound`] and [`placement::CacheIndex`].
 
 mod offer;
 mod owner;
@@ -22,11 +21,11 @@
     simulation::{Core, Failure, Policy},
 };
 
-/// How often an owner lets time pass in its admission.
+/// Time between two ticks of an owner's admission.
 const TICK_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a caller waits for its whole answer.
+/// Callers' timeout for the complete response.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long an owner keeps away from an engine that refused its connection.
+/// How long an owner avoids an engine that refused a connection.
 const AVOID_DURATION: Duration = Duration::from_secs(1);
 
 /// Events of the product's policy.
@@ -34,32 +33,32 @@
 pub enum Event {
     /// An offer reaches the owner of an engine.
     Offer(usize, plan::Candidate),
-    /// The news that an offer was turned down reaches the entry.
+    /// A declined offer is reported to the entry router.
     Declined(usize),
-    /// An attempt has waited long enough.
+    /// The queue timeout of an attempt expires.
     QueueTimeout(request::Attempt, usize),
     /// The first token of an attempt reaches the owner.
     FirstToken(request::Attempt, usize),
-    /// An engine's load and cache events are read.
+    /// The load and the cache events of an engine are read.
     PollLoad(usize),
-    /// The answer reaches the owner.
+    /// The load report and the cache events reach the owner.
     LoadReport(usize, admission::Report, Vec<CacheEvent>),
-    /// Time passes in the admission of an engine.
+    /// The admission of an engine is ticked.
     Tick(usize),
-    /// A router tells the others of the load of its engines.
+    /// A router sends the load of its engines to the others.
     Heartbeat(usize),
-    /// A router hears of the load of another one's engines, as it was at an instant.
+    /// A router receives the load of another router's engines: receiver, sender, load.
     ReceiveLoad(usize, usize, PeerLoad),
 }
 
-/// What a router told of its engines.
+/// The load of the engines of one router, as of an instant.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerLoad {
     total: TotalLoad,
     at: Instant,
 }
 
-/// A cache event with its number.
+/// A cache event with its sequence number.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheEvent {
     number: u64,
@@ -67,7 +66,7 @@
     event: cache::Event,
 }
 
-/// What the owner of one engine keeps.
+/// State that the owner of an engine keeps.
 #[derive(Debug)]
 struct Owned {
     owner: usize,
@@ -78,40 +77,40 @@
     last_event_number: u64,
     pending: Vec<CacheEvent>,
     avoided_until: Instant,
-    /// The run of the engine that was last noticed to be cold.
+    /// The boot for which the owner last detected that the engine is cold.
     detected_boot: u64,
-    /// The run that the engine last reported.
+    /// The boot that the engine last reported.
     boot: u64,
-    /// What was known when it was closed, while it is.
+    /// State saved when the engine was closed; `None` while it is open.
     closed: Option<Closed>,
 }
 
-/// What was known of an engine when it was closed.
+/// State of an engine saved when it was closed.
 #[derive(Clone, Copy, Debug)]
 struct Closed {
     handover: admission::Handover,
     boot: u64,
 }
 
-/// What one router keeps.
+/// State of one router.
 #[derive(Debug)]
 struct Router {
     history: History,
-    /// The loads that it heard of, by router.
+    /// The last load received from each router.
     peer_loads: Vec<PeerLoad>,
     budget: RetryBudget,
     outlier_detector: OutlierDetector,
     engines: Vec<usize>,
 }
 
-/// What differs between variants of the policy.
+/// Settings of the policy.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Placement.
+    /// Settings of placement.
     pub placement: placement::Settings,
-    /// Admission.
+    /// Settings of admission.
     pub admission: admission::Settings,
-    /// Retries and ejection.
+    /// Settings of retries and outlier detection.
     pub recovery: recovery::Settings,
 }
 
@@ -123,17 +122,17 @@
     owned: Vec<Owned>,
     routers: Vec<Router>,
     plans: BTreeMap<usize, Plan>,
-    /// The engines that have failed a request.
+    /// The engines that have failed each request.
     failures: BTreeMap<usize, Vec<usize>>,
-    /// Attempts that were offered and have not ended, with their engines.
+    /// The engine of each attempt that was offered and has not ended.
     offered: BTreeMap<request::Attempt, usize>,
-    /// Those of them that were sent to their engine.
+    /// The offered attempts that were sent to their engine.
     sent: BTreeSet<request::Attempt>,
     workspaces: Vec<workspace::Id>,
 }
 
 impl Chosen {
-    /// Owners without requests.
+    /// Creates routers and owners without requests.
     pub fn new(core: &Core<Event>, settings: Settings) -> Self {
         let owners = owners(core);
         let owned = owners.iter().map(|owner| Owned {
@@ -177,7 +176,7 @@
     }
 }
 
-/// The engines that may get work.
+/// The engines eligible for new requests, with their zones.
 fn pool(topology: &Topology) -> Vec<(backend::Server, availability::Zone)> {
     let members = topology.eligible();
     members
@@ -191,7 +190,7 @@
     outlier_detector
 }
 
-/// The owner of each engine.
+/// The index of the owner of each engine.
 fn owners(core: &Core<Event>) -> Vec<usize> {
     let zone = |zone: usize| {
         format!("zone-{zone}")
@@ -209,7 +208,7 @@
             let zone = zone(core.engine_zone(engine));
             let candidates = routers.iter().map(|(host, zone)| (host, zone));
             let owner = fleet::owner(&core.names[engine], &zone, candidates);
-            let owner = owner.expect("there are routers");
+            let owner = owner.expect("at least one router");
             let position = routers.iter().position(|(host, _)| host == owner);
             position.expect("the owner is one of the routers")
         })
--- a/crates/bench/src/policy/owned/offer.rs
+++ b/crates/bench/src/policy/owned/offer.rs
@@ -1,4 +1,4 @@
-//! The way of one request: offers, answers, attempts.
+//! Handling of one request: offers, decisions and attempts.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use super::{Chosen, Event, REQUEST_TIMEOUT};
 use crate::{simulation::Core, stats::Status};
 
-/// The output that an owner expects of any request, in tokens.
+/// Output tokens that an owner expects of every request.
 const EXPECTED_OUTPUT: u32 = 150;
 
 impl Chosen {
@@ -88,7 +88,7 @@
         }
     }
 
-    /// What the owner of an engine answers to an offer.
+    /// The owner's decision on an offer.
     fn decide_offer(
         &self,
         core: &Core<Event>,
@@ -117,7 +117,8 @@
         offer.decide(&self.settings.placement, &self.bound, now)
     }
 
-    /// The wait of an attempt is over: if it still waits, it goes elsewhere.
+    /// Handles an expired queue timeout: an attempt that is still queued is cancelled
+    /// and declined, so that the entry offers it to the next engine.
     pub(super) fn queue_timed_out(
         &mut self,
         core: &mut Core<Event>,
--- a/crates/bench/src/policy/owned/owner.rs
+++ b/crates/bench/src/policy/owned/owner.rs
@@ -1,4 +1,4 @@
-//! What owners learn and tell: loads, reports, cache events.
+//! State of the owners: loads, load reports and cache events.
 
 use std::time::Duration;
 
@@ -8,17 +8,18 @@
 use super::{CacheEvent, Chosen, Closed, Event, PeerLoad};
 use crate::{control, simulation::Core};
 
-/// How old a report is when it arrives.
+/// Age of a load report on arrival.
 const REPORT_DELAY: Duration = Duration::from_millis(500);
-/// How often a router tells the others of its load.
+/// Time between two heartbeats of a router.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(1);
-/// How long the load of a router takes to all others, at most, in seconds.
+/// Maximum delay of a heartbeat, in seconds.
 const MAX_HEARTBEAT_DELAY_S: f64 = 1.0;
-/// The chance that a batch of cache events is lost.
+/// Probability that a batch of cache events is lost.
 const EVENT_LOSS_PROBABILITY: f64 = 0.01;
 
 impl Chosen {
-    /// Tells `to` the load of the engines that `from` owns, with a message of a request.
+    /// Sends the load of the engines that `from` owns to `to`, along with a message
+    /// about a request.
     pub(super) fn send_load(
         &mut self,
         core: &mut Core<Event>,
@@ -37,7 +38,7 @@
         );
     }
 
-    /// The load of the pool as `router` knows it.
+    /// The total load of the pool as known to `router`.
     pub(super) fn total_load(&self, router: usize) -> TotalLoad {
         let peer_loads = self.routers[router].peer_loads.iter().enumerate();
         let others = peer_loads.filter(|(other, _)| *other != router);
@@ -45,8 +46,8 @@
         others + self.owned_load(router, others.mean())
     }
 
-    /// Takes note of what another router told. A heartbeat may arrive after an
-    /// answer that was sent later.
+    /// Records the load that another router sent, unless a newer one is recorded. A
+    /// heartbeat may arrive after a response that was sent later.
     pub(super) fn record_peer_load(&mut self, router: usize, from: usize, peer_load: PeerLoad) {
         let stored = &mut self.routers[router].peer_loads[from];
         if stored.at <= peer_load.at {
@@ -146,7 +147,7 @@
         self.apply_actions(core, engine, actions, now);
     }
 
-    /// Admits nothing to an engine any more.
+    /// Stops admission to an engine.
     pub(super) fn close(&mut self, engine: usize) -> admission::Actions {
         let owned = &mut self.owned[engine];
         if owned.closed.is_none() {
@@ -158,12 +159,12 @@
         owned.admission.stop()
     }
 
-    /// Admits to an engine again.
+    /// Resumes admission to an engine.
     ///
-    /// An engine that has not restarted since is as warm as it was, so the limit
-    /// that was learned still holds. Started from one instead, the engines of a
-    /// zone that comes back would stay far below the mean for half a minute,
-    /// and the others above the bound.
+    /// If the engine has not restarted, it is as warm as before and the learned limit
+    /// is restored. With an initial limit of one, the engines of a zone that returns to
+    /// service would stay far below the mean load for half a minute, and the others
+    /// above the bound.
     pub(super) fn open(&mut self, engine: usize, now: Instant) -> admission::Actions {
         let owned = &mut self.owned[engine];
         let Some(closed) = owned.closed.take() else {
@@ -180,7 +181,7 @@
         actions
     }
 
-    /// Notes when the owner first gives a cold engine no more than it bears.
+    /// Records when the owner first limits a cold engine to its safe load.
     pub(super) fn record_cold_detection(
         &mut self,
         core: &mut Core<Event>,
--- a/crates/bench/src/queue.rs
+++ b/crates/bench/src/queue.rs
@@ -1,4 +1,4 @@
-//! Events in the order of virtual time.
+//! A queue of events ordered by virtual time.
 
 use std::{cmp, collections::BinaryHeap};
 
@@ -27,12 +27,13 @@
 
 impl<E> Ord for Entry<E> {
     fn cmp(&self, other: &Self) -> cmp::Ordering {
-        // The heap gives the greatest first, and the earliest is wanted.
+        // Reversed, because `BinaryHeap` pops the greatest entry and the earliest is
+        // needed.
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// A queue of events. Events at the same instant come in the order of their entry.
+/// A queue of events. Events at the same instant are popped in insertion order.
 #[derive(Debug)]
 pub struct Queue<E> {
     heap: BinaryHeap<Entry<E>>,
@@ -49,7 +50,7 @@
 }
 
 impl<E> Queue<E> {
-    /// Enters an event.
+    /// Inserts an event.
     pub fn push(&mut self, at: Instant, event: E) {
         self.entered += 1;
         self.heap.push(Entry {
@@ -59,7 +60,7 @@
         });
     }
 
-    /// The next event.
+    /// Removes and returns the earliest event.
     pub fn pop(&mut self) -> Option<(Instant, E)> {
         self.heap.pop().map(|entry| (entry.at, entry.event))
     }
--- a/crates/bench/src/random.rs
+++ b/crates/bench/src/random.rs
@@ -1,37 +1,37 @@
-//! Random draws from a seed.
+//! Seeded random draws.
 
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-/// A stream of random draws, the same for the same seed.
+/// A deterministic stream of random draws.
 #[derive(Clone, Debug)]
 pub struct Random(ChaCha8Rng);
 
 impl Random {
-    /// The stream of `seed`. Streams with different `purpose` are independent,
-    /// so that a scenario that draws more from one leaves the others alike.
+    /// The stream for `seed` and `purpose`. Streams with different purposes are
+    /// independent, so that additional draws from one do not change the others.
     pub fn new(seed: u64, purpose: u64) -> Self {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(purpose);
         Self(rng)
     }
 
-    /// A whole number below `end`.
+    /// A uniform integer below `end`.
     pub fn below(&mut self, end: usize) -> usize {
         self.0.random_range(0..end.max(1))
     }
 
-    /// A hash.
+    /// A uniform 64-bit value.
     pub fn hash(&mut self) -> u64 {
         self.0.random()
     }
 
-    /// A number between zero and one.
+    /// A uniform number between zero and one.
     pub fn unit(&mut self) -> f64 {
         self.0.random()
     }
 
-    /// Whether something with this probability happens.
+    /// Returns true with the given probability.
     pub fn chance(&mut self, probability: f64) -> bool {
         self.unit() < probability
     }
@@ -48,7 +48,7 @@
         median * (sigma * radius * angle.cos()).exp()
     }
 
-    /// An index drawn with these weights.
+    /// An index drawn with the given weights.
     pub fn weighted(&mut self, weights: &[f64]) -> usize {
         let mut rest = self.unit() * weights.iter().sum::<f64>();
         for (index, weight) in weights.iter().enumerate() {
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one policy.
+//! Runs one policy on one case.
 
 use units::time::Instant;
 
@@ -18,29 +18,29 @@
     workload::{self, Arrival},
 };
 
-/// The requests and faults that every policy gets.
+/// The requests and faults that every policy is measured with.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// What is measured.
+    /// The deployment to simulate.
     pub deployment: Deployment,
     /// The requests.
     pub arrivals: Vec<Arrival>,
-    /// What an oracle would reuse of each.
+    /// Prompt tokens of each request that the oracle would have cached.
     pub oracle: Vec<u32>,
-    /// The faults.
+    /// Faults and operator changes.
     pub script: Script,
-    /// The settings of placement for the product's policy.
+    /// Placement settings of the `chosen` policy.
     pub placement: placement::Settings,
     /// How long each router takes to apply a revision, in seconds.
     pub apply_delays: Vec<f64>,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// When it ends.
+    /// When the run ends.
     pub until: Instant,
 }
 
 impl Case {
-    /// Draws the requests.
+    /// Draws the requests and computes the cache hits of the oracle.
     pub fn new(
         deployment: Deployment,
         plan: &workload::Plan,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Lets `policy` serve the requests.
+    /// Simulates the case with `policy`.
     pub fn run(&self, policy: policy::Name) -> Stats {
         match policy {
             policy::Name::Chosen => self.chosen(),
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens to the deployments, and the figures taken from it.
+//! The scenarios and the figures computed from them.
 
 use units::time::Instant;
 
@@ -14,32 +14,32 @@
     workload,
 };
 
-/// The bound on the load that skew is compared with.
+/// The load bound for the share of samples above it.
 const LOAD_BOUND: f64 = 1.25;
-/// The workspace that surges.
+/// The index of the workspace that surges.
 const SURGING_WORKSPACE: u16 = 0;
 
-/// How long the stretches of a scenario take, in seconds.
+/// Durations of the periods of a scenario, in seconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
-    /// Until the caches are filled.
+    /// Period until the caches are filled.
     pub warm_up: u64,
-    /// What is measured of a steady state.
+    /// Measured period of the steady scenario.
     pub steady: u64,
 }
 
-/// A deployment with its seed and what its routers take to apply a revision.
+/// A deployment with the parameters of its runs.
 #[derive(Clone, Debug)]
 pub struct Setting {
     /// The deployment.
     pub deployment: Deployment,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
     /// How long each router takes to apply a revision, in seconds.
     pub apply_delays: Vec<f64>,
-    /// How long its stretches take.
+    /// Durations of the scenario's periods.
     pub pace: Pace,
-    /// The settings of placement for the product's policy.
+    /// Placement settings of the `chosen` policy.
     pub placement: placement::Settings,
 }
 
@@ -84,7 +84,7 @@
         }
     }
 
-    /// A steady state: reuse, skew and what a request costs on its way.
+    /// Steady: cache reuse, load skew, and messages and latency per request.
     pub fn steady(&self, policy: Name) -> Vec<Figure> {
         let start = self.pace.warm_up;
         let until = start + self.pace.steady;
@@ -129,7 +129,8 @@
         ]
     }
 
-    /// Churn: a tenth of the engines restarts in turn, and a zone is out for a minute.
+    /// Churn: a tenth of the engines restart one after the other, then a zone is out of
+    /// service for a minute.
     pub fn churn(&self, policy: Name) -> Vec<Figure> {
         let start = self.pace.warm_up;
         let mut script = Script::new();
@@ -177,7 +178,7 @@
         ]
     }
 
-    /// A zone that operators take out and put back.
+    /// Zone: operators take a zone out of service and return it after a minute.
     pub fn zone(&self, policy: Name) -> Vec<Figure> {
         let excluded_at = self.pace.warm_up;
         let script = vec![
@@ -210,7 +211,7 @@
         ]
     }
 
-    /// Two engines that turn cold without a warning, one that restarts.
+    /// Cold: two engines turn cold without a notice and one restarts.
     pub fn cold(&self, policy: Name) -> Vec<Figure> {
         let at = self.pace.warm_up;
         let script = vec![
@@ -230,7 +231,7 @@
         ]
     }
 
-    /// One workspace sends ten times its usual traffic for a while.
+    /// Surge: one workspace sends ten times its usual traffic for a minute.
     pub fn surge(&self, policy: Name) -> Vec<Figure> {
         let start = self.pace.warm_up;
         let until = start + 60;
@@ -259,7 +260,7 @@
         ]
     }
 
-    /// A third of the engines fails every request for half a minute.
+    /// Failing: a third of the engines fail every request for half a minute.
     pub fn failing(&self, policy: Name) -> Vec<Figure> {
         let start = self.pace.warm_up;
         let failing = self.deployment.engines / 3;
@@ -292,7 +293,7 @@
         ]
     }
 
-    /// Control traffic of the busiest router.
+    /// Control: control traffic of the busiest router.
     pub fn control(&self, traffic: &control::Traffic) -> Vec<Figure> {
         let deployment = &self.deployment;
         let owned = deployment.engines.div_ceil(deployment.routers);
@@ -340,7 +341,8 @@
     }
 }
 
-/// Requests beyond what a cold engine bears, before and after its owner noticed.
+/// The number of requests above the safe load of a cold engine, before and after its
+/// owner detected that it is cold.
 fn overloads(stats: &Stats) -> (usize, usize) {
     let detected = |at: Instant, engine: usize| {
         stats.cold_detections.iter().any(|(detected, which)| {
--- a/crates/bench/src/script.rs
+++ b/crates/bench/src/script.rs
@@ -1,25 +1,26 @@
-//! What happens to engines and zones during a run.
+//! Faults and operator changes applied during a run.
 
 use units::time::Instant;
 
-/// One change.
+/// One fault or operator change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Change {
-    /// The engine stops; what it held is lost.
+    /// The engine stops and loses its requests.
     Crash(usize),
     /// The engine starts again, cold.
     Start(usize),
-    /// The engine turns cold without a warning; what it runs goes on.
+    /// The engine turns cold without a notice; its running requests continue.
     TurnCold(usize),
-    /// Operators take the zone out; its engines finish what they run.
+    /// Operators take the zone out of service; its engines finish their running
+    /// requests.
     ZoneOut(usize),
-    /// Operators put the zone back in.
+    /// Operators return the zone to service.
     ZoneIn(usize),
-    /// The engine fails every request that reaches it.
+    /// The engine fails every request that it receives.
     Fail(usize),
-    /// The engine serves again.
+    /// The engine stops failing requests.
     Serve(usize),
 }
 
-/// Changes with their times.
+/// Changes with the instants at which they apply.
 pub type Script = Vec<(Instant, Change)>;
--- a/crates/bench/src/simulation.rs
+++ b/crates/bench/src/simulation.rs
@@ -1,4 +1,4 @@
-//! The engines, the requests and the passing of virtual time.
+//! The state of a simulation: engines, requests and the event queue.
 
 mod event_loop;
 
@@ -20,78 +20,79 @@
 
 pub use event_loop::Simulation;
 
-/// How often the loads are looked at.
+/// Time between two samples of the loads.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(100);
-/// How long after a crash or a start the platform's host list tells of it, at most.
+/// Maximum delay of the platform's host list after a crash or a start, in seconds.
 const MAX_HOST_LIST_DELAY_S: f64 = 4.0;
-/// How long an engine has to get work before its load counts. A zone that comes
-/// back brings engines without load, and the mean falls at once; no policy can
-/// move what already runs.
+/// How long an engine must be in service before its load is sampled. A zone that
+/// returns to service adds engines without load, which lowers the mean at once, and no
+/// policy can move requests that are already running.
 const SETTLE_TIME: Duration = Duration::from_secs(10);
-/// The number of attempts that one request may have.
+/// Maximum number of attempts per request.
 const MAX_ATTEMPTS_PER_REQUEST: u64 = 256;
 
-/// Something that happens to the world or to a policy.
+/// An event of the simulation or of the policy.
 #[derive(Debug)]
 pub enum Event<P> {
     /// A request reaches its entry router.
     Arrive(usize),
     /// A request reaches an engine.
     Deliver(request::Attempt, usize),
-    /// A run may be done.
+    /// A run is due to end.
     Done(request::Attempt, usize),
-    /// A router learns of a topology.
+    /// A router applies a topology.
     ApplyTopology(usize, usize),
-    /// A change of the script.
+    /// A change of the script applies.
     Change(Change),
-    /// A look at the loads.
+    /// The loads are sampled.
     Sample,
-    /// Something of the policy's own.
+    /// An event of the policy.
     Policy(P),
 }
 
-/// A way to place requests.
+/// A policy that places requests on engines.
 pub trait Policy: Sized {
-    /// Events of its own.
+    /// Events of the policy.
     type Event;
 
-    /// Enters the first events.
+    /// Schedules the first events.
     fn start(&mut self, core: &mut Core<Self::Event>);
-    /// A request arrived at its entry router.
+    /// Handles the arrival of a request at its entry router.
     fn arrive(&mut self, core: &mut Core<Self::Event>, request: usize, now: Instant);
-    /// An attempt was refused by an engine that is down, or lost in one that failed.
+    /// Handles an attempt that an engine refused because it is down, or lost because it
+    /// failed.
     fn failed(&mut self, core: &mut Core<Self::Event>, failure: Failure, now: Instant);
-    /// A run began.
+    /// Handles the start of a run.
     fn started(&mut self, core: &mut Core<Self::Event>, engine: usize, run: Run, now: Instant);
-    /// A run is done.
+    /// Handles the end of a run.
     fn finished(&mut self, core: &mut Core<Self::Event>, engine: usize, run: Run, now: Instant);
-    /// A router learned of a topology.
+    /// Handles a new topology on a router.
     fn topology_changed(&mut self, core: &mut Core<Self::Event>, router: usize, now: Instant);
-    /// An event of its own.
+    /// Handles an event of the policy.
     fn handle(&mut self, core: &mut Core<Self::Event>, event: Self::Event, now: Instant);
 }
 
-/// An attempt that got no answer.
+/// An attempt that received no response.
 #[derive(Clone, Copy, Debug)]
 pub struct Failure {
     /// The attempt.
     pub attempt: request::Attempt,
     /// The engine.
     pub engine: usize,
-    /// Whether it may have run.
+    /// Whether the engine may have run the attempt.
     pub verdict: Verdict,
 }
 
-/// Whether an engine is up and wanted, as the platform and the operators say.
+/// State of an engine as the host list and the script define it.
 #[derive(Clone, Copy, Debug)]
 struct EngineState {
     listed: bool,
     failing: bool,
-    /// Since when it is up and its zone is in.
+    /// Since when the engine is up and its zone in service.
     since: Instant,
 }
 
-/// What a router's topology changed by, which says how the router learns of it.
+/// The source of a topology change, which determines how long routers take to apply it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Source {
     /// The platform's host list.
@@ -100,20 +101,20 @@
     Config,
 }
 
-/// All but the policy.
+/// The state of a simulation without the policy.
 #[derive(Debug)]
 pub struct Core<P> {
-    /// What is measured.
+    /// The deployment to simulate.
     pub deployment: Deployment,
     /// The requests.
     pub arrivals: Vec<Arrival>,
-    /// What is counted.
+    /// Counters and records.
     pub stats: Stats,
     /// The engines.
     pub engines: Vec<Engine>,
     /// The names of the engines.
     pub names: Vec<backend::Server>,
-    /// Random draws of the policy.
+    /// Random draws for the policy.
     pub random: Random,
     queue: Queue<Event<P>>,
     engine_states: Vec<EngineState>,
@@ -128,7 +129,7 @@
 }
 
 impl<P> Core<P> {
-    /// Engines and requests at the origin of time.
+    /// The initial state, with all engines warm and the script not started.
     pub fn new(deployment: Deployment, arrivals: Vec<Arrival>, seed: u64, until: Instant) -> Self {
         let names: Vec<backend::Server> = (0..deployment.engines)
             .map(|index| format!("engine-{index:03}").parse().expect("a valid name"))
@@ -171,7 +172,7 @@
         self.apply_delays = apply_delays;
     }
 
-    /// Enters an event of the policy.
+    /// Schedules an event of the policy.
     pub fn push(&mut self, at: Instant, event: P) {
         self.queue.push(at, Event::Policy(event));
     }
@@ -181,7 +182,7 @@
         self.until
     }
 
-    /// The index of the engine called `name`.
+    /// The index of the engine with this name.
     pub fn engine(&self, name: &backend::Server) -> usize {
         self.indices[name]
     }
@@ -196,7 +197,7 @@
         router % self.deployment.zones
     }
 
-    /// The latency one way between two zones.
+    /// One-way latency between two zones.
     pub fn latency(&self, from: usize, to: usize) -> Duration {
         if from == to {
             self.deployment.zone_latency
@@ -205,40 +206,40 @@
         }
     }
 
-    /// The topology that `router` knows.
+    /// The topology that `router` has applied.
     pub fn router_topology(&self, router: usize) -> &Arc<Topology> {
         &self.topologies[self.router_versions[router]]
     }
 
-    /// Whether operators have taken the engine's zone out.
+    /// Whether the engine's zone is out of service.
     pub fn is_excluded(&self, engine: usize) -> bool {
         self.excluded_zones[self.engine_zone(engine)]
     }
 
-    /// The request of an attempt.
+    /// The index of the request to which an attempt belongs.
     pub fn request(attempt: request::Attempt) -> usize {
         (attempt.0 / MAX_ATTEMPTS_PER_REQUEST) as usize
     }
 
-    /// A new attempt at a request.
+    /// Creates an attempt for a request.
     pub fn attempt(&mut self, request: usize) -> request::Attempt {
         let record = &mut self.stats.requests[request];
         record.attempts += 1;
         request::Attempt(request as u64 * MAX_ATTEMPTS_PER_REQUEST + u64::from(record.attempts))
     }
 
-    /// Sends an attempt to an engine.
+    /// Sends an attempt to an engine, which receives it at `at`.
     pub fn send(&mut self, attempt: request::Attempt, engine: usize, at: Instant) {
         self.stats.requests[Self::request(attempt)].attempts_sent += 1;
         self.queue.push(at, Event::Deliver(attempt, engine));
     }
 
-    /// Counts messages on the way of a request.
+    /// Adds to the number of messages sent for a request.
     pub fn record_hops(&mut self, request: usize, hops: u32) {
         self.stats.requests[request].hops += hops;
     }
 
-    /// Ends a request.
+    /// Sets the status of a request.
     pub fn set_status(&mut self, request: usize, status: Status) {
         self.stats.requests[request].status = status;
     }
@@ -259,7 +260,7 @@
         Topology::new(members.collect())
     }
 
-    /// Tells all routers of a new topology, each one after a lag of its own.
+    /// Publishes the current topology to all routers, with a separate delay for each.
     fn publish(&mut self, source: Source, now: Instant) {
         let topology = self.topology();
         self.topologies.push(Arc::new(topology));
--- a/crates/bench/src/simulation/event_loop.rs
+++ b/crates/bench/src/simulation/event_loop.rs
@@ -1,4 +1,4 @@
-//! Lets a policy and the engines act through virtual time.
+//! Runs a policy and the simulated engines on the event queue.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
     stats::{Stats, Status},
 };
 
-/// A run of one policy through one script.
+/// A simulation of one policy with one script.
 #[derive(Debug)]
 pub struct Simulation<P: Policy> {
     core: Core<P::Event>,
@@ -20,7 +20,7 @@
 }
 
 impl<P: Policy> Simulation<P> {
-    /// A world at the origin of time.
+    /// Schedules the arrivals and the script and starts the policy.
     pub fn new(mut core: Core<P::Event>, mut policy: P, script: &Script) -> Self {
         for index in 0..core.arrivals.len() {
             core.queue
@@ -34,7 +34,7 @@
         Self { core, policy }
     }
 
-    /// Lets everything happen, and returns what was counted and the policy.
+    /// Processes all events and returns the statistics and the policy.
     pub fn run(mut self) -> (Stats, P) {
         while let Some((now, event)) = self.core.queue.pop() {
             self.handle(event, now);
@@ -101,7 +101,8 @@
         }
     }
 
-    /// An engine that crashed under its load starts again after a while.
+    /// Schedules the restart of an engine that crashed from overload, and removes it
+    /// from the host list.
     fn restart_after_overload(&mut self, engine: usize, now: Instant) {
         let start = now + Duration::from_secs(10);
         self.core
--- a/crates/bench/src/stats.rs
+++ b/crates/bench/src/stats.rs
@@ -1,40 +1,40 @@
-//! What is counted during a run.
+//! Counters and records of a simulation run.
 
 use units::time::Instant;
 
-/// How one request ended.
+/// Status of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// It is under way.
+    /// The request has not ended.
     InFlight,
-    /// Its whole answer reached its caller.
+    /// The caller received the complete response.
     Served,
-    /// It was refused and has not run.
+    /// The request was refused and no engine ran it.
     Refused,
-    /// It was lost: it may have run, and no answer came.
+    /// An engine may have run the request, and the caller received no response.
     Lost,
 }
 
-/// What is kept of one request.
+/// Record of one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Record {
-    /// How it ended.
+    /// Status of the request.
     pub status: Status,
-    /// Prompt tokens that were cached where it ran last.
+    /// Prompt tokens cached on the engine that last ran the request.
     pub cached: u32,
-    /// Whether an engine may have run it.
+    /// Whether an engine may have run the request.
     pub may_have_run: bool,
     /// Attempts sent to an engine.
     pub attempts_sent: u32,
-    /// Attempts made, those included that no owner took.
+    /// Attempts made, including those that were never sent to an engine.
     pub attempts: u32,
-    /// Messages between routers and to engines before it began to run.
+    /// Messages between routers and to engines before the request started on an engine.
     pub hops: u32,
-    /// When it was admitted last.
+    /// When the request last reached an engine.
     pub admitted_at: Instant,
-    /// When the engine that ran it last began.
+    /// When an engine last started to run the request.
     pub begun_at: Instant,
-    /// When the engine that ran it put out the first token.
+    /// When that engine produced the first token.
     pub first_token_at: Instant,
 }
 
@@ -54,37 +54,38 @@
     }
 }
 
-/// One look at the loads of all engines.
+/// A sample of the loads of all engines.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
-    /// When.
+    /// When the sample was taken.
     pub at: Instant,
-    /// The largest load of an engine that gets new work.
+    /// Highest load among the engines that receive new requests.
     pub largest: u32,
-    /// The mean load of the engines that get new work.
+    /// Mean load of the engines that receive new requests.
     pub mean: f64,
 }
 
 impl Sample {
-    /// The largest load over the mean.
+    /// Ratio of the highest load to the mean.
     pub fn skew(self) -> f64 {
         f64::from(self.largest) / self.mean.max(f64::MIN_POSITIVE)
     }
 }
 
-/// What is counted during a run.
+/// Counters and records of a simulation run.
 #[derive(Clone, Debug, Default)]
 pub struct Stats {
-    /// One for each request, in the order of arrival.
+    /// One record per request, in order of arrival.
     pub requests: Vec<Record>,
-    /// Looks at the loads.
+    /// Samples of the loads.
     pub samples: Vec<Sample>,
-    /// The last instant at which work reached an engine of a zone that was out.
+    /// When a request last reached an engine of an excluded zone.
     pub last_excluded_zone_arrival: Option<Instant>,
-    /// Requests that reached a cold engine beyond what it bears: when, which engine.
+    /// Requests that reached a cold engine above its safe load: instant and engine.
     pub cold_overloads: Vec<(Instant, usize)>,
-    /// When the owner of an engine that had turned cold noticed: when, which engine.
+    /// When the owner of a cold engine lowered its limit to the safe load: instant and
+    /// engine.
     pub cold_detections: Vec<(Instant, usize)>,
-    /// Engines that crashed since they were given too much.
+    /// Engines that crashed from overload.
     pub overload_crashes: u32,
 }
--- a/crates/bench/src/suite.rs
+++ b/crates/bench/src/suite.rs
@@ -1,4 +1,4 @@
-//! All scenarios in all deployments.
+//! Runs the selected scenarios for the selected deployments.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -12,20 +12,20 @@
     scenario::{Pace, Setting},
 };
 
-/// What is run.
+/// Settings of a benchmark run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Whether stretches are shorter and policies fewer.
+    /// Whether to use shorter periods and fewer policies.
     pub quick: bool,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The only deployment, if not all.
+    /// Runs only this deployment. All by default.
     pub deployment: Option<String>,
-    /// The only scenario, if not all.
+    /// Runs only this scenario. All by default.
     pub scenario: Option<String>,
-    /// The settings of placement for the product's policy.
+    /// Placement settings of the `chosen` policy.
     pub placement: placement::Settings,
-    /// Runs side by side.
+    /// Number of worker threads.
     pub threads: usize,
 }
 
@@ -86,7 +86,8 @@
     }
 }
 
-/// Runs what `settings` ask for. The order of the figures is always the same.
+/// Runs the selected scenarios. The order of the figures does not depend on the number
+/// of threads.
 pub fn run(settings: &Settings) -> Vec<Figure> {
     let mut figures = Vec::new();
     let mut jobs = Vec::new();
@@ -141,7 +142,8 @@
 
 type Job = (Scenario, Setting, Name);
 
-/// A zone's slice has no second zone, and its other scenarios take too long.
+/// The jobs of one deployment. A large deployment runs only the steady scenario: it has
+/// a single zone, and its other scenarios take too long.
 fn jobs_of(settings: &Settings, setting: &Setting) -> Vec<Job> {
     let large = setting.deployment.engines > 100;
     let mut jobs = Vec::new();
@@ -159,7 +161,7 @@
     jobs
 }
 
-/// Works off `jobs` side by side, the longest first.
+/// Runs `jobs` on several threads, starting with the most expensive ones.
 fn run_jobs(jobs: &[Job], threads: usize) -> Vec<Figure> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by_key(|&index| {
@@ -182,7 +184,7 @@
             .collect();
         let joined = workers.into_iter().map(|worker| worker.join());
         joined
-            .flat_map(|done| done.expect("a run does not panic"))
+            .flat_map(|done| done.expect("a worker thread that does not panic"))
             .collect()
     });
     done.sort_by_key(|(index, _)| *index);
--- a/crates/bench/src/workload.rs
+++ b/crates/bench/src/workload.rs
@@ -1,4 +1,4 @@
-//! The requests of a run, drawn before it and the same for every policy.
+//! The requests of a run, drawn in advance so that they are the same for every policy.
 
 use std::{cmp, collections::BinaryHeap};
 
@@ -6,51 +6,51 @@
 
 use crate::{deployment::Deployment, random::Random};
 
-/// The shortest pause of a chat, in seconds: its caller reads the answer first.
+/// Minimum pause of a chat, in seconds, for the caller to read the response.
 const MIN_PAUSE_S: f64 = 8.0;
-/// The chance that a chat ends after a turn.
+/// Probability that a chat ends after a turn.
 const CHAT_END_PROBABILITY: f64 = 0.02;
-/// The spread of lengths and pauses around their medians.
+/// Sigma of the log-normal distribution of lengths and pauses.
 const LOG_NORMAL_SIGMA: f64 = 0.7;
 
 /// One request as its caller sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When it reaches its entry router.
+    /// When the request reaches its entry router.
     pub at: Instant,
-    /// Its chat.
+    /// The chat.
     pub chat: chat::Key,
-    /// Its workspace, as an index.
+    /// Index of the workspace.
     pub workspace: u16,
-    /// The entry router, as an index: the balancer spreads each chat over all.
+    /// Index of the entry router. The load balancer spreads each chat over all routers.
     pub router: u16,
-    /// Tokens of its prompt, the chat's earlier turns included.
+    /// Prompt tokens, including the earlier turns of the chat.
     pub prompt: u32,
-    /// Tokens that it will put out.
+    /// Output tokens that the engine will generate.
     pub output: u32,
 }
 
 /// A workspace that sends a multiple of its usual traffic for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct Surge {
-    /// The workspace, as an index.
+    /// Index of the workspace.
     pub workspace: u16,
-    /// How many times its usual traffic it sends.
+    /// Factor by which its traffic is multiplied.
     pub factor: u32,
-    /// When it starts.
+    /// When the surge starts.
     pub from: Instant,
-    /// When it ends.
+    /// When the surge ends.
     pub until: Instant,
 }
 
-/// What is drawn.
+/// Parameters of the drawn workload.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
-    /// The seed of all draws.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// When the last request arrives.
+    /// No request arrives from this instant on.
     pub until: Instant,
-    /// The time over which the traffic rises from nothing to its full rate.
+    /// The time over which the traffic rises from zero to its full rate.
     pub ramp: Instant,
     /// A surge, if any.
     pub surge: Option<Surge>,
@@ -63,7 +63,7 @@
     context: u32,
 }
 
-/// Draws the requests of a run, in the order of their arrival.
+/// Draws the requests of a run, in order of arrival.
 pub fn draw(deployment: &Deployment, plan: &Plan) -> Vec<Arrival> {
     let mut random = Random::new(plan.seed, 1);
     let mut chats: Vec<Chat> = (0..deployment.chats)
@@ -129,7 +129,8 @@
     }
 }
 
-/// Adds the further requests of a surging workspace: new chats, a moment later.
+/// Adds the additional requests of a surging workspace: new chats that start within a
+/// second of `arrival`.
 fn add_surge_requests(
     surge: &Surge,
     arrival: Arrival,
@@ -160,10 +161,10 @@
     }
 }
 
-/// The rest of the pause that a chat is in when the run starts.
+/// Draws the remainder of the pause that a chat is in when the run starts.
 ///
-/// A long pause is the more likely to be met, so that the traffic neither
-/// rises nor falls over the run.
+/// A chat is more likely to be in a long pause than in a short one, in proportion to
+/// their lengths. Drawing accordingly keeps the traffic constant over the run.
 fn draw_first_pause(deployment: &Deployment, random: &mut Random) -> f64 {
     let chat = &deployment.chat;
     let long = chat.long_share * chat.long_pause;
--- a/crates/bench/tests/suite.rs
+++ b/crates/bench/tests/suite.rs
@@ -1,4 +1,5 @@
-//! The benchmark itself: repeatable figures, bounds that fail, fakes that behave.
+//! Tests the benchmark: reproducible figures, bounds that detect regressions, and
+//! simulated engines that behave like real ones.
 
 use bench::{
     bounds::Bounds,
@@ -19,8 +20,8 @@
     }
 }
 
-// A figure that differs between two runs of the same seed cannot show what a
-// change did, and a bound on it fails now and then for no reason.
+// If two runs of the same seed gave different figures, the effect of a change could not
+// be measured and bounds would fail at random.
 #[test]
 fn the_same_seed_gives_the_same_figures() {
     let run = |threads| {
@@ -34,8 +35,8 @@
     assert_eq!(one, other);
 }
 
-// Operators take a zone out and put it back while its requests run. No caller
-// may lose an answer or be refused, since the other zones have room.
+// Operators take a zone out of service and return it while requests run. No request may
+// be lost or refused, since the other zones have capacity.
 #[test]
 fn excluding_and_restoring_a_zone_loses_no_response() {
     let figures = suite::run(&settings("zone"));
@@ -51,7 +52,7 @@
     assert!(value("zone_out_s").is_some_and(|seconds| seconds < 3.0));
 }
 
-// A bound that never fails would let a regression pass unseen.
+// A bound that never fails would hide regressions.
 #[test]
 fn a_figure_beyond_its_bound_is_a_regression() {
     let bounds = Bounds::parse(
@@ -86,8 +87,8 @@
     }
 }
 
-// An engine that has just started falls over under the load of a warm one. If
-// the fake bore it, the benchmark would not show a policy that overloads it.
+// An engine that has just started crashes under the load of a warm one. Otherwise the
+// benchmark would not penalize a policy that overloads cold engines.
 #[test]
 fn a_cold_engine_crashes_under_full_load_and_a_warm_one_does_not() {
     let mut warm = Engine::new(engine::Settings::default());
@@ -103,8 +104,8 @@
     assert!(!cold.is_up());
 }
 
-// The oracle and the engines reuse from the same kind of cache. One that kept
-// more than it may would make every policy look better than it is.
+// The oracle and the engines use the same cache. If it exceeded its capacity, the
+// figures of every policy would be too good.
 #[test]
 fn a_cache_over_capacity_evicts_the_least_recently_used() {
     let mut cache = Cache::new(1000);
