--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,7 +1,7 @@
 # Functions to start the whole system on this machine. Sourced by the scripts that
 # do; it sets traps, so that whatever ends a script ends what it started.
 #
-# What is running: address[NAME], pid[NAME], and the names in their order in order[].
+# What is running: address[NAME], pid[NAME], and the names in their order in processes[].
 # shellcheck shell=bash
 
 readonly ZONES=(lk-west-a lk-west-b lk-west-c)
@@ -14,7 +14,7 @@
 logs="$(mktemp -d -t sesameweir-XXXXXXXX)"
 keep=false
 declare -A pid address
-order=()
+processes=()
 hosts=()
 routers=()
 services=()
@@ -31,18 +31,18 @@
 }
 
 # Ends the processes that this script started, by their ids.
-finish() {
+cleanup() {
   local status=$?
   trap - EXIT
   if $keep && [ "$status" -eq 0 ]; then
     exit 0
   fi
   local name
-  for name in "${order[@]}"; do
+  for name in "${processes[@]}"; do
     # A stopped process does not see the signal to end before it goes on.
     kill "${pid[$name]}" 2>/dev/null && kill -CONT "${pid[$name]}" 2>/dev/null || true
   done
-  for name in "${order[@]}"; do
+  for name in "${processes[@]}"; do
     wait_for_end "${pid[$name]}"
   done
   if [ "$status" -eq 0 ]; then
@@ -52,7 +52,7 @@
   fi
   exit "$status"
 }
-trap finish EXIT
+trap cleanup EXIT
 trap 'exit 130' INT TERM
 
 fail() {
@@ -60,8 +60,8 @@
   exit 1
 }
 
-# joined WORDS...: the words with commas between them.
-joined() {
+# join_by_comma WORDS...: the words with commas between them.
+join_by_comma() {
   local IFS=,
   echo "$*"
 }
@@ -79,7 +79,7 @@
   for wait in $(seq 200); do
     address[$name]=$(sed -n 's/^listening=//p' "$logs/$name.out")
     if [ -n "${address[$name]}" ]; then
-      order+=("$name")
+      processes+=("$name")
       return 0
     fi
     kill -0 "${pid[$name]}" 2>/dev/null || return 1
@@ -93,8 +93,8 @@
   launch "$@" || fail "$1 did not start: $(tail -n 3 "$logs/$1.log")"
 }
 
-# host NAME ZONE ADDRESS ROLE [POOL]: adds an entry to the platform's list of hosts.
-host() {
+# add_host NAME ZONE ADDRESS ROLE [POOL]: adds an entry to the platform's list of hosts.
+add_host() {
   local pool=""
   [ -z "${5:-}" ] || pool=",\"pool\":\"$5\""
   hosts+=("{\"name\":\"$1\",\"zone\":\"$2\",\"address\":\"$3\",\"role\":\"$4\"$pool,\"state\":\"live\"}")
@@ -128,7 +128,7 @@
     peer="127.0.0.1:$((10000 + RANDOM % 20000))"
     if launch "$name" "$BIN/weir-router" --host "$name" --zone "$zone" \
       --listen 127.0.0.1:0 --peer "$peer" --platform "${address[platform]}" --leave-ms 1000; then
-      host "$name" "$zone" "$peer" router
+      add_host "$name" "$zone" "$peer" router
       return
     fi
   done
@@ -168,7 +168,7 @@
 }
 
 list_hosts() {
-  http PUT "${address[platform]}" /hosts "{\"hosts\":[$(joined "${hosts[@]}")]}" >/dev/null
+  http PUT "${address[platform]}" /hosts "{\"hosts\":[$(join_by_comma "${hosts[@]}")]}" >/dev/null
 }
 
 new_fleet_key() {
@@ -200,10 +200,10 @@
   for zone in "${ZONES[@]}"; do
     for ((number = 1; number <= ENGINES_PER_ZONE; number++)); do
       must_launch "engine-$zone-$number" "$BIN/weir-standin" engine --cold-requests 4 --poison drill-poison
-      host "engine-$zone-$number" "$zone" "${address[engine-$zone-$number]}" backend weir-llm
+      add_host "engine-$zone-$number" "$zone" "${address[engine-$zone-$number]}" backend weir-llm
     done
     must_launch "service-$zone" "$BIN/weir-standin" service
-    host "service-$zone" "$zone" "${address[service-$zone]}" backend collect-api
+    add_host "service-$zone" "$zone" "${address[service-$zone]}" backend collect-api
     services+=("${address[service-$zone]}")
   done
   for zone in "${ZONES[@]}"; do
@@ -214,7 +214,7 @@
   done
   list_hosts
   must_launch admin "$BIN/weir-admin" --listen 127.0.0.1:0 --platform "${address[platform]}" \
-    --routers "$(joined "${routers[@]}")"
+    --routers "$(join_by_comma "${routers[@]}")"
   export WEIR_ADMIN=${address[admin]}
   declare_resources
 }
@@ -223,31 +223,31 @@
 start_load() {
   local duration=$1
   shift
-  load_began=$SECONDS
-  "$BIN/weir-load" --routers "$(joined "${routers[@]}")" --ledgers "$(joined "${services[@]}")" \
-    --workspaces "$(joined "${WORKSPACES[@]}")" --duration-ms "$duration" --chats 60 "$@" \
+  load_started_at=$SECONDS
+  "$BIN/weir-load" --routers "$(join_by_comma "${routers[@]}")" --ledgers "$(join_by_comma "${services[@]}")" \
+    --workspaces "$(join_by_comma "${WORKSPACES[@]}")" --duration-ms "$duration" --chats 60 "$@" \
     >"$logs/load.out" 2>"$logs/load.log" &
   pid[load]=$!
-  order+=(load)
+  processes+=(load)
 }
 
 finish_load() {
   wait "${pid[load]}"
 }
 
-# until_second N: sleeps until that second of the load.
-until_second() {
-  local left=$(($1 - (SECONDS - load_began)))
-  [ "$left" -le 0 ] || sleep "$left"
+# sleep_until_second N: sleeps until that second of the load.
+sleep_until_second() {
+  local remaining=$(($1 - (SECONDS - load_started_at)))
+  [ "$remaining" -le 0 ] || sleep "$remaining"
 }
 
-# say TEXT: what is done, with the second of the load.
-say() {
-  echo "second $((SECONDS - load_began)): $*"
+# log_step TEXT: what is done, with the second of the load.
+log_step() {
+  echo "second $((SECONDS - load_started_at)): $*"
 }
 
-# begun_in ZONE: the requests that its engines have begun.
-begun_in() {
+# started_in ZONE: the requests that its engines have begun.
+started_in() {
   local sum=0 count number
   for ((number = 1; number <= ENGINES_PER_ZONE; number++)); do
     count=$(http GET "${address[engine-$1-$number]}" /counters)
@@ -258,9 +258,9 @@
 }
 
 # Prints how many backend servers ended by themselves.
-fallen() {
+count_crashed() {
   local name count=0
-  for name in "${order[@]}"; do
+  for name in "${processes[@]}"; do
     if [ "$name" != load ] && grep -q 'event=crashed' "$logs/$name.log"; then
       count=$((count + 1))
     fi
