--- a/crates/bench/src/engine.rs
+++ b/crates/bench/src/engine.rs
@@ -238,7 +238,7 @@
         self.turn_cold(now);
     }
 
-    /// Makes the engine cold without a restart notice; its running jobs continue.
+    /// Makes the engine cold without notice; its running jobs continue.
     pub fn turn_cold(&mut self, now: Instant) {
         self.boot += 1;
         self.cold = true;
--- a/crates/bench/src/scenario.rs
+++ b/crates/bench/src/scenario.rs
@@ -211,7 +211,7 @@
         ]
     }
 
-    /// Cold: two engines turn cold without a notice and one restarts.
+    /// Cold: two engines turn cold without notice and one restarts.
     pub fn cold(&self, policy: Name) -> Vec<Figure> {
         let at = self.pace.warm_up;
         let script = vec![
--- a/crates/bench/src/script.rs
+++ b/crates/bench/src/script.rs
@@ -9,7 +9,7 @@
     Crash(usize),
     /// The engine starts again, cold.
     Start(usize),
-    /// The engine turns cold without a notice; its running requests continue.
+    /// The engine turns cold without notice; its running requests continue.
     TurnCold(usize),
     /// Operators take the zone out of service; its engines finish their running
     /// requests.
