--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,14 +1,15 @@
-# Functions to start the whole system on this machine. Sourced by the scripts that
-# do; it sets traps, so that whatever ends a script ends what it started.
+# Functions that start the whole system on this machine, to be sourced by scripts. Sets
+# traps that stop the started processes whenever the script ends.
 #
-# What is running: address[NAME], pid[NAME], and the names in their order in processes[].
+# The state of the processes: address[NAME], pid[NAME], and processes[], which holds the
+# names in the order of their start.
 # shellcheck shell=bash
 
 readonly ZONES=(lk-west-a lk-west-b lk-west-c)
 readonly ENGINES_PER_ZONE=4
 readonly ROUTERS_PER_ZONE=2
 readonly WORKSPACES=(north harbour mill quarry docks ferry garage print paint depot)
-# Where the programs are.
+# The folder of the executables.
 BIN=${BIN:-$PWD/target/debug}
 
 logs="$(mktemp -d -t sesameweir-XXXXXXXX)"
@@ -19,18 +20,18 @@
 routers=()
 services=()
 
-# wait_for_end ID: a process that does not end within 10 seconds is killed.
+# wait_for_end ID: waits for a process to exit and kills it after 10 seconds.
 wait_for_end() {
   local wait
   for wait in $(seq 100); do
     kill -0 "$1" 2>/dev/null || return 0
     sleep 0.1
   done
-  echo "process $1 did not end when it was asked to" >&2
+  echo "process $1 did not exit within 10 s of SIGTERM; sending SIGKILL" >&2
   kill -KILL "$1" 2>/dev/null || true
 }
 
-# Ends the processes that this script started, by their ids.
+# Stops the processes that this script started, by their ids.
 cleanup() {
   local status=$?
   trap - EXIT
@@ -39,7 +40,7 @@
   fi
   local name
   for name in "${processes[@]}"; do
-    # A stopped process does not see the signal to end before it goes on.
+    # A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
     kill "${pid[$name]}" 2>/dev/null && kill -CONT "${pid[$name]}" 2>/dev/null || true
   done
   for name in "${processes[@]}"; do
@@ -60,21 +61,21 @@
   exit 1
 }
 
-# join_by_comma WORDS...: the words with commas between them.
+# join_by_comma WORDS...: prints the words separated by commas.
 join_by_comma() {
   local IFS=,
   echo "$*"
 }
 
-# launch NAME COMMAND...: starts a process and waits until it prints its address.
-# Fails when the process ends first.
+# launch NAME COMMAND...: starts a process and waits up to 10 seconds until it prints its
+# address. Fails if the process exits before that.
 launch() {
   local name=$1 wait
   shift
   : >"$logs/$name.out"
   "$@" >>"$logs/$name.out" 2>>"$logs/$name.log" </dev/null &
   pid[$name]=$!
-  # Whoever kills it on purpose need not read about it.
+  # Keeps the shell from printing a message when a script kills the process.
   disown "${pid[$name]}" 2>/dev/null || true
   for wait in $(seq 200); do
     address[$name]=$(sed -n 's/^listening=//p' "$logs/$name.out")
@@ -100,8 +101,8 @@
   hosts+=("{\"name\":\"$1\",\"zone\":\"$2\",\"address\":\"$3\",\"role\":\"$4\"$pool,\"state\":\"live\"}")
 }
 
-# http METHOD ADDRESS PATH [BODY [HEADER...]]: prints the body of the answer, and its
-# head too if headers=yes.
+# http METHOD ADDRESS PATH [BODY [HEADER...]]: sends a request and prints the response
+# body, preceded by the status line and headers if headers=yes.
 http() {
   local method=$1 to=$2 path=$3 body=${4:-} header
   exec 3<>"/dev/tcp/${to%:*}/${to##*:}"
@@ -120,8 +121,10 @@
   exec 3<&-
 }
 
-# launch_router NAME ZONE: a router's peer address is listed with the platform
-# before it is asked for, so the port is drawn here; where it is taken, again.
+# launch_router NAME ZONE: starts a router and adds it to the list of hosts. The list
+# holds the router's peer address, so this function chooses the port, at random. If the
+# router does not start, for example because the port is in use, it tries another port,
+# up to 20 times in all.
 launch_router() {
   local name=$1 zone=$2 peer try
   for try in $(seq 20); do
@@ -135,7 +138,7 @@
   fail "$name did not start: $(tail -n 3 "$logs/$name.log")"
 }
 
-# Prints the resources of the fleet as a file for weirctl.
+# Prints the resources of the deployment as TOML for weirctl apply.
 resources() {
   printf '[[zone]]\nname = "%s"\n' "${ZONES[@]}"
   printf '[[workspace]]\nname = "%s"\n' "${WORKSPACES[@]}"
@@ -176,23 +179,23 @@
   export WEIR_FLEET_KEY WEIR_LOG=${WEIR_LOG:-info}
 }
 
-# Declares the resources and waits until they are in force on all routers.
+# Applies the resources and waits until they are in force on all routers.
 declare_resources() {
   local id try
   resources >"$logs/resources.toml"
   id="fleet-$RANDOM$RANDOM"
-  # An administration that has just started may not have read the table yet, and
-  # says when to come back.
+  # An administration server that has just started refuses changes with a retry time
+  # until it has read the table.
   for try in $(seq 10); do
     "$BIN/weirctl" apply -f "$logs/resources.toml" --id "$id" && break
-    [ "$try" -lt 10 ] || fail "the resources are not accepted"
+    [ "$try" -lt 10 ] || fail "weirctl apply failed 10 times; the resources were not accepted"
     sleep 1
   done
   "$BIN/weirctl" watch --until-in-force --timeout 30 >"$logs/watch.out" ||
     fail "the resources are not in force: $(tail -n 3 "$logs/watch.out")"
 }
 
-# Starts everything and waits until the resources are in force.
+# Starts all processes and waits until the resources are in force.
 start_fleet() {
   local zone number
   new_fleet_key
@@ -219,7 +222,7 @@
   declare_resources
 }
 
-# start_load MILLISECONDS [FLAGS...]: starts the callers, for finish_load to wait for.
+# start_load MILLISECONDS [FLAGS...]: starts the load tool in the background; finish_load waits for it.
 start_load() {
   local duration=$1
   shift
@@ -235,18 +238,18 @@
   wait "${pid[load]}"
 }
 
-# sleep_until_second N: sleeps until that second of the load.
+# sleep_until_second N: sleeps until N seconds after the start of the load.
 sleep_until_second() {
   local remaining=$(($1 - (SECONDS - load_started_at)))
   [ "$remaining" -le 0 ] || sleep "$remaining"
 }
 
-# log_step TEXT: what is done, with the second of the load.
+# log_step TEXT: prints the text with the seconds since the start of the load.
 log_step() {
   echo "second $((SECONDS - load_started_at)): $*"
 }
 
-# started_in ZONE: the requests that its engines have begun.
+# started_in ZONE: prints the number of requests that the engines of the zone have started.
 started_in() {
   local sum=0 count number
   for ((number = 1; number <= ENGINES_PER_ZONE; number++)); do
@@ -257,7 +260,7 @@
   echo "$sum"
 }
 
-# Prints how many backend servers ended by themselves.
+# Prints the number of processes, without the load tool, that logged a crash.
 count_crashed() {
   local name count=0
   for name in "${processes[@]}"; do
