--- a/crates/bench/src/policy/entry.rs
+++ b/crates/bench/src/policy/entry.rs
@@ -259,7 +259,7 @@
             (entry, member.state == topology::State::Excluded)
         })
         .collect();
-    pool.set_servers(entries.iter().map(|(entry, out)| (entry, *out)));
+    pool.set_servers(entries.iter().map(|(entry, excluded)| (entry, *excluded)));
 }
 
 impl Policy for Entry {
--- a/crates/bench/src/policy/owned/offer.rs
+++ b/crates/bench/src/policy/owned/offer.rs
@@ -16,12 +16,12 @@
         let entry = usize::from(core.arrivals[request].router);
         let outlier_detector = &self.routers[entry].outlier_detector;
         let failed = self.failures.get(&request).map_or(&[][..], Vec::as_slice);
-        let open = |next: &plan::Candidate| {
+        let is_open = |next: &plan::Candidate| {
             let engine = core.engine(&next.server);
             !failed.contains(&engine) && !outlier_detector.is_ejected(&next.server, now)
         };
         let plan = self.plans.get_mut(&request);
-        let next = plan.and_then(|plan| plan.find(open));
+        let next = plan.and_then(|plan| plan.find(is_open));
         let Some(candidate) = next else {
             self.give_up(core, request);
             return;
--- a/crates/bench/src/policy/owned/owner.rs
+++ b/crates/bench/src/policy/owned/owner.rs
@@ -203,9 +203,9 @@
         let mean = self.total_load(router).mean();
         let total = self.owned_load(router, mean);
         for other in 0..self.routers.len() {
-            let lag = Duration::from_secs_f64(MAX_HEARTBEAT_DELAY_S * core.random.unit());
+            let delay = Duration::from_secs_f64(MAX_HEARTBEAT_DELAY_S * core.random.unit());
             core.push(
-                now + lag,
+                now + delay,
                 Event::ReceiveLoad(other, router, PeerLoad { total, at: now }),
             );
         }
