--- a/crates/bench/src/deployment.rs
+++ b/crates/bench/src/deployment.rs
@@ -1,56 +1,56 @@
-//! The deployments that are measured.
+//! The deployments that the benchmarks simulate.
 
 use std::time;
 
 use crate::engine;
 
-/// The sizes and the traffic of one deployment.
+/// Size and traffic of one deployment.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name in the figures.
+    /// Name in the figures.
     pub name: &'static str,
-    /// Availability zones.
+    /// Number of availability zones.
     pub zones: usize,
-    /// Engines, spread evenly over the zones.
+    /// Number of engines, spread evenly over the zones.
     pub engines: usize,
-    /// Routers, spread evenly over the zones.
+    /// Number of routers, spread evenly over the zones.
     pub routers: usize,
-    /// Chats that are live at any time.
+    /// Number of concurrent chats.
     pub chats: usize,
-    /// The share of the traffic that each workspace has.
+    /// Relative share of the traffic of each workspace.
     pub workspaces: Vec<f64>,
-    /// Latency one way inside a zone.
-    pub near: time::Duration,
-    /// Latency one way between zones.
-    pub far: time::Duration,
-    /// The time over which the traffic rises at the start, in seconds.
+    /// One-way latency within a zone.
+    pub zone_latency: time::Duration,
+    /// One-way latency between zones.
+    pub cross_zone_latency: time::Duration,
+    /// Time over which the traffic rises at the start, in seconds.
     pub ramp: u64,
-    /// What the chats are like.
+    /// Parameters of the chats.
     pub chat: Chat,
-    /// What the engines are like.
+    /// Settings of the engines.
     pub engine: engine::Settings,
 }
 
-/// What the chats of a deployment are like.
+/// Parameters of the chats of a deployment.
 #[derive(Clone, Debug)]
 pub struct Chat {
-    /// Median pause before a chat returns within minutes, in seconds.
+    /// Median of the short pauses between two turns, in seconds.
     pub pause: f64,
-    /// Mean pause of those that return later, in seconds.
+    /// Mean of the long pauses between two turns, in seconds.
     pub long_pause: f64,
-    /// The share of pauses that are long.
+    /// Share of the pauses that are long.
     pub long_share: f64,
-    /// Median tokens that a turn adds to the prompt.
-    pub fresh: f64,
-    /// Median tokens that a turn puts out.
+    /// Median number of tokens that a turn adds to the prompt.
+    pub new_tokens: f64,
+    /// Median number of output tokens of a turn.
     pub output: f64,
-    /// Median tokens of a chat's first context.
+    /// Median number of tokens of a chat's initial context.
     pub context: f64,
-    /// The context at which a chat ends, in tokens.
-    pub longest: u32,
+    /// Context length at which a chat ends, in tokens.
+    pub max_context: u32,
 }
 
-/// Ten workspaces, a few large.
+/// Ten workspaces, of which a few have most of the traffic.
 fn few_large() -> Vec<f64> {
     vec![30.0, 22.0, 14.0, 10.0, 8.0, 6.0, 4.0, 3.0, 2.0, 1.0]
 }
@@ -64,17 +64,17 @@
         routers: 8,
         chats: 12_000,
         workspaces: few_large(),
-        near: time::Duration::from_micros(200),
-        far: time::Duration::from_millis(1),
+        zone_latency: time::Duration::from_micros(200),
+        cross_zone_latency: time::Duration::from_millis(1),
         ramp: 60,
         chat: Chat {
             pause: 45.0,
             long_pause: 900.0,
             long_share: 0.15,
-            fresh: 80.0,
+            new_tokens: 80.0,
             output: 150.0,
             context: 600.0,
-            longest: 6_000,
+            max_context: 6_000,
         },
         engine: engine::Settings::default(),
     }
@@ -89,17 +89,17 @@
         routers: 8,
         chats: 12_000,
         workspaces: few_large(),
-        near: time::Duration::from_micros(200),
-        far: time::Duration::from_micros(1_500),
+        zone_latency: time::Duration::from_micros(200),
+        cross_zone_latency: time::Duration::from_micros(1_500),
         ramp: 60,
         chat: Chat {
             pause: 40.0,
             long_pause: 1_200.0,
             long_share: 0.12,
-            fresh: 150.0,
+            new_tokens: 150.0,
             output: 200.0,
             context: 4_000.0,
-            longest: 24_000,
+            max_context: 24_000,
         },
         engine: engine::Settings {
             cache_tokens: 2_000_000,
@@ -108,7 +108,7 @@
     }
 }
 
-/// One availability zone of the size to design for.
+/// One availability zone of the planned maximum size.
 pub fn planned() -> Deployment {
     Deployment {
         name: "planned",
@@ -117,17 +117,17 @@
         routers: 46,
         chats: 290_000,
         workspaces: (1..=970).map(|rank| 1.0 / f64::from(rank)).collect(),
-        near: time::Duration::from_micros(200),
-        far: time::Duration::from_millis(1),
+        zone_latency: time::Duration::from_micros(200),
+        cross_zone_latency: time::Duration::from_millis(1),
         ramp: 90,
         chat: Chat {
             pause: 70.0,
             long_pause: 900.0,
             long_share: 0.06,
-            fresh: 100.0,
+            new_tokens: 100.0,
             output: 260.0,
             context: 1_500.0,
-            longest: 8_000,
+            max_context: 8_000,
         },
         engine: engine::Settings {
             capacity: 128,
--- a/crates/bench/src/measure.rs
+++ b/crates/bench/src/measure.rs
@@ -1,4 +1,4 @@
-//! What is computed from the counts of a run.
+//! Computes figures from the statistics of a run.
 
 use std::ops::Range;
 
@@ -6,18 +6,18 @@
 
 use crate::{
     run::Case,
-    stats::{End, Record, Stats},
+    stats::{Record, Stats, Status},
     workload::Arrival,
 };
 
-/// The mean load from which on a sample counts.
-const LEAST_MEAN: f64 = 4.0;
+/// Minimum mean load for a sample to be used.
+const MIN_MEAN_LOAD: f64 = 4.0;
 
-/// A stretch of time.
+/// A period of virtual time.
 pub type Window = Range<Instant>;
 
 /// The records of the requests that arrived within `window`.
-pub fn within<'a>(
+pub fn requests_in<'a>(
     case: &'a Case,
     stats: &'a Stats,
     window: &'a Window,
@@ -28,7 +28,7 @@
         .filter(|(arrival, _)| window.contains(&arrival.at))
 }
 
-/// Cached prompt tokens over what the oracle reuses.
+/// Ratio of the cached prompt tokens of served requests to those of the oracle.
 pub fn reuse(case: &Case, stats: &Stats, window: &Window) -> f64 {
     let mut reused = 0;
     let mut possible = 0;
@@ -36,7 +36,7 @@
     for ((arrival, record), oracle) in requests.zip(&case.oracle) {
         if window.contains(&arrival.at) {
             possible += u64::from(*oracle);
-            if record.end == End::Served {
+            if record.status == Status::Served {
                 reused += u64::from(record.cached);
             }
         }
@@ -44,12 +44,12 @@
     ratio(reused, possible)
 }
 
-/// The largest load of an engine over the mean, in any sample that counts.
+/// The highest ratio of an engine's load to the mean in any sample used.
 pub fn skew_max(stats: &Stats, window: &Window) -> f64 {
     skews(stats, window).fold(0.0, f64::max)
 }
 
-/// The share of samples with an engine over `bound` times the mean.
+/// The share of samples in which an engine exceeds `bound` times the mean.
 pub fn skew_over(stats: &Stats, window: &Window, bound: f64) -> f64 {
     let over = skews(stats, window).filter(|skew| *skew > bound + 1e-9);
     ratio(over.count() as u64, skews(stats, window).count() as u64)
@@ -59,11 +59,11 @@
     stats
         .samples
         .iter()
-        .filter(|sample| window.contains(&sample.at) && sample.mean >= LEAST_MEAN)
+        .filter(|sample| window.contains(&sample.at) && sample.mean >= MIN_MEAN_LOAD)
         .map(|sample| sample.skew())
 }
 
-/// The mean of the samples' mean loads.
+/// The average of the samples' mean loads.
 pub fn mean_load(stats: &Stats, window: &Window) -> f64 {
     let means = stats
         .samples
@@ -74,55 +74,59 @@
     sum / f64::from(count.max(1))
 }
 
-/// The share of requests that ended as `end`.
-pub fn share(case: &Case, stats: &Stats, window: &Window, end: End) -> f64 {
-    let all = within(case, stats, window).count();
-    let ended = within(case, stats, window).filter(|(_, record)| record.end == end);
+/// The share of requests with this status.
+pub fn share(case: &Case, stats: &Stats, window: &Window, status: Status) -> f64 {
+    let all = requests_in(case, stats, window).count();
+    let ended = requests_in(case, stats, window).filter(|(_, record)| record.status == status);
     ratio(ended.count() as u64, all as u64)
 }
 
-/// How many requests ended as `end`.
-pub fn count(case: &Case, stats: &Stats, window: &Window, end: End) -> u64 {
-    let ended = within(case, stats, window).filter(|(_, record)| record.end == end);
+/// The number of requests with this status.
+pub fn count(case: &Case, stats: &Stats, window: &Window, status: Status) -> u64 {
+    let ended = requests_in(case, stats, window).filter(|(_, record)| record.status == status);
     ended.count() as u64
 }
 
-/// Messages for each request before it ran.
+/// The mean number of messages per request before it started on an engine.
 pub fn hops(case: &Case, stats: &Stats, window: &Window) -> f64 {
-    let hops: u64 = within(case, stats, window)
+    let hops: u64 = requests_in(case, stats, window)
         .map(|(_, record)| u64::from(record.hops))
         .sum();
-    ratio(hops, within(case, stats, window).count() as u64)
+    ratio(hops, requests_in(case, stats, window).count() as u64)
 }
 
-/// The time from arrival to the engine of the served requests at `quantile`, in milliseconds.
+/// The time from the arrival of served requests at their entry router until they reach
+/// the engine, at `quantile`, in milliseconds.
 pub fn added_ms(case: &Case, stats: &Stats, window: &Window, quantile: f64) -> f64 {
-    let served = within(case, stats, window).filter(|(_, record)| record.end == End::Served);
+    let served =
+        requests_in(case, stats, window).filter(|(_, record)| record.status == Status::Served);
     let waits = served.map(|(arrival, record)| record.admitted_at.since(arrival.at));
-    at_quantile(
+    quantile_value(
         waits.map(|wait| wait.as_secs_f64() * 1e3).collect(),
         quantile,
     )
 }
 
-/// The time from arrival to the first token of the served requests at `quantile`, in milliseconds.
+/// The time from the arrival of served requests to the first token at `quantile`, in
+/// milliseconds.
 pub fn first_token_ms(case: &Case, stats: &Stats, window: &Window, quantile: f64) -> f64 {
-    let served = within(case, stats, window).filter(|(_, record)| record.end == End::Served);
+    let served =
+        requests_in(case, stats, window).filter(|(_, record)| record.status == Status::Served);
     let waits = served.map(|(arrival, record)| record.first_token_at.since(arrival.at));
-    at_quantile(
+    quantile_value(
         waits.map(|wait| wait.as_secs_f64() * 1e3).collect(),
         quantile,
     )
 }
 
-/// The value below which the share `quantile` of `values` lies.
-pub fn at_quantile(mut values: Vec<f64>, quantile: f64) -> f64 {
+/// The value at `quantile` of `values`.
+pub fn quantile_value(mut values: Vec<f64>, quantile: f64) -> f64 {
     values.sort_by(f64::total_cmp);
     let rank = (values.len().saturating_sub(1) as f64 * quantile) as usize;
     values.get(rank).copied().unwrap_or(0.0)
 }
 
-/// `part` over `whole`, one when there is nothing.
+/// `part` over `whole`, or one if `whole` is zero.
 pub fn ratio(part: u64, whole: u64) -> f64 {
     if whole == 0 {
         return 1.0;
--- a/crates/bench/src/policy/owned.rs
+++ b/crates/bench/src/policy/owned.rs
@@ -1,8 +1,7 @@
-//! Entry, owner, engine: the product's policy.
+//! The product's policy: entry router, owner, engine.
 //!
-//! The entry router follows its [`placement::Plan`]; the owner of the engine
-//! decides with [`admission::Server`], [`placement::Bound`] and
-//! [`placement::CacheIndex`].
+//! The entry router follows its [`placement::Plan`]; the owner of the engine decides
+//! with [`admission::Server`], [`placement::Bound`] and [`placement::CacheIndex`].
 
 mod offer;
 mod owner;
@@ -19,47 +18,47 @@
 
 use crate::{
     engine::Run,
-    world::{Core, Failure, Policy},
+    simulation::{Core, Failure, Policy},
 };
 
-/// How often an owner lets time pass in its admission.
-const TICK_EVERY: Duration = Duration::from_millis(100);
-/// How long a caller waits for its whole answer.
-const TIMEOUT: Duration = Duration::from_secs(60);
-/// How long an owner keeps away from an engine that refused its connection.
-const AWAY: Duration = Duration::from_secs(1);
+/// Time between two ticks of an owner's admission.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
+/// Callers' timeout for the complete response.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(60);
+/// How long an owner avoids an engine that refused a connection.
+const AVOID_DURATION: Duration = Duration::from_secs(1);
 
 /// Events of the product's policy.
 #[derive(Clone, Debug)]
 pub enum Event {
     /// An offer reaches the owner of an engine.
     Offer(usize, plan::Candidate),
-    /// The news that an offer was turned down reaches the entry.
-    Denied(usize),
-    /// An attempt has waited long enough.
-    Impatient(request::Attempt, usize),
+    /// A declined offer is reported to the entry router.
+    Declined(usize),
+    /// The queue timeout of an attempt expires.
+    QueueTimeout(request::Attempt, usize),
     /// The first token of an attempt reaches the owner.
     FirstToken(request::Attempt, usize),
-    /// An engine's load and cache events are read.
-    Ask(usize),
-    /// The answer reaches the owner.
-    Answer(usize, admission::Report, Vec<CacheEvent>),
-    /// Time passes in the admission of an engine.
+    /// The load and the cache events of an engine are read.
+    PollLoad(usize),
+    /// The load report and the cache events reach the owner.
+    LoadReport(usize, admission::Report, Vec<CacheEvent>),
+    /// The admission of an engine is ticked.
     Tick(usize),
-    /// A router tells the others of the load of its engines.
-    Beat(usize),
-    /// A router hears of the load of another one's engines, as it was at an instant.
-    Hear(usize, usize, Told),
+    /// A router sends the load of its engines to the others.
+    Heartbeat(usize),
+    /// A router receives the load of another router's engines: receiver, sender, load.
+    ReceiveLoad(usize, usize, PeerLoad),
 }
 
-/// What a router told of its engines.
+/// The load of the engines of one router, as of an instant.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Told {
+pub struct PeerLoad {
     total: TotalLoad,
     at: Instant,
 }
 
-/// A cache event with its number.
+/// A cache event with its sequence number.
 #[derive(Clone, Copy, Debug)]
 pub struct CacheEvent {
     number: u64,
@@ -67,51 +66,51 @@
     event: cache::Event,
 }
 
-/// What the owner of one engine keeps.
+/// State that the owner of an engine keeps.
 #[derive(Debug)]
 struct Owned {
     owner: usize,
     admission: admission::Server,
-    bounded: admission::Bound,
-    warmth: CacheIndex,
-    reports: u64,
-    events: u64,
+    applied_bound: admission::Bound,
+    cache_index: CacheIndex,
+    last_report_seq: u64,
+    last_event_number: u64,
     pending: Vec<CacheEvent>,
-    away_until: Instant,
-    /// The run of the engine that was last noticed to be cold.
-    detected: u64,
-    /// The run that the engine last reported.
+    avoided_until: Instant,
+    /// The boot for which the owner last detected that the engine is cold.
+    detected_boot: u64,
+    /// The boot that the engine last reported.
     boot: u64,
-    /// What was known when it was closed, while it is.
+    /// State saved when the engine was closed; `None` while it is open.
     closed: Option<Closed>,
 }
 
-/// What was known of an engine when it was closed.
+/// State of an engine saved when it was closed.
 #[derive(Clone, Copy, Debug)]
 struct Closed {
     handover: admission::Handover,
     boot: u64,
 }
 
-/// What one router keeps.
+/// State of one router.
 #[derive(Debug)]
 struct Router {
     history: History,
-    /// The loads that it heard of, by router.
-    heard: Vec<Told>,
+    /// The last load received from each router.
+    peer_loads: Vec<PeerLoad>,
     budget: RetryBudget,
-    ejection: OutlierDetector,
+    outlier_detector: OutlierDetector,
     engines: Vec<usize>,
 }
 
-/// What differs between variants of the policy.
+/// Settings of the policy.
 #[derive(Clone, Debug, Default)]
 pub struct Settings {
-    /// Placement.
+    /// Settings of placement.
     pub placement: placement::Settings,
-    /// Admission.
+    /// Settings of admission.
     pub admission: admission::Settings,
-    /// Retries and ejection.
+    /// Settings of retries and outlier detection.
     pub recovery: recovery::Settings,
 }
 
@@ -123,37 +122,40 @@
     owned: Vec<Owned>,
     routers: Vec<Router>,
     plans: BTreeMap<usize, Plan>,
-    /// The engines that have failed a request.
+    /// The engines that have failed each request.
     failures: BTreeMap<usize, Vec<usize>>,
-    /// Attempts that were offered and have not ended, with their engines.
+    /// The engine of each attempt that was offered and has not ended.
     offered: BTreeMap<request::Attempt, usize>,
-    /// Those of them that were sent to their engine.
+    /// The offered attempts that were sent to their engine.
     sent: BTreeSet<request::Attempt>,
     workspaces: Vec<workspace::Id>,
 }
 
 impl Chosen {
-    /// Owners without requests.
+    /// Creates routers and owners without requests.
     pub fn new(core: &Core<Event>, settings: Settings) -> Self {
         let owners = owners(core);
         let owned = owners.iter().map(|owner| Owned {
             owner: *owner,
             admission: admission::Server::new(settings.admission.clone(), Instant::ZERO),
-            bounded: admission::Bound::default(),
-            warmth: CacheIndex::new(settings.placement.clone()),
-            reports: 0,
-            events: 0,
+            applied_bound: admission::Bound::default(),
+            cache_index: CacheIndex::new(settings.placement.clone()),
+            last_report_seq: 0,
+            last_event_number: 0,
             pending: Vec::new(),
-            away_until: Instant::ZERO,
-            detected: 0,
+            avoided_until: Instant::ZERO,
+            detected_boot: 0,
             boot: 0,
             closed: None,
         });
         let routers = (0..core.deployment.routers).map(|router| Router {
-            history: History::new(settings.placement.clone(), core.known(router).clone()),
-            heard: vec![Told::default(); core.deployment.routers],
+            history: History::new(
+                settings.placement.clone(),
+                core.router_topology(router).clone(),
+            ),
+            peer_loads: vec![PeerLoad::default(); core.deployment.routers],
             budget: RetryBudget::new(settings.recovery.clone(), Instant::ZERO),
-            ejection: ejection(&settings.recovery, core.known(router)),
+            outlier_detector: outlier_detector(&settings.recovery, core.router_topology(router)),
             engines: (0..owners.len())
                 .filter(|engine| owners[*engine] == router)
                 .collect(),
@@ -174,7 +176,7 @@
     }
 }
 
-/// The engines that may get work.
+/// The engines eligible for new requests, with their zones.
 fn pool(topology: &Topology) -> Vec<(backend::Server, availability::Zone)> {
     let members = topology.eligible();
     members
@@ -182,13 +184,13 @@
         .collect()
 }
 
-fn ejection(settings: &recovery::Settings, topology: &Topology) -> OutlierDetector {
-    let mut ejection = OutlierDetector::new(settings.clone());
-    ejection.set_servers(pool(topology));
-    ejection
+fn outlier_detector(settings: &recovery::Settings, topology: &Topology) -> OutlierDetector {
+    let mut outlier_detector = OutlierDetector::new(settings.clone());
+    outlier_detector.set_servers(pool(topology));
+    outlier_detector
 }
 
-/// The owner of each engine.
+/// The index of the owner of each engine.
 fn owners(core: &Core<Event>) -> Vec<usize> {
     let zone = |zone: usize| {
         format!("zone-{zone}")
@@ -206,7 +208,7 @@
             let zone = zone(core.engine_zone(engine));
             let candidates = routers.iter().map(|(host, zone)| (host, zone));
             let owner = fleet::owner(&core.names[engine], &zone, candidates);
-            let owner = owner.expect("there are routers");
+            let owner = owner.expect("at least one router");
             let position = routers.iter().position(|(host, _)| host == owner);
             position.expect("the owner is one of the routers")
         })
@@ -219,12 +221,12 @@
     fn start(&mut self, core: &mut Core<Event>) {
         for engine in 0..self.owned.len() {
             let phase = Duration::from_secs_f64(core.random.unit());
-            core.push(Instant::ZERO + phase, Event::Ask(engine));
+            core.push(Instant::ZERO + phase, Event::PollLoad(engine));
             core.push(Instant::ZERO + phase, Event::Tick(engine));
         }
         for router in 0..self.routers.len() {
             let phase = Duration::from_secs_f64(core.random.unit());
-            core.push(Instant::ZERO + phase, Event::Beat(router));
+            core.push(Instant::ZERO + phase, Event::Heartbeat(router));
         }
     }
 
@@ -249,19 +251,19 @@
         let outcome = admission::Outcome::Failed;
         let actions = owned.admission.finish(failure.attempt, outcome, now);
         if failure.verdict == Verdict::NotRun {
-            owned.away_until = now + AWAY;
+            owned.avoided_until = now + AVOID_DURATION;
         }
-        self.act(core, failure.engine, actions, now);
+        self.apply_actions(core, failure.engine, actions, now);
         let failures = self.failures.entry(request).or_default();
         failures.push(failure.engine);
         let entry = usize::from(core.arrivals[request].router);
         let router = &mut self.routers[entry];
         router
-            .ejection
+            .outlier_detector
             .record_failure(&core.names[failure.engine], now);
         let workspace = &self.workspaces[usize::from(core.arrivals[request].workspace)];
         let code = Code::BackendFailed;
-        let asked = recovery::Failure {
+        let retry_request = recovery::Failure {
             workspace,
             cause: match failure.verdict {
                 Verdict::NotRun => recovery::Cause::Unreachable,
@@ -273,14 +275,14 @@
             },
             idempotent: true,
             response_started: false,
-            attempts: core.stats.requests[request].sent,
+            attempts: core.stats.requests[request].attempts_sent,
             refusals: 0,
             candidates: 1,
-            deadline: core.arrivals[request].at + TIMEOUT,
+            deadline: core.arrivals[request].at + REQUEST_TIMEOUT,
         };
         let settings = &self.settings.recovery;
-        match recovery::Retry::decide(asked, settings, &mut router.budget, now) {
-            recovery::Retry::Next => self.deny(core, request, failure.engine, now),
+        match recovery::Retry::decide(retry_request, settings, &mut router.budget, now) {
+            recovery::Retry::Next => self.decline(core, request, failure.engine, now),
             recovery::Retry::GiveUp(_) => self.give_up(core, request),
         }
     }
@@ -298,60 +300,68 @@
         self.sent.remove(&attempt);
         let entry = usize::from(core.arrivals[Core::<Event>::request(attempt)].router);
         let server = &core.names[engine];
-        self.routers[entry].ejection.record_success(server, now);
+        self.routers[entry]
+            .outlier_detector
+            .record_success(server, now);
         let owned = &mut self.owned[engine];
         let tokens = run.job.prompt + run.job.output;
-        owned.warmth.record_served(run.job.chat, tokens, now);
+        owned.cache_index.record_served(run.job.chat, tokens, now);
         let outcome = admission::Outcome::Completed {
             first_token_at: run.first_token_at,
             ended_at: now,
         };
         let actions = owned.admission.finish(attempt, outcome, now);
-        self.act(core, engine, actions, now);
+        self.apply_actions(core, engine, actions, now);
     }
 
-    fn learned(&mut self, core: &mut Core<Event>, router: usize, now: Instant) {
-        let topology = core.known(router).clone();
+    fn topology_changed(&mut self, core: &mut Core<Event>, router: usize, now: Instant) {
+        let topology = core.router_topology(router).clone();
         let pool = pool(&topology);
-        self.routers[router].ejection.set_servers(pool);
+        self.routers[router].outlier_detector.set_servers(pool);
         self.routers[router].history.replace(topology, now);
         for engine in self.routers[router].engines.clone() {
-            let eligible = core.known(router).is_eligible(&core.names[engine]);
+            let eligible = core
+                .router_topology(router)
+                .is_eligible(&core.names[engine]);
             let actions = if eligible {
                 self.open(engine, now)
             } else {
                 self.close(engine)
             };
-            self.act(core, engine, actions, now);
+            self.apply_actions(core, engine, actions, now);
         }
     }
 
     fn handle(&mut self, core: &mut Core<Event>, event: Event, now: Instant) {
         match event {
-            Event::Offer(request, candidate) => self.offered(core, request, &candidate, now),
-            Event::Denied(request) => self.offer_next(core, request, now),
+            Event::Offer(request, candidate) => self.handle_offer(core, request, &candidate, now),
+            Event::Declined(request) => self.offer_next(core, request, now),
             Event::FirstToken(attempt, engine) => {
                 if self.offered.get(&attempt) == Some(&engine) {
                     let actions = self.owned[engine].admission.first_token(attempt, now);
-                    self.act(core, engine, actions, now);
+                    self.apply_actions(core, engine, actions, now);
                 }
             }
-            Event::Impatient(attempt, engine) => self.impatient(core, attempt, engine, now),
-            Event::Ask(engine) => self.ask(core, engine, now),
-            Event::Answer(engine, report, events) => {
-                self.answered(core, engine, report, events, now);
+            Event::QueueTimeout(attempt, engine) => {
+                self.queue_timed_out(core, attempt, engine, now)
+            }
+            Event::PollLoad(engine) => self.poll_load(core, engine, now),
+            Event::LoadReport(engine, report, events) => {
+                self.apply_load_report(core, engine, report, events, now);
             }
             Event::Tick(engine) => {
-                self.note_detection(core, engine, now);
-                let mut actions = self.rebound(engine, now);
+                self.record_cold_detection(core, engine, now);
+                let mut actions = self.update_bound(engine, now);
                 actions.extend(self.owned[engine].admission.tick(now));
-                self.act(core, engine, actions, now);
+                self.apply_actions(core, engine, actions, now);
                 if now < core.until() {
-                    core.push(now + TICK_EVERY, Event::Tick(engine));
+                    core.push(now + TICK_INTERVAL, Event::Tick(engine));
                 }
             }
-            Event::Beat(router) => self.beat(core, router, now),
-            Event::Hear(router, from, told) => self.hear(router, from, told),
+            Event::Heartbeat(router) => self.send_heartbeat(core, router, now),
+            Event::ReceiveLoad(router, from, peer_load) => {
+                self.record_peer_load(router, from, peer_load)
+            }
         }
     }
 }
--- a/crates/bench/src/run.rs
+++ b/crates/bench/src/run.rs
@@ -1,4 +1,4 @@
-//! One run of one policy.
+//! Runs one policy on one case.
 
 use units::time::Instant;
 
@@ -13,39 +13,39 @@
         owned::{self, Chosen},
     },
     script::Script,
+    simulation::{Core, Simulation},
     stats::Stats,
     workload::{self, Arrival},
-    world::{Core, World},
 };
 
-/// The requests and faults that every policy gets.
+/// The requests and faults that every policy is measured with.
 #[derive(Clone, Debug)]
 pub struct Case {
-    /// What is measured.
+    /// The deployment to simulate.
     pub deployment: Deployment,
     /// The requests.
     pub arrivals: Vec<Arrival>,
-    /// What an oracle would reuse of each.
+    /// Prompt tokens of each request that the oracle would have cached.
     pub oracle: Vec<u32>,
-    /// The faults.
+    /// Faults and operator changes.
     pub script: Script,
-    /// The settings of placement for the product's policy.
+    /// Placement settings of the `chosen` policy.
     pub placement: placement::Settings,
     /// How long each router takes to apply a revision, in seconds.
-    pub spread: Vec<f64>,
-    /// The seed.
+    pub apply_delays: Vec<f64>,
+    /// Seed of all random draws.
     pub seed: u64,
-    /// When it ends.
+    /// When the run ends.
     pub until: Instant,
 }
 
 impl Case {
-    /// Draws the requests.
+    /// Draws the requests and computes the cache hits of the oracle.
     pub fn new(
         deployment: Deployment,
         plan: &workload::Plan,
         script: Script,
-        spread: Vec<f64>,
+        apply_delays: Vec<f64>,
     ) -> Self {
         let arrivals = workload::draw(&deployment, plan);
         Self {
@@ -53,14 +53,14 @@
             deployment,
             arrivals,
             script,
-            spread,
+            apply_delays,
             placement: placement::Settings::default(),
             seed: plan.seed,
             until: plan.until,
         }
     }
 
-    /// Lets `policy` serve the requests.
+    /// Simulates the case with `policy`.
     pub fn run(&self, policy: policy::Name) -> Stats {
         match policy {
             policy::Name::Chosen => self.chosen(),
@@ -83,25 +83,25 @@
             ..owned::Settings::default()
         };
         let policy = Chosen::new(&core, settings);
-        World::new(core, policy, &self.script).run().0
+        Simulation::new(core, policy, &self.script).run().0
     }
 
     fn entry(&self) -> Stats {
         let core: Core<entry::Event> = self.core();
         let policy = Entry::new(&core);
-        World::new(core, policy, &self.script).run().0
+        Simulation::new(core, policy, &self.script).run().0
     }
 
     fn direct<C: Choice>(&self, choice: C) -> Stats {
         let core: Core<direct::Event> = self.core();
         let policy = Direct::new(choice, self.deployment.routers, self.deployment.engines);
-        World::new(core, policy, &self.script).run().0
+        Simulation::new(core, policy, &self.script).run().0
     }
 
     fn core<E>(&self) -> Core<E> {
         let deployment = self.deployment.clone();
         let mut core = Core::new(deployment, self.arrivals.clone(), self.seed, self.until);
-        core.set_spread(self.spread.clone());
+        core.set_apply_delays(self.apply_delays.clone());
         core
     }
 }
--- a/crates/bench/src/suite.rs
+++ b/crates/bench/src/suite.rs
@@ -1,4 +1,4 @@
-//! All scenarios in all deployments.
+//! Runs the selected scenarios for the selected deployments.
 
 use std::{
     sync::atomic::{AtomicUsize, Ordering},
@@ -12,20 +12,20 @@
     scenario::{Pace, Setting},
 };
 
-/// What is run.
+/// Settings of a benchmark run.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Whether stretches are shorter and policies fewer.
+    /// Whether to use shorter periods and fewer policies.
     pub quick: bool,
-    /// The seed.
+    /// Seed of all random draws.
     pub seed: u64,
-    /// The only deployment, if not all.
+    /// Runs only this deployment. All by default.
     pub deployment: Option<String>,
-    /// The only scenario, if not all.
+    /// Runs only this scenario. All by default.
     pub scenario: Option<String>,
-    /// The settings of placement for the product's policy.
+    /// Placement settings of the `chosen` policy.
     pub placement: placement::Settings,
-    /// Runs side by side.
+    /// Number of worker threads.
     pub threads: usize,
 }
 
@@ -86,7 +86,8 @@
     }
 }
 
-/// Runs what `settings` ask for. The order of the figures is always the same.
+/// Runs the selected scenarios. The order of the figures does not depend on the number
+/// of threads.
 pub fn run(settings: &Settings) -> Vec<Figure> {
     let mut figures = Vec::new();
     let mut jobs = Vec::new();
@@ -100,19 +101,19 @@
             pace: pace(&deployment, settings.quick),
             seed: settings.seed,
             placement: settings.placement.clone(),
-            spread: traffic.applied.clone(),
+            apply_delays: traffic.applied.clone(),
             deployment,
         };
-        if wanted(settings, "control") {
+        if is_selected(settings, "control") {
             figures.extend(setting.control(&traffic));
         }
         jobs.extend(jobs_of(settings, &setting));
     }
-    figures.extend(work(&jobs, settings.threads));
+    figures.extend(run_jobs(&jobs, settings.threads));
     figures
 }
 
-fn wanted(settings: &Settings, scenario: &str) -> bool {
+fn is_selected(settings: &Settings, scenario: &str) -> bool {
     let chosen = settings.scenario.as_deref();
     chosen.is_none_or(|name| name == scenario)
 }
@@ -141,12 +142,13 @@
 
 type Job = (Scenario, Setting, Name);
 
-/// A zone's slice has no second zone, and its other scenarios take too long.
+/// The jobs of one deployment. A large deployment runs only the steady scenario: it has
+/// a single zone, and its other scenarios take too long.
 fn jobs_of(settings: &Settings, setting: &Setting) -> Vec<Job> {
     let large = setting.deployment.engines > 100;
     let mut jobs = Vec::new();
     for scenario in Scenario::ALL {
-        if !wanted(settings, scenario.name()) || (large && scenario != Scenario::Steady) {
+        if !is_selected(settings, scenario.name()) || (large && scenario != Scenario::Steady) {
             continue;
         }
         for policy in Name::ALL {
@@ -159,8 +161,8 @@
     jobs
 }
 
-/// Works off `jobs` side by side, the longest first.
-fn work(jobs: &[Job], threads: usize) -> Vec<Figure> {
+/// Runs `jobs` on several threads, starting with the most expensive ones.
+fn run_jobs(jobs: &[Job], threads: usize) -> Vec<Figure> {
     let mut order: Vec<usize> = (0..jobs.len()).collect();
     order.sort_by_key(|&index| {
         let (_, setting, policy) = &jobs[index];
@@ -168,7 +170,7 @@
         std::cmp::Reverse((setting.deployment.chats, chosen))
     });
     let next = AtomicUsize::new(0);
-    let take = || {
+    let run_next_jobs = || {
         let mut done = Vec::new();
         while let Some(&index) = order.get(next.fetch_add(1, Ordering::Relaxed)) {
             let (scenario, setting, policy) = &jobs[index];
@@ -177,10 +179,12 @@
         done
     };
     let mut done: Vec<(usize, Vec<Figure>)> = thread::scope(|scope| {
-        let workers: Vec<_> = (0..threads.max(1)).map(|_| scope.spawn(take)).collect();
+        let workers: Vec<_> = (0..threads.max(1))
+            .map(|_| scope.spawn(run_next_jobs))
+            .collect();
         let joined = workers.into_iter().map(|worker| worker.join());
         joined
-            .flat_map(|done| done.expect("a run does not panic"))
+            .flat_map(|done| done.expect("a worker thread that does not panic"))
             .collect()
     });
     done.sort_by_key(|(index, _)| *index);
--- a/crates/bench/tests/suite.rs
+++ b/crates/bench/tests/suite.rs
@@ -1,9 +1,10 @@
-//! The benchmark itself: repeatable figures, bounds that fail, fakes that behave.
+//! Tests the benchmark: reproducible figures, bounds that detect regressions, and
+//! simulated engines that behave like real ones.
 
 use bench::{
     bounds::Bounds,
     cache::Cache,
-    engine::{self, Engine, Job, Taken},
+    engine::{self, Engine, Job, Submission},
     figure::Figure,
     policy::Name,
     suite,
@@ -19,8 +20,8 @@
     }
 }
 
-// A figure that differs between two runs of the same seed cannot show what a
-// change did, and a bound on it fails now and then for no reason.
+// If two runs of the same seed gave different figures, the effect of a change could not
+// be measured and bounds would fail at random.
 #[test]
 fn the_same_seed_gives_the_same_figures() {
     let run = |threads| {
@@ -34,10 +35,10 @@
     assert_eq!(one, other);
 }
 
-// Operators take a zone out and put it back while its requests run. No caller
-// may lose an answer or be refused, since the other zones have room.
+// Operators take a zone out of service and return it while requests run. No request may
+// be lost or refused, since the other zones have capacity.
 #[test]
-fn a_zone_goes_out_and_comes_back_without_a_lost_answer() {
+fn excluding_and_restoring_a_zone_loses_no_response() {
     let figures = suite::run(&settings("zone"));
     let value = |measure: &str| {
         let mut own = figures
@@ -51,7 +52,7 @@
     assert!(value("zone_out_s").is_some_and(|seconds| seconds < 3.0));
 }
 
-// A bound that never fails would let a regression pass unseen.
+// A bound that never fails would hide regressions.
 #[test]
 fn a_figure_beyond_its_bound_is_a_regression() {
     let bounds = Bounds::parse(
@@ -86,31 +87,31 @@
     }
 }
 
-// An engine that has just started falls over under the load of a warm one. If
-// the fake bore it, the benchmark would not show a policy that overloads it.
+// An engine that has just started crashes under the load of a warm one. Otherwise the
+// benchmark would not penalize a policy that overloads cold engines.
 #[test]
-fn a_cold_engine_falls_over_under_full_load_and_a_warm_one_does_not() {
+fn a_cold_engine_crashes_under_full_load_and_a_warm_one_does_not() {
     let mut warm = Engine::new(engine::Settings::default());
     let mut cold = Engine::new(engine::Settings::default());
     cold.crash();
     cold.start(Instant::from_millis(1));
     let now = Instant::from_millis(2);
     let lost = |engine: &mut Engine| {
-        (0..60).any(|number| matches!(engine.take(job(number), now), Taken::Lost(_)))
+        (0..60).any(|number| matches!(engine.submit(job(number), now), Submission::Lost(_)))
     };
     assert!(!lost(&mut warm));
     assert!(lost(&mut cold));
     assert!(!cold.is_up());
 }
 
-// The oracle and the engines reuse from the same kind of cache. One that kept
-// more than it may would make every policy look better than it is.
+// The oracle and the engines use the same cache. If it exceeded its capacity, the
+// figures of every policy would be too good.
 #[test]
-fn a_cache_keeps_the_latest_within_its_capacity() {
+fn a_cache_over_capacity_evicts_the_least_recently_used() {
     let mut cache = Cache::new(1000);
     for number in 0..100 {
         cache.store(chat::Key(number), 100);
-        assert!(cache.held() <= 1000);
+        assert!(cache.total_tokens() <= 1000);
     }
     assert_eq!(cache.cached(chat::Key(99)), 100);
     assert_eq!(cache.cached(chat::Key(89)), 0);
--- a/scripts/lib/fleet.sh
+++ b/scripts/lib/fleet.sh
@@ -1,48 +1,49 @@
-# Functions to start the whole system on this machine. Sourced by the scripts that
-# do; it sets traps, so that whatever ends a script ends what it started.
+# Functions that start the whole system on this machine, to be sourced by scripts. Sets
+# traps that stop the started processes whenever the script ends.
 #
-# What is running: address[NAME], pid[NAME], and the names in their order in order[].
+# The state of the processes: address[NAME], pid[NAME], and processes[], which holds the
+# names in the order of their start.
 # shellcheck shell=bash
 
 readonly ZONES=(lk-west-a lk-west-b lk-west-c)
 readonly ENGINES_PER_ZONE=4
 readonly ROUTERS_PER_ZONE=2
 readonly WORKSPACES=(north harbour mill quarry docks ferry garage print paint depot)
-# Where the programs are.
+# The folder of the executables.
 BIN=${BIN:-$PWD/target/debug}
 
 logs="$(mktemp -d -t sesameweir-XXXXXXXX)"
 keep=false
 declare -A pid address
-order=()
+processes=()
 hosts=()
 routers=()
 services=()
 
-# wait_for_end ID: a process that does not end within 10 seconds is killed.
+# wait_for_end ID: waits for a process to exit and kills it after 10 seconds.
 wait_for_end() {
   local wait
   for wait in $(seq 100); do
     kill -0 "$1" 2>/dev/null || return 0
     sleep 0.1
   done
-  echo "process $1 did not end when it was asked to" >&2
+  echo "process $1 did not exit within 10 s of SIGTERM; sending SIGKILL" >&2
   kill -KILL "$1" 2>/dev/null || true
 }
 
-# Ends the processes that this script started, by their ids.
-finish() {
+# Stops the processes that this script started, by their ids.
+cleanup() {
   local status=$?
   trap - EXIT
   if $keep && [ "$status" -eq 0 ]; then
     exit 0
   fi
   local name
-  for name in "${order[@]}"; do
-    # A stopped process does not see the signal to end before it goes on.
+  for name in "${processes[@]}"; do
+    # A process stopped by SIGSTOP handles SIGTERM only after SIGCONT.
     kill "${pid[$name]}" 2>/dev/null && kill -CONT "${pid[$name]}" 2>/dev/null || true
   done
-  for name in "${order[@]}"; do
+  for name in "${processes[@]}"; do
     wait_for_end "${pid[$name]}"
   done
   if [ "$status" -eq 0 ]; then
@@ -52,7 +53,7 @@
   fi
   exit "$status"
 }
-trap finish EXIT
+trap cleanup EXIT
 trap 'exit 130' INT TERM
 
 fail() {
@@ -60,26 +61,26 @@
   exit 1
 }
 
-# joined WORDS...: the words with commas between them.
-joined() {
+# join_by_comma WORDS...: prints the words separated by commas.
+join_by_comma() {
   local IFS=,
   echo "$*"
 }
 
-# launch NAME COMMAND...: starts a process and waits until it prints its address.
-# Fails when the process ends first.
+# launch NAME COMMAND...: starts a process and waits up to 10 seconds until it prints its
+# address. Fails if the process exits before that.
 launch() {
   local name=$1 wait
   shift
   : >"$logs/$name.out"
   "$@" >>"$logs/$name.out" 2>>"$logs/$name.log" </dev/null &
   pid[$name]=$!
-  # Whoever kills it on purpose need not read about it.
+  # Keeps the shell from printing a message when a script kills the process.
   disown "${pid[$name]}" 2>/dev/null || true
   for wait in $(seq 200); do
     address[$name]=$(sed -n 's/^listening=//p' "$logs/$name.out")
     if [ -n "${address[$name]}" ]; then
-      order+=("$name")
+      processes+=("$name")
       return 0
     fi
     kill -0 "${pid[$name]}" 2>/dev/null || return 1
@@ -93,15 +94,15 @@
   launch "$@" || fail "$1 did not start: $(tail -n 3 "$logs/$1.log")"
 }
 
-# host NAME ZONE ADDRESS ROLE [POOL]: adds an entry to the platform's list of hosts.
-host() {
+# add_host NAME ZONE ADDRESS ROLE [POOL]: adds an entry to the platform's list of hosts.
+add_host() {
   local pool=""
   [ -z "${5:-}" ] || pool=",\"pool\":\"$5\""
   hosts+=("{\"name\":\"$1\",\"zone\":\"$2\",\"address\":\"$3\",\"role\":\"$4\"$pool,\"state\":\"live\"}")
 }
 
-# http METHOD ADDRESS PATH [BODY [HEADER...]]: prints the body of the answer, and its
-# head too if headers=yes.
+# http METHOD ADDRESS PATH [BODY [HEADER...]]: sends a request and prints the response
+# body, preceded by the status line and headers if headers=yes.
 http() {
   local method=$1 to=$2 path=$3 body=${4:-} header
   exec 3<>"/dev/tcp/${to%:*}/${to##*:}"
@@ -120,22 +121,24 @@
   exec 3<&-
 }
 
-# launch_router NAME ZONE: a router's peer address is listed with the platform
-# before it is asked for, so the port is drawn here; where it is taken, again.
+# launch_router NAME ZONE: starts a router and adds it to the list of hosts. The list
+# holds the router's peer address, so this function chooses the port, at random. If the
+# router does not start, for example because the port is in use, it tries another port,
+# up to 20 times in all.
 launch_router() {
   local name=$1 zone=$2 peer try
   for try in $(seq 20); do
     peer="127.0.0.1:$((10000 + RANDOM % 20000))"
     if launch "$name" "$BIN/weir-router" --host "$name" --zone "$zone" \
       --listen 127.0.0.1:0 --peer "$peer" --platform "${address[platform]}" --leave-ms 1000; then
-      host "$name" "$zone" "$peer" router
+      add_host "$name" "$zone" "$peer" router
       return
     fi
   done
   fail "$name did not start: $(tail -n 3 "$logs/$name.log")"
 }
 
-# Prints the resources of the fleet as a file for weirctl.
+# Prints the resources of the deployment as TOML for weirctl apply.
 resources() {
   printf '[[zone]]\nname = "%s"\n' "${ZONES[@]}"
   printf '[[workspace]]\nname = "%s"\n' "${WORKSPACES[@]}"
@@ -168,7 +171,7 @@
 }
 
 list_hosts() {
-  http PUT "${address[platform]}" /hosts "{\"hosts\":[$(joined "${hosts[@]}")]}" >/dev/null
+  http PUT "${address[platform]}" /hosts "{\"hosts\":[$(join_by_comma "${hosts[@]}")]}" >/dev/null
 }
 
 new_fleet_key() {
@@ -176,23 +179,23 @@
   export WEIR_FLEET_KEY WEIR_LOG=${WEIR_LOG:-info}
 }
 
-# Declares the resources and waits until they are in force on all routers.
+# Applies the resources and waits until they are in force on all routers.
 declare_resources() {
   local id try
   resources >"$logs/resources.toml"
   id="fleet-$RANDOM$RANDOM"
-  # An administration that has just started may not have read the table yet, and
-  # says when to come back.
+  # An administration server that has just started refuses changes with a retry time
+  # until it has read the table.
   for try in $(seq 10); do
     "$BIN/weirctl" apply -f "$logs/resources.toml" --id "$id" && break
-    [ "$try" -lt 10 ] || fail "the resources are not accepted"
+    [ "$try" -lt 10 ] || fail "weirctl apply failed 10 times; the resources were not accepted"
     sleep 1
   done
   "$BIN/weirctl" watch --until-in-force --timeout 30 >"$logs/watch.out" ||
     fail "the resources are not in force: $(tail -n 3 "$logs/watch.out")"
 }
 
-# Starts everything and waits until the resources are in force.
+# Starts all processes and waits until the resources are in force.
 start_fleet() {
   local zone number
   new_fleet_key
@@ -200,10 +203,10 @@
   for zone in "${ZONES[@]}"; do
     for ((number = 1; number <= ENGINES_PER_ZONE; number++)); do
       must_launch "engine-$zone-$number" "$BIN/weir-standin" engine --cold-requests 4 --poison drill-poison
-      host "engine-$zone-$number" "$zone" "${address[engine-$zone-$number]}" backend weir-llm
+      add_host "engine-$zone-$number" "$zone" "${address[engine-$zone-$number]}" backend weir-llm
     done
     must_launch "service-$zone" "$BIN/weir-standin" service
-    host "service-$zone" "$zone" "${address[service-$zone]}" backend collect-api
+    add_host "service-$zone" "$zone" "${address[service-$zone]}" backend collect-api
     services+=("${address[service-$zone]}")
   done
   for zone in "${ZONES[@]}"; do
@@ -214,40 +217,40 @@
   done
   list_hosts
   must_launch admin "$BIN/weir-admin" --listen 127.0.0.1:0 --platform "${address[platform]}" \
-    --routers "$(joined "${routers[@]}")"
+    --routers "$(join_by_comma "${routers[@]}")"
   export WEIR_ADMIN=${address[admin]}
   declare_resources
 }
 
-# start_load MILLISECONDS [FLAGS...]: starts the callers, for finish_load to wait for.
+# start_load MILLISECONDS [FLAGS...]: starts the load tool in the background; finish_load waits for it.
 start_load() {
   local duration=$1
   shift
-  load_began=$SECONDS
-  "$BIN/weir-load" --routers "$(joined "${routers[@]}")" --ledgers "$(joined "${services[@]}")" \
-    --workspaces "$(joined "${WORKSPACES[@]}")" --duration-ms "$duration" --chats 60 "$@" \
+  load_started_at=$SECONDS
+  "$BIN/weir-load" --routers "$(join_by_comma "${routers[@]}")" --ledgers "$(join_by_comma "${services[@]}")" \
+    --workspaces "$(join_by_comma "${WORKSPACES[@]}")" --duration-ms "$duration" --chats 60 "$@" \
     >"$logs/load.out" 2>"$logs/load.log" &
   pid[load]=$!
-  order+=(load)
+  processes+=(load)
 }
 
 finish_load() {
   wait "${pid[load]}"
 }
 
-# until_second N: sleeps until that second of the load.
-until_second() {
-  local left=$(($1 - (SECONDS - load_began)))
-  [ "$left" -le 0 ] || sleep "$left"
+# sleep_until_second N: sleeps until N seconds after the start of the load.
+sleep_until_second() {
+  local remaining=$(($1 - (SECONDS - load_started_at)))
+  [ "$remaining" -le 0 ] || sleep "$remaining"
 }
 
-# say TEXT: what is done, with the second of the load.
-say() {
-  echo "second $((SECONDS - load_began)): $*"
+# log_step TEXT: prints the text with the seconds since the start of the load.
+log_step() {
+  echo "second $((SECONDS - load_started_at)): $*"
 }
 
-# begun_in ZONE: the requests that its engines have begun.
-begun_in() {
+# started_in ZONE: prints the number of requests that the engines of the zone have started.
+started_in() {
   local sum=0 count number
   for ((number = 1; number <= ENGINES_PER_ZONE; number++)); do
     count=$(http GET "${address[engine-$1-$number]}" /counters)
@@ -257,10 +260,10 @@
   echo "$sum"
 }
 
-# Prints how many backend servers ended by themselves.
-fallen() {
+# Prints the number of processes, without the load tool, that logged a crash.
+count_crashed() {
   local name count=0
-  for name in "${order[@]}"; do
+  for name in "${processes[@]}"; do
     if [ "$name" != load ] && grep -q 'event=crashed' "$logs/$name.log"; then
       count=$((count + 1))
     fi
