--- a/crates/admin/tests/http.rs
+++ b/crates/admin/tests/http.rs
@@ -152,7 +152,9 @@
 #[tokio::test]
 async fn a_change_whose_response_was_lost_is_applied_once() {
     let fixture = start("").await;
-    fixture.platform.fault(Fault::LoseAnswer { count: Some(1) });
+    fixture
+        .platform
+        .set_fault(Fault::LoseAnswer { count: Some(1) });
     let change = workspace("landed", 2, 0);
     let first = fixture.post(&change).await;
     assert_eq!(StatusCode::OK, first.status);
@@ -168,13 +170,15 @@
 #[tokio::test]
 async fn a_change_of_unknown_outcome_is_not_reported_as_not_run() {
     let fixture = start("").await;
-    fixture.platform.fault(Fault::LoseAnswer { count: None });
+    fixture
+        .platform
+        .set_fault(Fault::LoseAnswer { count: None });
     let change = workspace("unsure", 2, 0);
     let first = fixture.post(&change).await;
     if first.status != StatusCode::OK {
         assert_eq!(Verdict::MayHaveRun, failure(&first).verdict);
     }
-    fixture.platform.fault(Fault::Normal);
+    fixture.platform.set_fault(Fault::Normal);
     let again = accepted(&fixture.post(&change).await);
     assert_eq!(Outcome::Repeated, again.outcome);
     assert_eq!(1, fixture.history().await.changes.len());
@@ -192,7 +196,7 @@
 async fn while_the_platform_is_down_reads_are_marked_stale_and_writes_are_refused(fault: Fault) {
     let fixture = start("").await;
     fixture.post(&workspace("before", 2, 0)).await;
-    fixture.platform.fault(fault);
+    fixture.platform.set_fault(fault);
     fixture
         .wait_until(async |fixture| fixture.list().await.freshness.platform == "down")
         .await;
@@ -216,7 +220,7 @@
     if fault == Fault::Crash {
         fixture.platform.restart().await.expect("restart");
     }
-    fixture.platform.fault(Fault::Normal);
+    fixture.platform.set_fault(Fault::Normal);
     fixture
         .wait_until(async |fixture| fixture.list().await.freshness.platform == "up")
         .await;
@@ -232,7 +236,7 @@
 async fn unresponsive_connections_are_replaced() {
     let fixture = start("").await;
     fixture.post(&workspace("before", 2, 0)).await;
-    fixture.platform.fault(Fault::SilentConnections);
+    fixture.platform.set_fault(Fault::SilentConnections);
     let change = workspace("after", 4, 1);
     let mut revision = None;
     for _ in 0..MAX_REPEATS {
--- a/crates/admin/tests/orders.rs
+++ b/crates/admin/tests/orders.rs
@@ -101,7 +101,7 @@
         .await
         .unwrap();
     let engine = engine::start(engine::Settings {
-        checks_fence: checks,
+        checks_fencing_token: checks,
         ..engine::Settings::default()
     });
     let engine = engine.await.unwrap();
@@ -145,7 +145,7 @@
     let engine = engine::start(engine::Settings::default()).await.unwrap();
     let process = process::start(&settings(&platform, "one")).await.unwrap();
     declare(&process, &engine, true).await;
-    platform.fault(Fault::Down);
+    platform.set_fault(Fault::Down);
     let order = json!({"server": "e1", "order": {"kind": "load", "model": "m"}});
     loop {
         let response = post(&process, "/v1/orders", &order).await;
--- a/crates/admin/tests/process.rs
+++ b/crates/admin/tests/process.rs
@@ -136,7 +136,7 @@
     {
         time::sleep(Duration::from_millis(5)).await;
     }
-    platform.fault(Fault::Slow { delay_ms: 5 });
+    platform.set_fault(Fault::Slow { delay_ms: 5 });
     for round in 1..=ROUNDS {
         let (now, next) = if round % 2 == 0 { (0, 1) } else { (1, 0) };
         let change = change(round, &list(&healthy).await);
@@ -159,7 +159,7 @@
         instance.signal("CONT");
     }
     // Writes in flight are committed or fail before the last change is committed.
-    platform.fault(Fault::Normal);
+    platform.set_fault(Fault::Normal);
     let last = change(ROUNDS + 1, &list(&healthy).await);
     let response = call(healthy.address(), Method::POST, "/v1/changes", &last).await;
     assert_eq!(StatusCode::OK, response.status, "{response:?}");
@@ -183,7 +183,7 @@
     while !is_ready().await {
         time::sleep(Duration::from_millis(5)).await;
     }
-    platform.fault(Fault::Slow { delay_ms: 200 });
+    platform.set_fault(Fault::Slow { delay_ms: 200 });
     let put = json!({"id": "last", "puts": [{"type": "zone", "name": "a"}]});
     let change = task::spawn(async move { call(address, Method::POST, "/v1/changes", &put).await });
     loop {
--- a/crates/audit/tests/archive.rs
+++ b/crates/audit/tests/archive.rs
@@ -115,14 +115,14 @@
         if let Some(count) = lost_responses {
             fixture
                 .platform
-                .fault(Fault::LoseAnswer { count: Some(count) });
+                .set_fault(Fault::LoseAnswer { count: Some(count) });
         }
         let moved = tokio::join!(fixture.compact(first_block), fixture.compact(second_block));
         assert_eq!(all, fixture.history(1, 100).await, "after {moved:?}");
         if matches!(moved, (Ok(0), Ok(0))) {
             break;
         }
-        fixture.platform.fault(Fault::Normal);
+        fixture.platform.set_fault(Fault::Normal);
     }
     assert!(fixture.changes_in_table().await < 10 + 8);
     assert_eq!(vec![3, 4, 5, 6], fixture.history(3, 4).await);
--- a/crates/ctl/tests/session.rs
+++ b/crates/ctl/tests/session.rs
@@ -240,7 +240,7 @@
     session.run("status").await;
 
     session.note("the platform is down");
-    platform.fault(Fault::Down);
+    platform.set_fault(Fault::Down);
     session
         .wait_until(|list| list.freshness.platform == "down")
         .await;
@@ -249,7 +249,7 @@
     session.run("history").await;
 
     session.note("the platform is up again");
-    platform.fault(Fault::Normal);
+    platform.set_fault(Fault::Normal);
     session
         .wait_until(|list| list.freshness.platform == "up")
         .await;
--- a/crates/gateway/tests/network/fetch.rs
+++ b/crates/gateway/tests/network/fetch.rs
@@ -69,7 +69,7 @@
     let link = Link::start(start_router(value.clone()).await)
         .await
         .expect("a listening socket");
-    link.limit(LINK_BYTES_PER_S);
+    link.set_rate(LINK_BYTES_PER_S);
     let result = fetch::request(link.address(), &key(), Versions::default()).await;
     let batches = result.expect("rows");
     let (_, batch) = &batches[0];
@@ -82,7 +82,7 @@
     let link = Link::start(start_router(incompressible(LARGE_VALUE_BYTES)).await)
         .await
         .expect("a listening socket");
-    link.limit(LINK_BYTES_PER_S);
+    link.set_rate(LINK_BYTES_PER_S);
     let known = Part::Rest.of(Versions::default());
     let batches = fetch::request(link.address(), &key(), known).await;
     let batches = batches.expect("rows");
@@ -104,7 +104,7 @@
 async fn concurrent_large_responses_are_limited() {
     let address = start_router(incompressible(LARGE_VALUE_BYTES)).await;
     let link = Link::start(address).await.expect("a listening socket");
-    link.limit(LINK_BYTES_PER_S);
+    link.set_rate(LINK_BYTES_PER_S);
     let all = Versions::default();
     let mut requests = JoinSet::new();
     for _ in 0..2 * fetch::MAX_LARGE_RESPONSES {
--- a/crates/load/src/booking.rs
+++ b/crates/load/src/booking.rs
@@ -29,7 +29,7 @@
         path: settings.booking_path.clone(),
         headers,
         body: Bytes::from(serde_json::json!({ "id": id }).to_string()),
-        expected: Expected::Confirmation(standin::answer::confirmation(id)),
+        expected: Expected::Confirmation(standin::payload::confirmation(id)),
     }
 }
 
--- a/crates/load/src/chat.rs
+++ b/crates/load/src/chat.rs
@@ -74,7 +74,7 @@
 /// The response that the stand-in engine gives to `messages`.
 fn expected_response(settings: &Settings, messages: &[Message]) -> String {
     let prompt = messages.last().map_or("", |m| m.content.as_str());
-    standin::answer::text(prompt, settings.tokens)
+    standin::payload::text(prompt, settings.tokens)
 }
 
 /// Simulates a caller that holds one chat after another until `end`.
--- a/crates/load/src/lookup.rs
+++ b/crates/load/src/lookup.rs
@@ -26,7 +26,7 @@
         method: Method::GET,
         headers: traffic::headers(settings, workspace),
         body: Bytes::new(),
-        expected: Expected::Confirmation(standin::answer::confirmation(&path)),
+        expected: Expected::Confirmation(standin::payload::confirmation(&path)),
         path,
     }
 }
--- a/crates/load/tests/load/compare.rs
+++ b/crates/load/tests/load/compare.rs
@@ -23,6 +23,6 @@
         },
     };
     assert!(compare::run(&comparison).await.has_passed());
-    routed.fault(engine::Fault::Refuse { count: 1 });
+    routed.set_fault(engine::Fault::Refuse { count: 1 });
     assert!(!compare::run(&comparison).await.has_passed());
 }
--- a/crates/load/tests/load/router.rs
+++ b/crates/load/tests/load/router.rs
@@ -50,11 +50,11 @@
 }
 
 impl Application for Router {
-    async fn answer(
+    async fn handle(
         self: Arc<Self>,
         request: http::Request,
-        _connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
+        _connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
         let path = String::from(request.uri().path());
         if path == "/readyz" {
             return Ok(http::json(StatusCode::OK, &json!({})));
@@ -72,14 +72,14 @@
                 Ok(refusal("claim_taken", "may_have_run", Some(0)))
             }
             Script::RefuseThenConfirm { .. } | Script::ClaimTakenThenConfirm { .. } => {
-                let confirmation = standin::answer::confirmation(&path);
+                let confirmation = standin::payload::confirmation(&path);
                 Ok(http::json(
                     StatusCode::OK,
                     &json!({ "confirmation": confirmation }),
                 ))
             }
             Script::BadGateway => Ok(http::json(StatusCode::BAD_GATEWAY, &json!({}))),
-            Script::CloseConnection => Err(http::Cut),
+            Script::CloseConnection => Err(http::Disconnected),
         }
     }
 }
--- a/crates/load/tests/load/run.rs
+++ b/crates/load/tests/load/run.rs
@@ -72,7 +72,7 @@
 ) {
     let engine = engine::start(engine::Settings::default()).await.unwrap();
     if let Some(fault) = fault {
-        engine.fault(fault);
+        engine.set_fault(fault);
     }
     let settings = settings(engine.address());
     let message = chat::Message {
--- a/crates/router/tests/fleet/claims.rs
+++ b/crates/router/tests/fleet/claims.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::{answer, platform, service};
+use standin::{payload, platform, service};
 
 use crate::{
     client::Call,
@@ -22,7 +22,7 @@
         let again = cluster.wait_for(round % 2, &call, 200).await;
         assert_eq!(again.body, first.body);
     }
-    assert!(first.body.contains(&answer::confirmation("pickup")));
+    assert!(first.body.contains(&payload::confirmation("pickup")));
     assert_eq!(cluster.runs("pickup"), 1);
 }
 
@@ -43,7 +43,7 @@
             }
         }
         let later = cluster.wait_for(0, &call, 200).await;
-        assert!(later.body.contains(&answer::confirmation(&key)));
+        assert!(later.body.contains(&payload::confirmation(&key)));
         assert_eq!(cluster.runs(&key), 1);
     }
 }
@@ -59,7 +59,7 @@
     for service in &cluster.services {
         service
             .handle
-            .fault(service::Fault::LoseAnswer { count: Some(1) });
+            .set_fault(service::Fault::LoseAnswer { count: Some(1) });
     }
     let answer = cluster.send(0, &Call::booking("pickup")).await;
     assert_eq!(answer.error("verdict"), "may_have_run", "{}", answer.body);
@@ -77,7 +77,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn bookings_are_refused_at_once_while_the_platform_is_down() {
     let cluster = Cluster::start(Topology::default()).await;
-    cluster.platform.fault(platform::Fault::Down);
+    cluster.platform.set_fault(platform::Fault::Down);
     for round in 0..4 {
         let answer = cluster.send(round % 2, &Call::booking("pickup")).await;
         assert_eq!(answer.error("code"), "claim_unavailable", "{}", answer.body);
@@ -88,7 +88,7 @@
         .send_until_served(0, &Call::chat("c", "hello", 2))
         .await;
     assert_eq!(cluster.runs("pickup"), 0);
-    cluster.platform.fault(platform::Fault::Normal);
+    cluster.platform.set_fault(platform::Fault::Normal);
     cluster.wait_for(0, &Call::booking("pickup"), 200).await;
     assert_eq!(cluster.runs("pickup"), 1);
 }
@@ -103,13 +103,13 @@
         let key = format!("pickup-{round}");
         cluster
             .platform
-            .fault(platform::Fault::LoseAnswer { count: Some(1) });
+            .set_fault(platform::Fault::LoseAnswer { count: Some(1) });
         let answer = cluster.send(round % 2, &Call::booking(&key)).await;
         if answer.status != 200 {
             let verdict = answer.error("verdict");
             assert!(verdict == "not_run" || cluster.runs(&key) == 1);
         }
-        cluster.platform.fault(platform::Fault::Normal);
+        cluster.platform.set_fault(platform::Fault::Normal);
         cluster
             .wait_for(1 - round % 2, &Call::booking(&key), 200)
             .await;
@@ -130,7 +130,7 @@
     for service in &cluster.services {
         service
             .handle
-            .fault(service::Fault::LateAnswer { delay_ms: 3000 });
+            .set_fault(service::Fault::LateAnswer { delay_ms: 3000 });
     }
     let address = cluster.routers[0].address;
     let call = Call::booking("pickup");
@@ -153,7 +153,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_booking_that_did_not_run_can_be_sent_again() {
     let cluster = Cluster::start(Topology::one_zone()).await;
-    cluster.services[0].handle.fault(service::Fault::Crash);
+    cluster.services[0].handle.set_fault(service::Fault::Crash);
     let answer = cluster.send(0, &Call::booking("pickup")).await;
     assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
     cluster.services[0]
@@ -162,6 +162,6 @@
         .await
         .expect("it starts");
     let later = cluster.send_until_served(0, &Call::booking("pickup")).await;
-    assert!(later.body.contains(&answer::confirmation("pickup")));
+    assert!(later.body.contains(&payload::confirmation("pickup")));
     assert_eq!(cluster.runs("pickup"), 1);
 }
--- a/crates/router/tests/fleet/failures.rs
+++ b/crates/router/tests/fleet/failures.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::{answer, engine, platform, service};
+use standin::{engine, payload, platform, service};
 
 use crate::{
     client::Call,
@@ -48,7 +48,9 @@
     let caller = tokio::spawn(async move { call.send(address).await });
     let engine = busy_engine(&cluster).await;
     tokio::time::sleep(Duration::from_millis(200)).await;
-    cluster.engines[engine].handle.fault(engine::Fault::Crash);
+    cluster.engines[engine]
+        .handle
+        .set_fault(engine::Fault::Crash);
     let answer = caller.await.expect("no panic").expect("a response head");
     assert!(!answer.whole, "the connection must be reset");
     assert!(!answer.body.contains("[DONE]"));
@@ -61,7 +63,7 @@
     let next = cluster
         .send_until_served(1, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(next.text(), answer::text("hello", 3));
+    assert_eq!(next.text(), payload::text("hello", 3));
 }
 
 // An engine ends a stream early but closes the connection properly. Unless the
@@ -73,11 +75,13 @@
     let call = Call::stream("c", "hello", 20);
     cluster.send_until_served(0, &call).await;
     for engine in &cluster.engines {
-        engine.handle.fault(engine::Fault::ShortStream { count: 1 });
+        engine
+            .handle
+            .set_fault(engine::Fault::ShortStream { count: 1 });
     }
     let answer = cluster.send(0, &call).await;
     if answer.whole {
-        assert_eq!(answer.streamed_text(), answer::text("hello", 20));
+        assert_eq!(answer.streamed_text(), payload::text("hello", 20));
     } else {
         assert!(answer.body.contains(r#""verdict":"may_have_run""#));
     }
@@ -93,10 +97,10 @@
     cluster.send_until_served(0, &call).await;
     cluster.engines[0]
         .handle
-        .fault(engine::Fault::CutStream { count: 1 });
+        .set_fault(engine::Fault::CutStream { count: 1 });
     let answer = cluster.send(0, &call).await;
     assert!(answer.whole, "{}", answer.body);
-    assert_eq!(answer.streamed_text(), answer::text("hello", 20));
+    assert_eq!(answer.streamed_text(), payload::text("hello", 20));
 }
 
 // A network device between router and engine loses the state of open
@@ -118,14 +122,14 @@
     tokio::time::sleep(Duration::from_millis(200)).await;
     cluster.engines[engine]
         .handle
-        .fault(engine::Fault::SilentConnections);
+        .set_fault(engine::Fault::SilentConnections);
     let answer = caller.await.expect("no panic").expect("a response");
     assert!(answer.whole, "{}", answer.body);
-    assert_eq!(answer.streamed_text(), answer::text("hello", 60));
+    assert_eq!(answer.streamed_text(), payload::text("hello", 60));
     let again = cluster
         .send_until_served(0, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(again.text(), answer::text("hello", 3));
+    assert_eq!(again.text(), payload::text("hello", 3));
 }
 
 // All open connections to a service go silent while the service keeps running,
@@ -147,7 +151,7 @@
         .await;
     cluster.services[0]
         .handle
-        .fault(service::Fault::SilentConnections);
+        .set_fault(service::Fault::SilentConnections);
     let answer = cluster.send(0, &Call::booking("pickup")).await;
     if answer.status != 200 {
         assert_eq!(answer.error("verdict"), "may_have_run", "{}", answer.body);
@@ -168,10 +172,10 @@
         .await;
     cluster.engines[0]
         .handle
-        .fault(engine::Fault::CrossedAnswer { count: 1 });
+        .set_fault(engine::Fault::CrossedAnswer { count: 1 });
     let answer = cluster.send(0, &Call::chat("c", "mine", 3)).await;
     if answer.status == 200 {
-        assert_eq!(answer.text(), answer::text("mine", 3));
+        assert_eq!(answer.text(), payload::text("mine", 3));
     } else {
         assert_eq!(answer.error("code"), "bad_answer");
         assert_eq!(answer.error("verdict"), "may_have_run");
@@ -189,7 +193,7 @@
     for service in &cluster.services {
         service
             .handle
-            .fault(service::Fault::LoseAnswer { count: Some(1) });
+            .set_fault(service::Fault::LoseAnswer { count: Some(1) });
     }
     let answer = cluster.send(0, &Call::booking("pickup")).await;
     assert_eq!(answer.status, 502, "{}", answer.body);
@@ -206,12 +210,12 @@
         let call = Call::chat(&format!("c{chat}"), "hello", 3);
         cluster.send_until_served(0, &call).await;
     }
-    cluster.engines[0].handle.fault(engine::Fault::Crash);
+    cluster.engines[0].handle.set_fault(engine::Fault::Crash);
     for chat in 0..8 {
         let call = Call::chat(&format!("c{chat}"), "hello", 3);
         let answer = cluster.send(1, &call).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
-        assert_eq!(answer.text(), answer::text("hello", 3));
+        assert_eq!(answer.text(), payload::text("hello", 3));
     }
 }
 
@@ -233,7 +237,7 @@
         for chat in 0..4 {
             let call = Call::chat(&format!("c{chat}"), "hello", 3);
             let answer = cluster.send_until_served(router, &call).await;
-            assert_eq!(answer.text(), answer::text("hello", 3));
+            assert_eq!(answer.text(), payload::text("hello", 3));
         }
         cluster
             .send_until_served(router, &Call::booking(&format!("b{router}")))
@@ -298,13 +302,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn chats_are_served_while_the_platform_is_down() {
     let cluster = Cluster::start(Topology::default()).await;
-    cluster.platform.fault(platform::Fault::Down);
+    cluster.platform.set_fault(platform::Fault::Down);
     tokio::time::sleep(Duration::from_secs(3)).await;
     for router in 0..cluster.routers.len() {
         let answer = cluster
             .send_until_served(router, &Call::chat("c", "hello", 3))
             .await;
-        assert_eq!(answer.text(), answer::text("hello", 3));
+        assert_eq!(answer.text(), payload::text("hello", 3));
         cluster
             .send_until_served(router, &Call::get("/lookups/1"))
             .await;
@@ -317,13 +321,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_starts_during_an_outage_syncs_from_its_peers() {
     let mut cluster = Cluster::start(Topology::default()).await;
-    cluster.platform.fault(platform::Fault::Down);
+    cluster.platform.set_fault(platform::Fault::Down);
     cluster.start_router("router-0-1", &zone(0));
     cluster.wait_settled().await;
     let answer = cluster
         .send_until_served(2, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(answer.text(), answer::text("hello", 3));
+    assert_eq!(answer.text(), payload::text("hello", 3));
     cluster.send_until_served(2, &Call::get("/lookups/1")).await;
 }
 
@@ -360,7 +364,7 @@
         let good = cluster
             .send_until_served(round % 2, &Call::chat("good", "hello", 3))
             .await;
-        assert_eq!(good.text(), answer::text("hello", 3));
+        assert_eq!(good.text(), payload::text("hello", 3));
     }
     assert!(refused >= 7, "only {refused} of 10 were refused as suspect");
     let crashed: u64 = cluster
--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -124,7 +124,7 @@
     for service in &cluster.services {
         service
             .handle
-            .fault(service::Fault::LoseAnswer { count: Some(1) });
+            .set_fault(service::Fault::LoseAnswer { count: Some(1) });
     }
     session += &step(&cluster, 7, Call::booking("lost")).await;
     wait_until("the outcome is recorded as unknown", async || {
--- a/crates/router/tests/fleet/serving.rs
+++ b/crates/router/tests/fleet/serving.rs
@@ -1,6 +1,6 @@
 //! The whole path without failures.
 
-use standin::answer;
+use standin::payload;
 
 use crate::{
     client::Call,
@@ -14,22 +14,22 @@
         let whole = cluster
             .send_until_served(router, &Call::chat("c", "hello", 5))
             .await;
-        assert_eq!(whole.text(), answer::text("hello", 5));
+        assert_eq!(whole.text(), payload::text("hello", 5));
         let streamed = cluster
             .send_until_served(router, &Call::stream("c", "hello", 5))
             .await;
         assert!(streamed.whole);
-        assert_eq!(streamed.streamed_text(), answer::text("hello", 5));
+        assert_eq!(streamed.streamed_text(), payload::text("hello", 5));
         assert!(streamed.body.ends_with("data: [DONE]\n\n"));
         let lookup = cluster
             .send_until_served(router, &Call::get("/lookups/7"))
             .await;
-        assert!(lookup.body.contains(&answer::confirmation("/lookups/7")));
+        assert!(lookup.body.contains(&payload::confirmation("/lookups/7")));
         let key = format!("booking-{router}");
         let booking = cluster
             .send_until_served(router, &Call::booking(&key))
             .await;
-        assert!(booking.body.contains(&answer::confirmation(&key)));
+        assert!(booking.body.contains(&payload::confirmation(&key)));
         assert_eq!(cluster.runs(&key), 1);
     }
 }
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::{answer, engine};
+use standin::{engine, payload};
 
 use crate::{
     client::Call,
@@ -42,7 +42,7 @@
         let answer = caller.await.expect("no panic").expect("an answer");
         if answer.status == 200 {
             assert!(answer.whole, "{}", answer.body);
-            assert_eq!(answer.streamed_text(), answer::text("hello", 100));
+            assert_eq!(answer.streamed_text(), payload::text("hello", 100));
             served += 1;
         } else {
             assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
@@ -80,7 +80,7 @@
         let answer = caller.await.expect("no panic").expect("an answer");
         if answer.status == 200 {
             assert!(answer.whole, "{}", answer.body);
-            assert_eq!(answer.streamed_text(), answer::text("hello", 150));
+            assert_eq!(answer.streamed_text(), payload::text("hello", 150));
         } else {
             assert_eq!(answer.error("verdict"), "not_run", "{}", answer.body);
         }
@@ -112,6 +112,6 @@
     let answer = cluster
         .send_until_served(next, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(answer.text(), answer::text("hello", 3));
+    assert_eq!(answer.text(), payload::text("hello", 3));
     assert!(cluster.routers[leaving].wait(), "the process ends in order");
 }
--- a/crates/router/tests/fleet/zones.rs
+++ b/crates/router/tests/fleet/zones.rs
@@ -1,7 +1,7 @@
 //! Availability zones and backend servers that leave and return.
 
 use serde_json::json;
-use standin::answer;
+use standin::payload;
 
 use crate::{
     client::Call,
@@ -13,7 +13,7 @@
         let call = Call::chat(&format!("c{number}"), "hello", 2);
         let answer = cluster.send(number % cluster.routers.len(), &call).await;
         assert_eq!(answer.status, 200, "{}", answer.body);
-        assert_eq!(answer.text(), answer::text("hello", 2));
+        assert_eq!(answer.text(), payload::text("hello", 2));
     }
 }
 
--- a/crates/standin/src/arguments.rs
+++ b/crates/standin/src/arguments.rs
@@ -10,9 +10,9 @@
 pub const ABOUT: &str = "A stand-in for an engine, a plain service or the platform";
 
 /// The longest time that a flag may give, in milliseconds.
-const MAX_MILLIS: u64 = 3_600_000;
+const MAX_MS: u64 = 3_600_000;
 /// The longest time that a flag may give, in microseconds.
-const MAX_MICROS: u64 = 10_000_000;
+const MAX_US: u64 = 10_000_000;
 
 /// Which stand-in runs, and how.
 pub enum Role {
@@ -25,62 +25,62 @@
 }
 
 /// The settings of a stand-in as they were given.
-pub enum Given {
+pub enum RawRole {
     /// A model engine.
-    Engine(Box<Engine>),
+    Engine(Box<RawEngine>),
     /// A plain service.
-    Service(Service),
+    Service(RawService),
     /// The platform.
-    Platform(Platform),
+    Platform(RawPlatform),
 }
 
 /// The settings of an engine as they were given.
-pub struct Engine {
+pub struct RawEngine {
     listen: Raw,
     capacity: Raw,
     cache_tokens: Raw,
-    prefill: Raw,
-    token: Raw,
-    neighbour: Raw,
+    prefill_per_token: Raw,
+    token_interval: Raw,
+    interval_per_concurrent_request: Raw,
     cold_requests: Raw,
-    cold_bears: Raw,
-    cold_spare: Raw,
+    cold_capacity: Raw,
+    cold_overload_tolerance: Raw,
     cold_factor: Raw,
     load_lag: Raw,
     event_lag: Raw,
-    event_gap: Raw,
-    ignores_fence: bool,
-    order_time: Raw,
+    event_drop_interval: Raw,
+    ignores_fencing_token: bool,
+    order_duration: Raw,
     models: Raw,
     poison: Raw,
 }
 
 /// The settings of a plain service as they were given.
-pub struct Service {
+pub struct RawService {
     listen: Raw,
-    work: Raw,
+    call_duration: Raw,
     capacity: Raw,
 }
 
 /// The settings of the platform as they were given.
-pub struct Platform {
+pub struct RawPlatform {
     listen: Raw,
     hosts_lag: Raw,
 }
 
 /// Reads the command and its flags.
-pub fn given() -> impl Parser<Given> {
-    let engine = engine().map(Box::new).map(Given::Engine);
+pub fn parser() -> impl Parser<RawRole> {
+    let engine = engine().map(Box::new).map(RawRole::Engine);
     let engine = engine
         .to_options()
         .descr("A model engine")
         .command("engine");
-    let service = service().map(Given::Service);
+    let service = service().map(RawRole::Service);
     let service = service
         .to_options()
         .descr("A plain service")
         .command("service");
-    let platform = platform().map(Given::Platform);
+    let platform = platform().map(RawRole::Platform);
     let platform = platform
         .to_options()
         .descr("The platform")
@@ -97,7 +97,7 @@
     )
 }
 
-fn engine() -> impl Parser<Engine> {
+fn engine() -> impl Parser<RawEngine> {
     let listen = listen();
     let capacity = text(
         "capacity",
@@ -111,19 +111,19 @@
         "N",
         "Tokens that the prefix cache holds [20000]",
     );
-    let prefill = text(
+    let prefill_per_token = text(
         "prefill-us",
         "WEIR_STANDIN_PREFILL_US",
         "MICROSECONDS",
         "Time for a prompt token that is not cached [50]",
     );
-    let token = text(
+    let token_interval = text(
         "token-us",
         "WEIR_STANDIN_TOKEN_US",
         "MICROSECONDS",
         "Time between two tokens [2000]",
     );
-    let neighbour = text(
+    let interval_per_concurrent_request = text(
         "neighbour-us",
         "WEIR_STANDIN_NEIGHBOUR_US",
         "MICROSECONDS",
@@ -135,13 +135,13 @@
         "N",
         "Requests that a cold start lasts [0]",
     );
-    let cold_bears = text(
+    let cold_capacity = text(
         "cold-bears",
         "WEIR_STANDIN_COLD_BEARS",
         "N",
         "Requests at once that it bears while cold [2]",
     );
-    let cold_spare = text(
+    let cold_overload_tolerance = text(
         "cold-spare",
         "WEIR_STANDIN_COLD_SPARE",
         "N",
@@ -165,16 +165,16 @@
         "MILLISECONDS",
         "Age at which a cache event is published [200]",
     );
-    let event_gap = text(
+    let event_drop_interval = text(
         "event-gap",
         "WEIR_STANDIN_EVENT_GAP",
         "N",
         "Every how many cache events one is missing; 0: none [16]",
     );
-    let ignores_fence = bpaf::long("ignores-fence")
+    let ignores_fencing_token = bpaf::long("ignores-fence")
         .help("Carry out orders with old fencing numbers")
         .switch();
-    let order_time = text(
+    let order_duration = text(
         "order-ms",
         "WEIR_STANDIN_ORDER_MS",
         "MILLISECONDS",
@@ -192,30 +192,30 @@
         "TEXT",
         "A message with this text crashes the engine",
     );
-    construct!(Engine {
+    construct!(RawEngine {
         listen,
         capacity,
         cache_tokens,
-        prefill,
-        token,
-        neighbour,
+        prefill_per_token,
+        token_interval,
+        interval_per_concurrent_request,
         cold_requests,
-        cold_bears,
-        cold_spare,
+        cold_capacity,
+        cold_overload_tolerance,
         cold_factor,
         load_lag,
         event_lag,
-        event_gap,
-        ignores_fence,
-        order_time,
+        event_drop_interval,
+        ignores_fencing_token,
+        order_duration,
         models,
         poison,
     })
 }
 
-fn service() -> impl Parser<Service> {
+fn service() -> impl Parser<RawService> {
     let listen = listen();
-    let work = text(
+    let call_duration = text(
         "work-ms",
         "WEIR_STANDIN_WORK_MS",
         "MILLISECONDS",
@@ -227,14 +227,14 @@
         "N",
         "Calls run at once [32]",
     );
-    construct!(Service {
+    construct!(RawService {
         listen,
-        work,
+        call_duration,
         capacity
     })
 }
 
-fn platform() -> impl Parser<Platform> {
+fn platform() -> impl Parser<RawPlatform> {
     let listen = listen();
     let hosts_lag = text(
         "hosts-lag-ms",
@@ -242,77 +242,89 @@
         "MILLISECONDS",
         "Time until a change of the list of hosts is seen [0]",
     );
-    construct!(Platform { listen, hosts_lag })
+    construct!(RawPlatform { listen, hosts_lag })
 }
 
 /// Turns what was given into settings.
-pub fn check(given: Given, faults: &mut Faults) -> Option<Role> {
-    match given {
-        Given::Engine(given) => check_engine(&given, faults).map(Role::Engine),
-        Given::Service(given) => check_service(&given, faults).map(Role::Service),
-        Given::Platform(given) => check_platform(&given, faults).map(Role::Platform),
+pub fn check(raw: RawRole, faults: &mut Faults) -> Option<Role> {
+    match raw {
+        RawRole::Engine(raw) => check_engine(&raw, faults).map(Role::Engine),
+        RawRole::Service(raw) => check_service(&raw, faults).map(Role::Service),
+        RawRole::Platform(raw) => check_platform(&raw, faults).map(Role::Platform),
     }
 }
 
-fn check_engine(given: &Engine, faults: &mut Faults) -> Option<engine::Settings> {
+fn check_engine(raw: &RawEngine, faults: &mut Faults) -> Option<engine::Settings> {
     let default = engine::Settings::default();
-    let listen = address(&given.listen, default.listen, faults);
-    let capacity = faults.within(&given.capacity, default.capacity, 1..=10_000);
-    let cache_tokens = faults.within(&given.cache_tokens, default.cache_tokens, 0..=u64::MAX);
-    let prefill_per_token = micros(&given.prefill, default.prefill_per_token, faults);
-    let token_interval = micros(&given.token, default.token_interval, faults);
-    let interval_per_neighbour = micros(&given.neighbour, default.interval_per_neighbour, faults);
-    let cold_requests = faults.within(&given.cold_requests, default.cold_requests, 0..=1_000_000);
-    let cold_bears = faults.within(&given.cold_bears, default.cold_bears, 1..=10_000);
-    let cold_spare = faults.within(&given.cold_spare, default.cold_spare, 0..=1_000_000);
-    let cold_factor = faults.within(&given.cold_factor, default.cold_factor, 1..=1000);
-    let load_lag = millis(&given.load_lag, default.load_lag, faults);
-    let event_lag = millis(&given.event_lag, default.event_lag, faults);
-    let event_gap = faults.within(&given.event_gap, default.event_gap, 0..=u64::MAX);
-    let order_time = millis(&given.order_time, default.order_time, faults);
-    let models = given.models.as_str().unwrap_or_default().split(',');
+    let listen = address(&raw.listen, default.listen, faults);
+    let capacity = faults.within(&raw.capacity, default.capacity, 1..=10_000);
+    let cache_tokens = faults.within(&raw.cache_tokens, default.cache_tokens, 0..=u64::MAX);
+    let prefill_per_token = micros(&raw.prefill_per_token, default.prefill_per_token, faults);
+    let token_interval = micros(&raw.token_interval, default.token_interval, faults);
+    let interval_per_concurrent_request = micros(
+        &raw.interval_per_concurrent_request,
+        default.interval_per_concurrent_request,
+        faults,
+    );
+    let cold_requests = faults.within(&raw.cold_requests, default.cold_requests, 0..=1_000_000);
+    let cold_capacity = faults.within(&raw.cold_capacity, default.cold_capacity, 1..=10_000);
+    let cold_overload_tolerance = faults.within(
+        &raw.cold_overload_tolerance,
+        default.cold_overload_tolerance,
+        0..=1_000_000,
+    );
+    let cold_factor = faults.within(&raw.cold_factor, default.cold_factor, 1..=1000);
+    let load_lag = millis(&raw.load_lag, default.load_lag, faults);
+    let event_lag = millis(&raw.event_lag, default.event_lag, faults);
+    let event_drop_interval = faults.within(
+        &raw.event_drop_interval,
+        default.event_drop_interval,
+        0..=u64::MAX,
+    );
+    let order_duration = millis(&raw.order_duration, default.order_duration, faults);
+    let models = raw.models.as_str().unwrap_or_default().split(',');
     Some(engine::Settings {
         listen: listen?,
         capacity: capacity?,
         cache_tokens: cache_tokens?,
         prefill_per_token: prefill_per_token?,
         token_interval: token_interval?,
-        interval_per_neighbour: interval_per_neighbour?,
+        interval_per_concurrent_request: interval_per_concurrent_request?,
         cold_requests: cold_requests?,
-        cold_bears: cold_bears?,
-        cold_spare: cold_spare?,
+        cold_capacity: cold_capacity?,
+        cold_overload_tolerance: cold_overload_tolerance?,
         cold_factor: cold_factor?,
         load_lag: load_lag?,
         event_lag: event_lag?,
-        event_gap: event_gap?,
-        checks_fence: !given.ignores_fence,
-        order_time: order_time?,
+        event_drop_interval: event_drop_interval?,
+        checks_fencing_token: !raw.ignores_fencing_token,
+        order_duration: order_duration?,
         models: models
             .filter(|name| !name.is_empty())
             .map(String::from)
             .collect(),
-        poison: given.poison.as_str().map(String::from),
+        poison: raw.poison.as_str().map(String::from),
         crash: server::Crash::Exit,
     })
 }
 
-fn check_service(given: &Service, faults: &mut Faults) -> Option<service::Settings> {
+fn check_service(raw: &RawService, faults: &mut Faults) -> Option<service::Settings> {
     let default = service::Settings::default();
-    let listen = address(&given.listen, default.listen, faults);
-    let work = millis(&given.work, default.work, faults);
-    let capacity = faults.within(&given.capacity, default.capacity, 1..=10_000);
+    let listen = address(&raw.listen, default.listen, faults);
+    let call_duration = millis(&raw.call_duration, default.call_duration, faults);
+    let capacity = faults.within(&raw.capacity, default.capacity, 1..=10_000);
     Some(service::Settings {
         listen: listen?,
-        work: work?,
+        call_duration: call_duration?,
         capacity: capacity?,
         crash: server::Crash::Exit,
     })
 }
 
-fn check_platform(given: &Platform, faults: &mut Faults) -> Option<platform::Settings> {
+fn check_platform(raw: &RawPlatform, faults: &mut Faults) -> Option<platform::Settings> {
     let default = platform::Settings::default();
-    let listen = address(&given.listen, default.listen, faults);
-    let hosts_lag = millis(&given.hosts_lag, default.hosts_lag, faults);
+    let listen = address(&raw.listen, default.listen, faults);
+    let hosts_lag = millis(&raw.hosts_lag, default.hosts_lag, faults);
     Some(platform::Settings {
         listen: listen?,
         hosts_lag: hosts_lag?,
@@ -325,13 +337,13 @@
 }
 
 fn millis(raw: &Raw, default: Duration, faults: &mut Faults) -> Option<Duration> {
-    let default = u64::try_from(default.as_millis()).unwrap_or(MAX_MILLIS);
-    let millis = faults.within(raw, default, 0..=MAX_MILLIS)?;
+    let default = u64::try_from(default.as_millis()).unwrap_or(MAX_MS);
+    let millis = faults.within(raw, default, 0..=MAX_MS)?;
     Some(Duration::from_millis(millis))
 }
 
 fn micros(raw: &Raw, default: Duration, faults: &mut Faults) -> Option<Duration> {
-    let default = u64::try_from(default.as_micros()).unwrap_or(MAX_MICROS);
-    let micros = faults.within(raw, default, 0..=MAX_MICROS)?;
+    let default = u64::try_from(default.as_micros()).unwrap_or(MAX_US);
+    let micros = faults.within(raw, default, 0..=MAX_US)?;
     Some(Duration::from_micros(micros))
 }
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,14 +1,14 @@
 //! A model engine: chat completions, a prefix cache and orders.
 
 mod cache;
-mod call;
+mod completion;
 mod fault;
 mod generation;
-mod machine;
 mod orders;
 mod report;
 mod routes;
 mod settings;
+mod simulator;
 mod slots;
 mod state;
 
@@ -17,16 +17,16 @@
 use crate::server;
 
 pub use fault::Fault;
-pub use machine::Counters;
 pub use orders::{Fenced, Kind, Order};
 pub use settings::Settings;
+pub use simulator::Counters;
 
-use machine::Machine;
+use simulator::Simulator;
 
 /// A running engine; it stops when this is dropped.
 #[derive(Debug)]
 pub struct Handle {
-    server: server::Server<Machine>,
+    server: server::Server<Simulator>,
 }
 
 /// Starts an engine.
@@ -37,9 +37,9 @@
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let control = Arc::new(server::Control::new(settings.crash));
     let listen = settings.listen;
-    let machine = Arc::new(Machine::new(settings, Arc::clone(&control)));
-    let server = server::Server::start(listen, Arc::clone(&machine), control).await?;
-    Arc::clone(&machine).report_load();
+    let simulator = Arc::new(Simulator::new(settings, Arc::clone(&control)));
+    let server = server::Server::start(listen, Arc::clone(&simulator), control).await?;
+    Arc::clone(&simulator).report_load();
     Ok(Handle { server })
 }
 
@@ -50,18 +50,18 @@
     }
 
     /// Switches a fault on, or all off with [`Fault::Normal`].
-    pub fn fault(&self, fault: Fault) {
-        self.machine().switch(fault, None);
+    pub fn set_fault(&self, fault: Fault) {
+        self.simulator().set_fault(fault, None);
     }
 
     /// What it has done since the first start.
     pub fn counters(&self) -> Counters {
-        self.machine().counters()
+        self.simulator().counters()
     }
 
     /// The orders that it carried out since the first start.
     pub fn orders(&self) -> Vec<Fenced> {
-        self.machine().carried_out()
+        self.simulator().executed()
     }
 
     /// Starts again after a crash: cold, with a new boot and an empty cache.
@@ -70,9 +70,9 @@
     ///
     /// The error of the bind.
     pub async fn restart(&self) -> io::Result<()> {
-        self.machine().reboot();
+        self.simulator().reboot();
         self.server.restart().await?;
-        Arc::clone(self.machine()).report_load();
+        Arc::clone(self.simulator()).report_load();
         Ok(())
     }
 
@@ -81,7 +81,7 @@
         self.server.stop();
     }
 
-    fn machine(&self) -> &Arc<Machine> {
+    fn simulator(&self) -> &Arc<Simulator> {
         self.server.application()
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -9,7 +9,7 @@
 use units::chat;
 
 /// How many events are kept; older ones are gaps to whoever asks late.
-const KEPT_EVENTS: usize = 4096;
+const MAX_EVENTS: usize = 4096;
 
 /// One message of a prefix: its hash and its tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -52,10 +52,10 @@
 /// Prefixes by chat in limited memory; the one used longest ago goes first.
 #[derive(Debug)]
 pub(super) struct Cache {
-    limit: u64,
+    capacity_tokens: u64,
     lag: Duration,
-    gap: u64,
-    uses: u64,
+    drop_interval: u64,
+    use_count: u64,
     last_seq: u64,
     prefixes: BTreeMap<chat::Key, Prefix>,
     events: VecDeque<Event>,
@@ -64,12 +64,12 @@
 impl Cache {
     /// An empty cache of `limit` tokens, whose events come `lag` late and miss
     /// one in `gap`.
-    pub(super) fn new(limit: u64, lag: Duration, gap: u64) -> Self {
+    pub(super) fn new(capacity_tokens: u64, lag: Duration, drop_interval: u64) -> Self {
         Self {
-            limit,
+            capacity_tokens,
             lag,
-            gap,
-            uses: 0,
+            drop_interval,
+            use_count: 0,
             last_seq: 0,
             prefixes: BTreeMap::new(),
             events: VecDeque::new(),
@@ -77,28 +77,28 @@
     }
 
     /// How many tokens of `blocks` need no prefill.
-    pub(super) fn cached(&mut self, chat: chat::Key, blocks: &[Block]) -> u64 {
-        self.uses += 1;
+    pub(super) fn lookup(&mut self, chat: chat::Key, blocks: &[Block]) -> u64 {
+        self.use_count += 1;
         let Some(prefix) = self.prefixes.get_mut(&chat) else {
             return 0;
         };
-        prefix.last_use = self.uses;
+        prefix.last_use = self.use_count;
         let pairs = prefix.blocks.iter().zip(blocks);
-        let common = pairs.take_while(|(held, asked)| held == asked);
-        common.map(|(_, asked)| asked.tokens).sum()
+        let common = pairs.take_while(|(stored, requested)| stored == requested);
+        common.map(|(_, requested)| requested.tokens).sum()
     }
 
     /// Stores the prefix of `chat` and makes room for it.
     pub(super) fn store(&mut self, chat: chat::Key, blocks: Vec<Block>, now: Instant) {
-        self.uses += 1;
+        self.use_count += 1;
         let prefix = Prefix {
             blocks,
-            last_use: self.uses,
+            last_use: self.use_count,
         };
         let tokens = prefix.tokens();
         self.prefixes.insert(chat, prefix);
         self.publish(chat, tokens, Kind::Stored, now);
-        while self.tokens() > self.limit {
+        while self.tokens() > self.capacity_tokens {
             self.evict(now);
         }
     }
@@ -114,7 +114,7 @@
 
     fn publish(&mut self, chat: chat::Key, tokens: u64, kind: Kind, now: Instant) {
         self.last_seq += 1;
-        if self.gap > 0 && self.last_seq.is_multiple_of(self.gap) {
+        if self.drop_interval > 0 && self.last_seq.is_multiple_of(self.drop_interval) {
             return;
         }
         self.events.push_back(Event {
@@ -124,7 +124,7 @@
             kind,
             visible_at: Some(now + self.lag),
         });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /// The prefix of `chat`.
-    pub(super) fn export(&self, chat: chat::Key) -> Option<Vec<Block>> {
+    pub(super) fn blocks_of(&self, chat: chat::Key) -> Option<Vec<Block>> {
         self.prefixes.get(&chat).map(|prefix| prefix.blocks.clone())
     }
 }
--- a/crates/standin/src/engine/call.rs
+++ b/crates/standin/src/engine/completion.rs
@@ -4,7 +4,7 @@
 use units::{chat, request::Priority, workspace};
 use xxhash_rust::xxh3;
 
-use crate::{answer, engine::cache::Block, http};
+use crate::{engine::cache::Block, http, payload};
 
 /// How many tokens an answer has if the caller does not say.
 const DEFAULT_TOKENS: u32 = 16;
@@ -33,13 +33,13 @@
 
 /// What the headers say.
 #[derive(Clone, Debug)]
-pub(super) struct Head {
+pub(super) struct Headers {
     pub(super) attempt: String,
     pub(super) chat: chat::Key,
     pub(super) priority: Priority,
 }
 
-impl Head {
+impl Headers {
     /// Reads the headers; a call without an attempt gets one of its own.
     pub(super) fn read(request: &http::Request) -> Self {
         let attempt = http::header(request, "x-weir-attempt").map(String::from);
@@ -52,15 +52,15 @@
         };
         Self {
             attempt: attempt.unwrap_or_else(|| format!("{:016x}", rand::random::<u64>())),
-            chat: key(workspace, chat),
+            chat: chat_key(workspace, chat),
             priority,
         }
     }
 }
 
 /// The key of a chat: the digits of one, or that of the caller's name for it.
-fn key(workspace: &str, chat: &str) -> chat::Key {
-    if let Some(key) = parsed_key(chat) {
+fn chat_key(workspace: &str, chat: &str) -> chat::Key {
+    if let Some(key) = parse_key(chat) {
         return key;
     }
     match workspace.parse::<workspace::Id>() {
@@ -70,14 +70,14 @@
 }
 
 /// The key that `text` spells in hexadecimal digits.
-pub(super) fn parsed_key(text: &str) -> Option<chat::Key> {
+pub(super) fn parse_key(text: &str) -> Option<chat::Key> {
     let digits = Some(text).filter(|text| text.len() == KEY_DIGITS)?;
     u64::from_str_radix(digits, 16).ok().map(chat::Key)
 }
 
 impl Body {
     /// How many tokens the answer has.
-    pub(super) fn answer_tokens(&self) -> u32 {
+    pub(super) fn output_tokens(&self) -> u32 {
         self.max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS)
     }
 
@@ -93,14 +93,14 @@
     }
 
     /// The blocks of the chat with its answer, which the next call starts with.
-    pub(super) fn blocks_with(&self, answer: &str) -> Vec<Block> {
+    pub(super) fn blocks_with_reply(&self, reply: &str) -> Vec<Block> {
         let mut blocks = self.blocks();
-        blocks.push(block("assistant", answer));
+        blocks.push(block("assistant", reply));
         blocks
     }
 
     /// Whether any message holds `marker`.
-    pub(super) fn holds(&self, marker: &str) -> bool {
+    pub(super) fn has_marker(&self, marker: &str) -> bool {
         self.messages.iter().any(|m| m.content.contains(marker))
     }
 }
@@ -108,6 +108,6 @@
 fn block(role: &str, content: &str) -> Block {
     Block {
         hash: xxh3::xxh3_64_with_seed(content.as_bytes(), xxh3::xxh3_64(role.as_bytes())),
-        tokens: answer::tokens(content),
+        tokens: payload::count_tokens(content),
     }
 }
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -17,13 +17,13 @@
     /// A stream's connection ends in the middle.
     CutStream {
         /// How many streams it hits.
-        #[serde(default = "one")]
+        #[serde(default = "default_count")]
         count: u64,
     },
     /// A stream ends in the middle as if it were whole, but for its last event.
     ShortStream {
         /// How many streams it hits.
-        #[serde(default = "one")]
+        #[serde(default = "default_count")]
         count: u64,
     },
     /// The engine is as after a start, with the same boot and without warning.
@@ -35,19 +35,19 @@
         /// For how long, in milliseconds.
         delay_ms: u64,
         /// How many answers it hits.
-        #[serde(default = "one")]
+        #[serde(default = "default_count")]
         count: u64,
     },
     /// An answer is another request's, and echoes its attempt.
     CrossedAnswer {
         /// How many answers it hits.
-        #[serde(default = "one")]
+        #[serde(default = "default_count")]
         count: u64,
     },
     /// A request is answered 503 and does not run.
     Refuse {
         /// How many answers it hits.
-        #[serde(default = "one")]
+        #[serde(default = "default_count")]
         count: u64,
     },
     /// Everything takes longer.
@@ -62,13 +62,13 @@
     },
 }
 
-fn one() -> u64 {
+fn default_count() -> u64 {
     1
 }
 
 /// What hits one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Hit {
+pub(super) struct Effects {
     pub(super) cut: bool,
     pub(super) short: bool,
     pub(super) late_ms: u64,
@@ -104,23 +104,23 @@
     }
 
     /// What hits the next request, which may be one for a stream.
-    pub(super) fn next(&mut self, is_stream: bool) -> Hit {
-        Hit {
-            cut: is_stream && take(&mut self.cut),
-            short: is_stream && take(&mut self.short),
-            late_ms: if take(&mut self.late) {
+    pub(super) fn next(&mut self, is_stream: bool) -> Effects {
+        Effects {
+            cut: is_stream && consume(&mut self.cut),
+            short: is_stream && consume(&mut self.short),
+            late_ms: if consume(&mut self.late) {
                 self.late_ms
             } else {
                 0
             },
-            crossed: take(&mut self.crossed),
-            refused: take(&mut self.refused),
+            crossed: consume(&mut self.crossed),
+            refused: consume(&mut self.refused),
         }
     }
 }
 
 /// Takes one of `count`, if any is left.
-fn take(count: &mut u64) -> bool {
+fn consume(count: &mut u64) -> bool {
     let any = *count > 0;
     *count = count.saturating_sub(1);
     any
--- a/crates/standin/src/engine/generation.rs
+++ b/crates/standin/src/engine/generation.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 use tokio::sync::{mpsc, watch};
 
-use crate::http::Cut;
+use crate::http::Disconnected;
 
 /// The tokens of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
@@ -42,11 +42,11 @@
 /// Where a stream ends before its time, for a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
-    Whole,
+    Complete,
     /// The connection ends after so many events.
-    Cut(usize),
+    Disconnect(usize),
     /// The stream ends after so many events as if it were whole.
-    Short(usize),
+    Truncated(usize),
 }
 
 impl Generation {
@@ -78,64 +78,64 @@
     }
 
     /// Waits for the first word or the end.
-    pub(super) async fn begun(&self) {
+    pub(super) async fn wait_for_first_token(&self) {
         let mut progress = self.progress.subscribe();
-        let begun = |p: &Progress| !p.words.is_empty() || p.stage != Stage::Running;
-        drop(progress.wait_for(begun).await);
+        let has_begun = |p: &Progress| !p.words.is_empty() || p.stage != Stage::Running;
+        drop(progress.wait_for(has_begun).await);
     }
 
     /// Waits for the end and returns the whole text with its usage.
-    pub(super) async fn whole(&self) -> Result<(String, Usage), Cut> {
+    pub(super) async fn wait_for_completion(&self) -> Result<(String, Usage), Disconnected> {
         let mut progress = self.progress.subscribe();
         let ended = progress.wait_for(|p| p.stage != Stage::Running).await;
-        let progress = ended.map_err(|_| Cut)?;
+        let progress = ended.map_err(|_| Disconnected)?;
         match progress.stage {
             Stage::Done(usage) => Ok((progress.words.join(" "), usage)),
-            _ => Err(Cut),
+            _ => Err(Disconnected),
         }
     }
 
     /// Sends the events from number `from` on to `pieces`.
-    pub(super) async fn pump(
+    pub(super) async fn send_to(
         &self,
         from: usize,
         end: End,
-        pieces: mpsc::Sender<Result<Bytes, Cut>>,
+        chunks: mpsc::Sender<Result<Bytes, Disconnected>>,
     ) {
         // An error means that the caller is gone; there is nobody to tell.
-        if let Err(Cut) = self.pump_events(from, end, &pieces).await {
-            drop(pieces.send(Err(Cut)).await);
+        if let Err(Disconnected) = self.send_events(from, end, &chunks).await {
+            drop(chunks.send(Err(Disconnected)).await);
         }
     }
 
-    async fn pump_events(
+    async fn send_events(
         &self,
         from: usize,
         end: End,
-        pieces: &mpsc::Sender<Result<Bytes, Cut>>,
-    ) -> Result<(), Cut> {
+        chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    ) -> Result<(), Disconnected> {
         let mut progress = self.progress.subscribe();
         let mut next = from;
         loop {
             let (words, stage) = {
                 let more = |p: &Progress| p.words.len() > next || p.stage != Stage::Running;
-                let seen = progress.wait_for(more).await.map_err(|_| Cut)?;
-                let words = seen.words.get(next..).unwrap_or_default().to_vec();
-                (words, seen.stage)
+                let snapshot = progress.wait_for(more).await.map_err(|_| Disconnected)?;
+                let words = snapshot.words.get(next..).unwrap_or_default().to_vec();
+                (words, snapshot.stage)
             };
             for word in words {
                 match end {
-                    End::Cut(at) if next >= at => return Err(Cut),
-                    End::Short(at) if next >= at => return Ok(()),
+                    End::Disconnect(at) if next >= at => return Err(Disconnected),
+                    End::Truncated(at) if next >= at => return Ok(()),
                     _ => {}
                 }
-                send(pieces, &self.chunk(next, &word)).await?;
+                send(chunks, &self.chunk_json(next, &word)).await?;
                 next += 1;
             }
             match stage {
                 Stage::Running => {}
-                Stage::Cancelled => return Err(Cut),
-                Stage::Done(usage) => return self.send_end(next, usage, pieces).await,
+                Stage::Cancelled => return Err(Disconnected),
+                Stage::Done(usage) => return self.send_end(next, usage, chunks).await,
             }
         }
     }
@@ -145,20 +145,20 @@
         &self,
         next: usize,
         usage: Usage,
-        pieces: &mpsc::Sender<Result<Bytes, Cut>>,
-    ) -> Result<(), Cut> {
+        chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    ) -> Result<(), Disconnected> {
         let words = self.progress.borrow().words.len();
         if next == words {
             let event = json!({
                 "id": self.attempt, "object": "chat.completion.chunk", "model": self.model,
                 "choices": [], "usage": usage,
             });
-            send(pieces, &event.to_string()).await?;
+            send(chunks, &event.to_string()).await?;
         }
-        send(pieces, "[DONE]").await
+        send(chunks, "[DONE]").await
     }
 
-    fn chunk(&self, index: usize, word: &str) -> String {
+    fn chunk_json(&self, index: usize, word: &str) -> String {
         let space = if index == 0 { "" } else { " " };
         let event = json!({
             "id": self.attempt, "object": "chat.completion.chunk", "model": self.model,
@@ -172,7 +172,10 @@
     }
 }
 
-async fn send(pieces: &mpsc::Sender<Result<Bytes, Cut>>, data: &str) -> Result<(), Cut> {
+async fn send(
+    chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    data: &str,
+) -> Result<(), Disconnected> {
     let event = Bytes::from(format!("data: {data}\n\n"));
-    pieces.send(Ok(event)).await.map_err(|_| Cut)
+    chunks.send(Ok(event)).await.map_err(|_| Disconnected)
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -52,9 +52,9 @@
 /// The orders carried out, and the models that came of them.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    highest: u64,
+    highest_fence: u64,
     pub(super) models: Vec<String>,
-    pub(super) carried_out: Vec<Fenced>,
+    pub(super) executed: Vec<Fenced>,
 }
 
 impl Orders {
@@ -66,15 +66,19 @@
     }
 
     /// Takes an order, checking its fencing number if `checks`.
-    pub(super) fn take(&mut self, given: Fenced, checks: bool) -> Result<(), Stale> {
-        if checks && given.fence < self.highest {
+    pub(super) fn execute(
+        &mut self,
+        fenced: Fenced,
+        checks_fencing_token: bool,
+    ) -> Result<(), Stale> {
+        if checks_fencing_token && fenced.fence < self.highest_fence {
             return Err(Stale {
-                fence: self.highest,
+                fence: self.highest_fence,
             });
         }
-        self.highest = self.highest.max(given.fence);
-        self.apply(&given.order);
-        self.carried_out.push(given);
+        self.highest_fence = self.highest_fence.max(fenced.fence);
+        self.apply(&fenced.order);
+        self.executed.push(fenced);
         Ok(())
     }
 
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 use tokio::time;
 
-use crate::{engine::machine::Machine, server::lock};
+use crate::{engine::simulator::Simulator, server::lock};
 
 /// How many load reports are made in the time by which they are late.
 const REPORTS_PER_LAG: u32 = 2;
@@ -22,7 +22,7 @@
     models: Vec<String>,
 }
 
-impl Machine {
+impl Simulator {
     /// The load report that is out now: one that is late by the lag.
     pub(super) fn load(&self) -> Load {
         let state = lock(&self.state);
@@ -37,25 +37,25 @@
 
     /// Makes load reports until the engine crashes or stops.
     pub(super) fn report_load(self: Arc<Self>) {
-        let machine = Arc::downgrade(&self);
+        let simulator = Arc::downgrade(&self);
         let interval = self.settings.load_lag / REPORTS_PER_LAG;
         self.control.spawn(async move {
-            while let Some(machine) = machine.upgrade() {
-                machine.note_load();
-                drop(machine);
+            while let Some(simulator) = simulator.upgrade() {
+                simulator.record_load();
+                drop(simulator);
                 time::sleep(interval.max(Duration::from_millis(1))).await;
             }
         });
     }
 
-    fn note_load(&self) {
+    fn record_load(&self) {
         let models = lock(&self.orders).models.clone();
         let mut state = lock(&self.state);
         let (running, waiting) = state.slots.counts();
-        state.last_report += 1;
+        state.last_report_seq += 1;
         let load = Load {
             boot: state.boot_id(),
-            seq: state.last_report,
+            seq: state.last_report_seq,
             running,
             waiting,
             capacity: self.settings.capacity,
--- a/crates/standin/src/engine/routes.rs
+++ b/crates/standin/src/engine/routes.rs
@@ -7,38 +7,37 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    answer,
     engine::{
         Fault, Fenced,
         cache::Block,
-        call,
-        fault::Hit,
+        completion,
+        fault::Effects,
         generation::{End, Generation, Stage, Usage},
-        machine::Machine,
+        simulator::Simulator,
     },
-    http, process, server,
+    http, payload, process, server,
 };
 
 /// The header that names the attempt, which the answer echoes.
 const ATTEMPT: &str = "x-weir-attempt";
 /// The attempt that a crossed answer echoes.
-const OTHER: &str = "ffffffffffffffff";
+const OTHER_ATTEMPT: &str = "ffffffffffffffff";
 /// How many events wait for a caller that reads slowly.
-const EVENTS_AHEAD: usize = 16;
+const EVENT_BUFFER: usize = 16;
 
 /// The KV cache of a chat as it is exported.
 #[derive(Deserialize, Serialize)]
-struct Exported {
+struct ExportedPrefix {
     blocks: Vec<Block>,
 }
 
-impl Machine {
+impl Simulator {
     async fn complete(
         self: &Arc<Self>,
         request: http::Request,
-    ) -> Result<http::Response, http::Cut> {
-        let head = call::Head::read(&request);
-        let body = match http::read::<call::Body>(request).await? {
+    ) -> Result<http::Response, http::Disconnected> {
+        let head = completion::Headers::read(&request);
+        let body = match http::read_json::<completion::Body>(request).await? {
             Ok(body) => body,
             Err(malformed) => return Ok(malformed),
         };
@@ -49,63 +48,69 @@
             ));
         }
         let is_stream = body.stream;
-        let hit = self.next_hit(is_stream);
-        if hit.refused {
+        let effects = self.next_effects(is_stream);
+        if effects.refused {
             return Ok(http::error(StatusCode::SERVICE_UNAVAILABLE, "refused"));
         }
-        let tokens = body.answer_tokens();
-        let generation = self.begin(head, body);
-        generation.begun().await;
-        process::pause(Duration::from_millis(hit.late_ms)).await;
-        self.thawed().await;
-        if hit.crossed {
-            return self.crossed(tokens, is_stream);
+        let tokens = body.output_tokens();
+        let generation = self.start_generation(head, body);
+        generation.wait_for_first_token().await;
+        process::pause(Duration::from_millis(effects.late_ms)).await;
+        self.wait_until_unfrozen().await;
+        if effects.crossed {
+            return self.crossed_response(tokens, is_stream);
         }
         if is_stream {
-            return Ok(self.stream_out(&generation, 0, end(hit, tokens)));
+            return Ok(self.stream_response(&generation, 0, stream_end(effects, tokens)));
         }
-        let (text, usage) = generation.whole().await?;
-        self.thawed().await;
-        Ok(echo(&generation.attempt, whole(&generation, &text, usage)))
+        let (text, usage) = generation.wait_for_completion().await?;
+        self.wait_until_unfrozen().await;
+        Ok(with_attempt_header(
+            &generation.attempt,
+            completion_response(&generation, &text, usage),
+        ))
     }
 
     /// The answer to another request.
-    fn crossed(
+    fn crossed_response(
         self: &Arc<Self>,
         tokens: u32,
         is_stream: bool,
-    ) -> Result<http::Response, http::Cut> {
-        let other = Arc::new(Generation::new(String::from(OTHER), String::new()));
-        for word in answer::words(OTHER, tokens) {
+    ) -> Result<http::Response, http::Disconnected> {
+        let other = Arc::new(Generation::new(String::from(OTHER_ATTEMPT), String::new()));
+        for word in payload::words(OTHER_ATTEMPT, tokens) {
             other.push(word);
         }
         other.end(Stage::Done(Usage::default()));
         if is_stream {
-            return Ok(self.stream_out(&other, 0, End::Whole));
+            return Ok(self.stream_response(&other, 0, End::Complete));
         }
-        let text = answer::text(OTHER, tokens);
-        Ok(echo(OTHER, whole(&other, &text, Usage::default())))
+        let text = payload::text(OTHER_ATTEMPT, tokens);
+        Ok(with_attempt_header(
+            OTHER_ATTEMPT,
+            completion_response(&other, &text, Usage::default()),
+        ))
     }
 
-    fn stream_out(
+    fn stream_response(
         self: &Arc<Self>,
         generation: &Arc<Generation>,
         from: usize,
         end: End,
     ) -> http::Response {
-        let (pieces, body) = mpsc::channel(EVENTS_AHEAD);
-        let pumped = Arc::clone(generation);
+        let (chunks, body) = mpsc::channel(EVENT_BUFFER);
+        let streamed = Arc::clone(generation);
         self.control
-            .spawn(async move { pumped.pump(from, end, pieces).await });
-        echo(&generation.attempt, http::events(body))
+            .spawn(async move { streamed.send_to(from, end, chunks).await });
+        with_attempt_header(&generation.attempt, http::event_stream(body))
     }
 
     fn resume(self: &Arc<Self>, attempt: &str, request: &http::Request) -> http::Response {
         let Some(generation) = self.stream(attempt) else {
             return http::error(StatusCode::NOT_FOUND, "no such stream");
         };
-        let from = http::number(request, "from", 0);
-        self.stream_out(&generation, from, End::Whole)
+        let from = http::numeric_parameter(request, "from", 0);
+        self.stream_response(&generation, from, End::Complete)
     }
 
     fn cancel(&self, attempt: &str) -> http::Response {
@@ -116,21 +121,25 @@
         http::json(StatusCode::OK, &serde_json::json!({}))
     }
 
-    async fn take_order(&self, request: http::Request) -> Result<http::Response, http::Cut> {
-        let given = match http::read::<Fenced>(request).await? {
-            Ok(given) => given,
+    async fn post_order(
+        &self,
+        request: http::Request,
+    ) -> Result<http::Response, http::Disconnected> {
+        let order = match http::read_json::<Fenced>(request).await? {
+            Ok(order) => order,
             Err(malformed) => return Ok(malformed),
         };
-        Ok(match self.order(given).await {
+        Ok(match self.execute_order(order).await {
             Ok(()) => http::json(StatusCode::OK, &serde_json::json!({})),
             Err(stale) => http::json(StatusCode::CONFLICT, &stale),
         })
     }
 
     fn export(&self, chat: &str) -> http::Response {
-        let blocks = call::parsed_key(chat).and_then(|chat| self.with_cache(|c| c.export(chat)));
+        let blocks =
+            completion::parse_key(chat).and_then(|chat| self.with_cache(|c| c.blocks_of(chat)));
         match blocks {
-            Some(blocks) => http::json(StatusCode::OK, &Exported { blocks }),
+            Some(blocks) => http::json(StatusCode::OK, &ExportedPrefix { blocks }),
             None => http::error(StatusCode::NOT_FOUND, "not in the cache"),
         }
     }
@@ -139,14 +148,14 @@
         &self,
         chat: &str,
         request: http::Request,
-    ) -> Result<http::Response, http::Cut> {
-        let Some(chat) = call::parsed_key(chat) else {
+    ) -> Result<http::Response, http::Disconnected> {
+        let Some(chat) = completion::parse_key(chat) else {
             return Ok(http::error(
                 StatusCode::BAD_REQUEST,
                 "16 hex digits are allowed",
             ));
         };
-        let exported = match http::read::<Exported>(request).await? {
+        let exported = match http::read_json::<ExportedPrefix>(request).await? {
             Ok(exported) => exported,
             Err(malformed) => return Ok(malformed),
         };
@@ -158,16 +167,19 @@
     async fn put_fault(
         &self,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
-        match http::read::<Fault>(request).await? {
-            Ok(fault) => self.switch(fault, Some(connection)),
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
+        match http::read_json::<Fault>(request).await? {
+            Ok(fault) => self.set_fault(fault, Some(connection)),
             Err(malformed) => return Ok(malformed),
         }
         Ok(http::json(StatusCode::OK, &serde_json::json!({})))
     }
 
-    async fn route(self: &Arc<Self>, request: http::Request) -> Result<http::Response, http::Cut> {
+    async fn route(
+        self: &Arc<Self>,
+        request: http::Request,
+    ) -> Result<http::Response, http::Disconnected> {
         let path = String::from(request.uri().path());
         let (first, rest) = path[1..].split_once('/').unwrap_or((&path[1..], ""));
         match (request.method().as_str(), first, rest) {
@@ -176,13 +188,13 @@
             ("GET", "readyz", "") => Ok(http::json(StatusCode::OK, &serde_json::json!({}))),
             ("GET", "load", "") => Ok(http::json(StatusCode::OK, &self.load())),
             ("GET", "cache", "events") => {
-                let events = self.cache_events(http::number(&request, "after", 0));
+                let events = self.cache_events(http::numeric_parameter(&request, "after", 0));
                 Ok(http::json(StatusCode::OK, &events))
             }
             ("DELETE", "requests", attempt) => Ok(self.cancel(attempt)),
             ("GET", "streams", attempt) => Ok(self.resume(attempt, &request)),
-            ("POST", "orders", "") => self.take_order(request).await,
-            ("GET", "orders", "") => Ok(http::json(StatusCode::OK, &self.carried_out())),
+            ("POST", "orders", "") => self.post_order(request).await,
+            ("GET", "orders", "") => Ok(http::json(StatusCode::OK, &self.executed())),
             ("GET", "kv", chat) => Ok(self.export(chat)),
             ("PUT", "kv", chat) => self.import(chat, request).await,
             _ => Ok(http::error(StatusCode::NOT_FOUND, "no such call")),
@@ -190,12 +202,12 @@
     }
 }
 
-impl server::Application for Machine {
-    async fn answer(
+impl server::Application for Simulator {
+    async fn handle(
         self: Arc<Self>,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/fault") => return self.put_fault(request, connection).await,
             (&Method::GET, "/counters") => {
@@ -203,25 +215,25 @@
             }
             _ => {}
         }
-        self.thawed().await;
+        self.wait_until_unfrozen().await;
         self.route(request).await
     }
 }
 
 /// Where a stream of `tokens` words ends under the faults that hit it.
-fn end(hit: Hit, tokens: u32) -> End {
+fn stream_end(effects: Effects, tokens: u32) -> End {
     let middle = tokens as usize / 2;
-    if hit.cut {
-        return End::Cut(middle);
+    if effects.cut {
+        return End::Disconnect(middle);
     }
-    if hit.short {
-        return End::Short(middle);
+    if effects.short {
+        return End::Truncated(middle);
     }
-    End::Whole
+    End::Complete
 }
 
-fn whole(generation: &Generation, text: &str, usage: Usage) -> http::Response {
-    let answer = serde_json::json!({
+fn completion_response(generation: &Generation, text: &str, usage: Usage) -> http::Response {
+    let response = serde_json::json!({
         "id": generation.attempt, "object": "chat.completion", "model": generation.model,
         "choices": [{
             "index": 0,
@@ -230,10 +242,10 @@
         }],
         "usage": usage,
     });
-    http::json(StatusCode::OK, &answer)
+    http::json(StatusCode::OK, &response)
 }
 
-fn echo(attempt: &str, mut response: http::Response) -> http::Response {
+fn with_attempt_header(attempt: &str, mut response: http::Response) -> http::Response {
     if let Ok(value) = header::HeaderValue::from_str(attempt) {
         response.headers_mut().insert(ATTEMPT, value);
     }
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -18,14 +18,14 @@
     /// Time between two tokens of an answer while nothing else runs.
     pub token_interval: Duration,
     /// What each other running request adds to the time between two tokens.
-    pub interval_per_neighbour: Duration,
+    pub interval_per_concurrent_request: Duration,
     /// How many requests a cold start lasts.
     pub cold_requests: u32,
     /// How many requests at once it bears while cold.
-    pub cold_bears: u32,
+    pub cold_capacity: u32,
     /// How many requests above that it gets over when it turns cold without
     /// warning; one more makes it fall over. After a start it gets over none.
-    pub cold_spare: u32,
+    pub cold_overload_tolerance: u32,
     /// How much slower it is while cold.
     pub cold_factor: u32,
     /// How old a load report is.
@@ -33,11 +33,11 @@
     /// How late a cache event is published.
     pub event_lag: Duration,
     /// Every how many cache events one is missing; 0 means none.
-    pub event_gap: u64,
+    pub event_drop_interval: u64,
     /// Whether an order with an old fencing number is refused.
-    pub checks_fence: bool,
+    pub checks_fencing_token: bool,
     /// How long an order takes.
-    pub order_time: Duration,
+    pub order_duration: Duration,
     /// Models that are loaded; empty means that any is served.
     pub models: Vec<String>,
     /// A message that holds this text crashes the engine when it runs.
@@ -54,16 +54,16 @@
             cache_tokens: 20_000,
             prefill_per_token: Duration::from_micros(50),
             token_interval: Duration::from_millis(2),
-            interval_per_neighbour: Duration::from_micros(200),
+            interval_per_concurrent_request: Duration::from_micros(200),
             cold_requests: 0,
-            cold_bears: 2,
-            cold_spare: 4,
+            cold_capacity: 2,
+            cold_overload_tolerance: 4,
             cold_factor: 4,
             load_lag: Duration::from_millis(200),
             event_lag: Duration::from_millis(200),
-            event_gap: 16,
-            checks_fence: true,
-            order_time: Duration::ZERO,
+            event_drop_interval: 16,
+            checks_fencing_token: true,
+            order_duration: Duration::ZERO,
             models: Vec::new(),
             poison: None,
             crash: server::Crash::Abort,
--- a/crates/standin/src/engine/machine.rs
+++ b/crates/standin/src/engine/simulator.rs
@@ -9,18 +9,17 @@
 use tokio::sync::watch;
 
 use crate::{
-    answer,
     engine::{
         Fault, Fenced, Settings,
         cache::Cache,
-        call,
-        fault::{Hit, Pending},
+        completion,
+        fault::{Effects, Pending},
         generation::{Generation, Stage, Usage},
         orders::{Orders, Stale},
         slots::Slots,
         state::State,
     },
-    process,
+    payload, process,
     server::{self, lock},
 };
 
@@ -51,30 +50,30 @@
 
 /// A switch that lasts until the faults end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Lasting {
-    frozen: bool,
-    slow: u32,
+struct ActiveFaults {
+    is_frozen: bool,
+    slowdown: u32,
 }
 
-const HEALTHY: Lasting = Lasting {
-    frozen: false,
-    slow: 1,
+const NO_FAULTS: ActiveFaults = ActiveFaults {
+    is_frozen: false,
+    slowdown: 1,
 };
 
 /// An engine's state and what changes it.
 #[derive(Debug)]
-pub struct Machine {
+pub struct Simulator {
     pub(super) settings: Settings,
     pub(super) state: Mutex<State>,
     pub(super) orders: Mutex<Orders>,
     counters: Mutex<Counters>,
     pending: Mutex<Pending>,
     poison: Mutex<Option<String>>,
-    lasting: watch::Sender<Lasting>,
+    active_faults: watch::Sender<ActiveFaults>,
     pub(super) control: Arc<server::Control>,
 }
 
-impl Machine {
+impl Simulator {
     pub(super) fn new(settings: Settings, control: Arc<server::Control>) -> Self {
         Self {
             state: Mutex::new(State::new(&settings)),
@@ -82,7 +81,7 @@
             counters: Mutex::default(),
             pending: Mutex::default(),
             poison: Mutex::new(settings.poison.clone()),
-            lasting: watch::Sender::new(HEALTHY),
+            active_faults: watch::Sender::new(NO_FAULTS),
             settings,
             control,
         }
@@ -92,24 +91,28 @@
     pub(super) fn reboot(&self) {
         *lock(&self.state) = State::new(&self.settings);
         lock(&self.orders).models = self.settings.models.clone();
-        self.lasting.send_replace(HEALTHY);
+        self.active_faults.send_replace(NO_FAULTS);
     }
 
     pub(super) fn counters(&self) -> Counters {
         *lock(&self.counters)
     }
 
-    pub(super) fn carried_out(&self) -> Vec<Fenced> {
-        lock(&self.orders).carried_out.clone()
+    pub(super) fn executed(&self) -> Vec<Fenced> {
+        lock(&self.orders).executed.clone()
     }
 
     /// Switches a fault that the connection `from` asks for.
-    pub(super) fn switch(&self, fault: Fault, from: Option<server::Connection>) {
+    pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
-            Fault::Normal => self.heal(),
+            Fault::Normal => self.clear_faults(),
             Fault::Crash => self.control.crash(),
-            Fault::Freeze => self.lasting.send_modify(|lasting| lasting.frozen = true),
-            Fault::Slow { factor } => self.lasting.send_modify(|l| l.slow = factor.max(1)),
+            Fault::Freeze => self
+                .active_faults
+                .send_modify(|active| active.is_frozen = true),
+            Fault::Slow { factor } => self
+                .active_faults
+                .send_modify(|active| active.slowdown = factor.max(1)),
             Fault::TurnCold => self.turn_cold(),
             Fault::SilentConnections => self.control.silence(from),
             Fault::Poison { marker } => *lock(&self.poison) = Some(marker),
@@ -119,26 +122,26 @@
 
     fn turn_cold(&self) {
         let mut state = lock(&self.state);
-        state.cold_left = self.settings.cold_requests.max(1);
-        state.cold_spare = self.settings.cold_spare;
+        state.cold_remaining = self.settings.cold_requests.max(1);
+        state.cold_overload_tolerance = self.settings.cold_overload_tolerance;
     }
 
-    fn heal(&self) {
+    fn clear_faults(&self) {
         *lock(&self.pending) = Pending::default();
         *lock(&self.poison) = None;
-        self.lasting.send_replace(HEALTHY);
+        self.active_faults.send_replace(NO_FAULTS);
     }
 
     /// What hits the next request.
-    pub(super) fn next_hit(&self, is_stream: bool) -> Hit {
+    pub(super) fn next_effects(&self, is_stream: bool) -> Effects {
         lock(&self.pending).next(is_stream)
     }
 
     /// Waits until the engine is not frozen.
-    pub(super) async fn thawed(&self) {
-        let mut lasting = self.lasting.subscribe();
+    pub(super) async fn wait_until_unfrozen(&self) {
+        let mut active_faults = self.active_faults.subscribe();
         // The sender lives as long as `self`, so the wait ends only with a thaw.
-        drop(lasting.wait_for(|lasting| !lasting.frozen).await);
+        drop(active_faults.wait_for(|active| !active.is_frozen).await);
     }
 
     /// Whether `model` can be served.
@@ -148,82 +151,91 @@
     }
 
     /// Begins an answer, which goes on also when its caller is gone.
-    pub(super) fn begin(self: &Arc<Self>, head: call::Head, body: call::Body) -> Arc<Generation> {
-        let generation = Arc::new(Generation::new(head.attempt.clone(), body.model.clone()));
-        lock(&self.state).keep(&generation);
+    pub(super) fn start_generation(
+        self: &Arc<Self>,
+        headers: completion::Headers,
+        body: completion::Body,
+    ) -> Arc<Generation> {
+        let generation = Arc::new(Generation::new(headers.attempt.clone(), body.model.clone()));
+        lock(&self.state).retain_stream(&generation);
         lock(&self.counters).requests += 1;
-        let machine = Arc::clone(self);
-        let own = Arc::clone(&generation);
+        let simulator = Arc::clone(self);
+        let started = Arc::clone(&generation);
         self.control.spawn(async move {
-            machine.generate(&head, &body, &own).await;
+            simulator.generate(&headers, &body, &started).await;
         });
         generation
     }
 
-    async fn generate(&self, head: &call::Head, body: &call::Body, generation: &Generation) {
-        let Some(_present) = self.enter() else {
+    async fn generate(
+        &self,
+        headers: &completion::Headers,
+        body: &completion::Body,
+        generation: &Generation,
+    ) {
+        let Some(_in_flight) = self.admit() else {
             self.control.crash();
             return;
         };
         let slots = lock(&self.state).slots.clone();
-        let Some(_slot) = slots.take(head.priority).await else {
+        let Some(_slot) = slots.acquire(headers.priority).await else {
             return;
         };
         if generation.is_cancelled() {
             return;
         }
-        self.thawed().await;
-        let usage = self.prefill(head, body).await;
+        self.wait_until_unfrozen().await;
+        let usage = self.prefill(headers, body).await;
         if self.is_poisoned(body) {
             self.control.crash();
             return;
         }
-        for word in answer::words(body.prompt(), body.answer_tokens()) {
+        for word in payload::words(body.prompt(), body.output_tokens()) {
             process::pause(self.interval(&slots)).await;
-            self.thawed().await;
+            self.wait_until_unfrozen().await;
             if generation.is_cancelled() {
                 lock(&self.counters).cancelled += 1;
                 return;
             }
             generation.push(word);
         }
-        self.finish(head, body, generation, usage);
+        self.finish(headers, body, generation, usage);
     }
 
     /// Counts a request in; none: the engine is cold and falls over.
-    fn enter(&self) -> Option<Present<'_>> {
+    fn admit(&self) -> Option<InFlight<'_>> {
         let mut state = lock(&self.state);
-        state.present += 1;
-        let is_cold = state.cold_left > 0;
+        state.in_flight += 1;
+        let is_cold = state.cold_remaining > 0;
         let mut counters = lock(&self.counters);
-        counters.most_at_once = counters.most_at_once.max(state.present);
+        counters.most_at_once = counters.most_at_once.max(state.in_flight);
         if is_cold {
-            counters.most_while_cold = counters.most_while_cold.max(state.present);
+            counters.most_while_cold = counters.most_while_cold.max(state.in_flight);
         }
-        if is_cold && state.present > self.settings.cold_bears {
+        if is_cold && state.in_flight > self.settings.cold_capacity {
             counters.overloads_while_cold += 1;
-            if state.cold_spare == 0 {
-                counters.falls += u64::from(!state.has_fallen);
-                state.has_fallen = true;
+            if state.cold_overload_tolerance == 0 {
+                counters.falls += u64::from(!state.has_crashed);
+                state.has_crashed = true;
                 return None;
             }
-            state.cold_spare -= 1;
+            state.cold_overload_tolerance -= 1;
         }
         let boot = state.boot;
-        Some(Present {
-            machine: self,
+        Some(InFlight {
+            simulator: self,
             boot,
         })
     }
 
     /// Computes what of the prompt is not cached.
-    async fn prefill(&self, head: &call::Head, body: &call::Body) -> Usage {
+    async fn prefill(&self, headers: &completion::Headers, body: &completion::Body) -> Usage {
         let blocks = body.blocks();
         let prompt_tokens = blocks.iter().map(|block| block.tokens).sum();
-        let cached_tokens = lock(&self.state).cache.cached(head.chat, &blocks);
-        let missing = u32::try_from(prompt_tokens - cached_tokens).unwrap_or(u32::MAX);
-        let time = self.settings.prefill_per_token.saturating_mul(missing);
-        process::pause(time.saturating_mul(self.slowness())).await;
+        let cached_tokens = lock(&self.state).cache.lookup(headers.chat, &blocks);
+        let uncached = u32::try_from(prompt_tokens - cached_tokens).unwrap_or(u32::MAX);
+        let duration = self.settings.prefill_per_token.saturating_mul(uncached);
+        process::pause(duration.saturating_mul(self.slowdown_factor())).await;
         let mut counters = lock(&self.counters);
         counters.started += 1;
         counters.prompt_tokens += prompt_tokens;
@@ -231,40 +243,48 @@
         Usage {
             prompt_tokens,
             cached_tokens,
-            completion_tokens: u64::from(body.answer_tokens()),
+            completion_tokens: u64::from(body.output_tokens()),
         }
     }
 
-    fn finish(&self, head: &call::Head, body: &call::Body, generation: &Generation, usage: Usage) {
-        let text = answer::text(body.prompt(), body.answer_tokens());
+    fn finish(
+        &self,
+        headers: &completion::Headers,
+        body: &completion::Body,
+        generation: &Generation,
+        usage: Usage,
+    ) {
+        let text = payload::text(body.prompt(), body.output_tokens());
         let mut state = lock(&self.state);
-        let blocks = body.blocks_with(&text);
-        state.cache.store(head.chat, blocks, Instant::now());
-        state.cold_left = state.cold_left.saturating_sub(1);
+        let blocks = body.blocks_with_reply(&text);
+        state.cache.store(headers.chat, blocks, Instant::now());
+        state.cold_remaining = state.cold_remaining.saturating_sub(1);
         lock(&self.counters).completed += 1;
         generation.end(Stage::Done(usage));
     }
 
-    fn is_poisoned(&self, body: &call::Body) -> bool {
+    fn is_poisoned(&self, body: &completion::Body) -> bool {
         let poison = lock(&self.poison);
-        poison.as_ref().is_some_and(|marker| body.holds(marker))
+        poison
+            .as_ref()
+            .is_some_and(|marker| body.has_marker(marker))
     }
 
     /// How many times as long everything takes now.
-    fn slowness(&self) -> u32 {
-        let slow = self.lasting.borrow().slow;
-        let is_cold = lock(&self.state).cold_left > 0;
+    fn slowdown_factor(&self) -> u32 {
+        let slowdown = self.active_faults.borrow().slowdown;
+        let is_cold = lock(&self.state).cold_remaining > 0;
         if is_cold {
-            return slow.saturating_mul(self.settings.cold_factor);
+            return slowdown.saturating_mul(self.settings.cold_factor);
         }
-        slow
+        slowdown
     }
 
     /// The time to the next token, which grows with the batch.
     fn interval(&self, slots: &Slots) -> Duration {
-        let neighbours = slots.counts().0.saturating_sub(1);
-        let added = self.settings.interval_per_neighbour * neighbours;
-        (self.settings.token_interval + added).saturating_mul(self.slowness())
+        let concurrent = slots.counts().0.saturating_sub(1);
+        let added = self.settings.interval_per_concurrent_request * concurrent;
+        (self.settings.token_interval + added).saturating_mul(self.slowdown_factor())
     }
 
     /// The answer of `attempt`, while it is kept.
@@ -285,23 +305,23 @@
     }
 
     /// Carries out an order.
-    pub(super) async fn order(&self, given: Fenced) -> Result<(), Stale> {
-        process::pause(self.settings.order_time).await;
-        lock(&self.orders).take(given, self.settings.checks_fence)
+    pub(super) async fn execute_order(&self, order: Fenced) -> Result<(), Stale> {
+        process::pause(self.settings.order_duration).await;
+        lock(&self.orders).execute(order, self.settings.checks_fencing_token)
     }
 }
 
 /// Counts a request out, unless the engine has started anew since.
-struct Present<'a> {
-    machine: &'a Machine,
+struct InFlight<'a> {
+    simulator: &'a Simulator,
     boot: u64,
 }
 
-impl Drop for Present<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
-        let mut state = lock(&self.machine.state);
+        let mut state = lock(&self.simulator.state);
         if state.boot == self.boot {
-            state.present -= 1;
+            state.in_flight -= 1;
         }
     }
 }
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -40,13 +40,13 @@
     }
 
     /// Takes a place, waiting for one; the highest priority goes first.
-    pub(super) async fn take(&self, priority: Priority) -> Option<Slot> {
+    pub(super) async fn acquire(&self, priority: Priority) -> Option<Slot> {
         let granted = {
             let mut state = lock(&self.state);
             state.arrivals += 1;
-            let place = (Reverse(priority), state.arrivals);
+            let position = (Reverse(priority), state.arrivals);
             let (grant, granted) = oneshot::channel();
-            state.waiting.insert(place, grant);
+            state.waiting.insert(position, grant);
             granted
         };
         self.grant();
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -8,19 +8,19 @@
 use crate::engine::{Settings, cache::Cache, generation::Generation, report::Load, slots::Slots};
 
 /// How many answers are kept for callers that come back.
-const KEPT_STREAMS: usize = 256;
+const MAX_STREAMS: usize = 256;
 
 /// What a start begins anew.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) boot: u64,
-    pub(super) present: u32,
-    pub(super) cold_left: u32,
-    pub(super) cold_spare: u32,
-    pub(super) has_fallen: bool,
+    pub(super) in_flight: u32,
+    pub(super) cold_remaining: u32,
+    pub(super) cold_overload_tolerance: u32,
+    pub(super) has_crashed: bool,
     pub(super) cache: Cache,
     pub(super) reports: VecDeque<Load>,
-    pub(super) last_report: u64,
+    pub(super) last_report_seq: u64,
     pub(super) streams: BTreeMap<String, Arc<Generation>>,
     stream_order: VecDeque<String>,
     pub(super) slots: Slots,
@@ -30,17 +30,17 @@
     pub(super) fn new(settings: &Settings) -> Self {
         Self {
             boot: rand::random(),
-            present: 0,
-            cold_left: settings.cold_requests,
-            cold_spare: 0,
-            has_fallen: false,
+            in_flight: 0,
+            cold_remaining: settings.cold_requests,
+            cold_overload_tolerance: 0,
+            has_crashed: false,
             cache: Cache::new(
                 settings.cache_tokens,
                 settings.event_lag,
-                settings.event_gap,
+                settings.event_drop_interval,
             ),
             reports: VecDeque::new(),
-            last_report: 0,
+            last_report_seq: 0,
             streams: BTreeMap::new(),
             stream_order: VecDeque::new(),
             slots: Slots::new(settings.capacity),
@@ -48,11 +48,11 @@
     }
 
     /// Keeps an answer for its caller to come back to.
-    pub(super) fn keep(&mut self, generation: &Arc<Generation>) {
+    pub(super) fn retain_stream(&mut self, generation: &Arc<Generation>) {
         let attempt = generation.attempt.clone();
         self.streams.insert(attempt.clone(), Arc::clone(generation));
         self.stream_order.push_back(attempt);
-        if self.stream_order.len() <= KEPT_STREAMS {
+        if self.stream_order.len() <= MAX_STREAMS {
             return;
         }
         if let Some(oldest) = self.stream_order.pop_front() {
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -19,15 +19,15 @@
 
 /// The connection ends without an answer, or in the middle of one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Cut;
+pub struct Disconnected;
 
-impl fmt::Display for Cut {
+impl fmt::Display for Disconnected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str("the connection was cut on purpose")
     }
 }
 
-impl error::Error for Cut {}
+impl error::Error for Disconnected {}
 
 /// The body of an answer.
 #[derive(Debug)]
@@ -35,22 +35,22 @@
     /// All of it at once.
     Full(Option<Bytes>),
     /// Piece by piece; an error cuts the connection.
-    Stream(mpsc::Receiver<Result<Bytes, Cut>>),
+    Stream(mpsc::Receiver<Result<Bytes, Disconnected>>),
 }
 
 impl body::Body for Body {
     type Data = Bytes;
-    type Error = Cut;
+    type Error = Disconnected;
 
     fn poll_frame(
         self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
-    ) -> Poll<Option<Result<body::Frame<Bytes>, Cut>>> {
+    ) -> Poll<Option<Result<body::Frame<Bytes>, Disconnected>>> {
         match self.get_mut() {
             Self::Full(bytes) => Poll::Ready(bytes.take().map(|b| Ok(body::Frame::data(b)))),
-            Self::Stream(pieces) => pieces
+            Self::Stream(chunks) => chunks
                 .poll_recv(context)
-                .map(|piece| piece.map(|p| p.map(body::Frame::data))),
+                .map(|chunk| chunk.map(|p| p.map(body::Frame::data))),
         }
     }
 
@@ -81,7 +81,7 @@
 }
 
 /// An answer with a JSON body and its entity tag, or 304 when the caller has it.
-pub fn json_if_changed(request: &Request, value: &impl Serialize) -> Response {
+pub fn json_with_etag(request: &Request, value: &impl Serialize) -> Response {
     let mut response = json(StatusCode::OK, value);
     let Body::Full(Some(body)) = response.body() else {
         return response;
@@ -107,8 +107,8 @@
 }
 
 /// An answer of server-sent events.
-pub fn events(pieces: mpsc::Receiver<Result<Bytes, Cut>>) -> Response {
-    let mut response = Response::new(Body::Stream(pieces));
+pub fn event_stream(chunks: mpsc::Receiver<Result<Bytes, Disconnected>>) -> Response {
+    let mut response = Response::new(Body::Stream(chunks));
     response.headers_mut().insert(
         header::CONTENT_TYPE,
         header::HeaderValue::from_static("text/event-stream"),
@@ -120,19 +120,22 @@
 ///
 /// # Errors
 ///
-/// [`Cut`] when the caller vanished.
-pub async fn bytes(request: Request) -> Result<Bytes, Cut> {
+/// [`Disconnected`] when the caller vanished.
+pub async fn read_body(request: Request) -> Result<Bytes, Disconnected> {
     let body = request.into_body().collect().await;
-    body.map(|collected| collected.to_bytes()).map_err(|_| Cut)
+    body.map(|collected| collected.to_bytes())
+        .map_err(|_| Disconnected)
 }
 
 /// Reads the body of `request` as JSON; the inner error is the answer to a malformed one.
 ///
 /// # Errors
 ///
-/// [`Cut`] when the caller vanished.
-pub async fn read<T: DeserializeOwned>(request: Request) -> Result<Result<T, Response>, Cut> {
-    let text = bytes(request).await?;
+/// [`Disconnected`] when the caller vanished.
+pub async fn read_json<T: DeserializeOwned>(
+    request: Request,
+) -> Result<Result<T, Response>, Disconnected> {
+    let text = read_body(request).await?;
     let value = serde_json::from_slice(&text);
     Ok(value.map_err(|e| error(StatusCode::BAD_REQUEST, &e.to_string())))
 }
@@ -143,24 +146,24 @@
 }
 
 /// The value of the parameter `name` in the query, with `%XX` decoded.
-pub fn parameter(request: &Request, name: &str) -> Option<String> {
+pub fn query_parameter(request: &Request, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     let value = pairs
         .filter_map(|pair| pair.split_once('='))
         .find(|(key, _)| *key == name)?
         .1;
-    Some(decoded(value))
+    Some(percent_decode(value))
 }
 
 /// The parameter `name` as a number, or `default`.
-pub fn number<T: str::FromStr>(request: &Request, name: &str, default: T) -> T {
-    parameter(request, name)
+pub fn numeric_parameter<T: str::FromStr>(request: &Request, name: &str, default: T) -> T {
+    query_parameter(request, name)
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
 /// `text` with `%XX` decoded; what is not valid stays as it is.
-pub fn decoded(text: &str) -> String {
+pub fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&first, tail)) = rest.split_first() {
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -8,7 +8,7 @@
 //! # async fn example() -> std::io::Result<()> {
 //! let engine = standin::engine::start(standin::engine::Settings::default()).await?;
 //! println!("the engine listens on {}", engine.address());
-//! engine.fault(standin::engine::Fault::Freeze);
+//! engine.set_fault(standin::engine::Fault::Freeze);
 //! engine.stop();
 //! # Ok(())
 //! # }
@@ -17,10 +17,10 @@
 //! Every stand-in takes `POST /fault` with the fault as JSON, such as
 //! `{"kind":"freeze"}`; `{"kind":"normal"}` ends all faults.
 
-pub mod answer;
 pub mod engine;
 pub mod http;
 pub mod link;
+pub mod payload;
 pub mod platform;
 pub mod process;
 pub mod server;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -13,7 +13,7 @@
 };
 
 /// How much is carried at a time, in bytes.
-const PIECE: usize = 8 * 1024;
+const BUFFER_BYTES: usize = 8 * 1024;
 
 /// A loopback address whose connections are carried to a server.
 #[derive(Clone, Debug)]
@@ -36,8 +36,8 @@
         let (open, is_open) = watch::channel(true);
         let (rate, rates) = watch::channel(u64::MAX);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(connection(near, target, is_open.clone(), rates.clone()));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(connection(client, target, is_open.clone(), rates.clone()));
             }
         });
         Ok(Self {
@@ -53,7 +53,7 @@
     }
 
     /// Cuts all connections and refuses new ones.
-    pub fn shut(&self) {
+    pub fn close(&self) {
         self.open.send_replace(false);
     }
 
@@ -64,13 +64,13 @@
 
     /// Lets so many bytes a second come from the server on each connection
     /// from now on; with zero they fall silent.
-    pub fn limit(&self, bytes_per_s: u64) {
+    pub fn set_rate(&self, bytes_per_s: u64) {
         self.rate.send_replace(bytes_per_s);
     }
 }
 
 async fn connection(
-    near: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     mut is_open: watch::Receiver<bool>,
     rates: watch::Receiver<u64>,
@@ -78,45 +78,45 @@
     if !*is_open.borrow() {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let shut = is_open.wait_for(|open| !open);
+    let close = is_open.wait_for(|open| !open);
     tokio::select! {
-        () = carry(near, far, rates) => {}
-        shut = shut => drop(shut),
+        () = relay(client, server, rates) => {}
+        close = close => drop(close),
     }
 }
 
 /// Carries bytes until both ends have closed.
-async fn carry(near: TcpStream, far: TcpStream, rates: watch::Receiver<u64>) {
-    let (mut near_read, near_write) = near.into_split();
-    let (far_read, mut far_write) = far.into_split();
-    let there = async {
+async fn relay(client: TcpStream, server: TcpStream, rates: watch::Receiver<u64>) {
+    let (mut client_read, client_write) = client.into_split();
+    let (server_read, mut server_write) = server.into_split();
+    let upload = async {
         // Either end may close.
-        drop(tokio::io::copy(&mut near_read, &mut far_write).await);
-        drop(far_write);
+        drop(tokio::io::copy(&mut client_read, &mut server_write).await);
+        drop(server_write);
     };
-    tokio::join!(there, carry_back(far_read, near_write, rates));
+    tokio::join!(upload, relay_throttled(server_read, client_write, rates));
 }
 
 /// Carries bytes at the rate that is set, piece by piece.
-async fn carry_back(
+async fn relay_throttled(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut rates: watch::Receiver<u64>,
 ) {
-    let mut piece = [0; PIECE];
+    let mut buffer = [0; BUFFER_BYTES];
     let mut free_at = time::Instant::now();
-    while let Ok(length @ 1..) = from.read(&mut piece).await {
+    while let Ok(length @ 1..) = from.read(&mut buffer).await {
         let rate = match rates.wait_for(|rate| *rate > 0).await {
             Ok(rate) => *rate,
             Err(_) => return,
         };
-        let taken = Duration::from_secs_f64(length as f64 / rate as f64);
-        free_at = free_at.max(time::Instant::now()) + taken;
+        let transfer_time = Duration::from_secs_f64(length as f64 / rate as f64);
+        free_at = free_at.max(time::Instant::now()) + transfer_time;
         time::sleep_until(free_at).await;
-        if to.write_all(&piece[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -7,7 +7,7 @@
 use standin::{engine, platform, process, service};
 
 fn main() -> io::Result<()> {
-    let role = settings::load(arguments::ABOUT, arguments::given(), arguments::check);
+    let role = settings::load(arguments::ABOUT, arguments::parser(), arguments::check);
     logging::init("weir-standin");
     tokio::runtime::Builder::new_multi_thread()
         .worker_threads(1)
@@ -36,5 +36,5 @@
 /// Serves until a signal asks the process to end.
 async fn serve(address: SocketAddr) -> io::Result<()> {
     process::announce(address)?;
-    process::terminated().await
+    process::wait_for_signal().await
 }
--- a/crates/standin/src/answer.rs
+++ b/crates/standin/src/payload.rs
@@ -25,6 +25,6 @@
 }
 
 /// How many tokens `text` has: its words.
-pub fn tokens(text: &str) -> u64 {
+pub fn count_tokens(text: &str) -> u64 {
     text.split_whitespace().count() as u64
 }
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -60,13 +60,13 @@
     }
 
     /// The list as callers see it now.
-    pub fn seen(&mut self) -> List {
+    pub fn visible(&mut self) -> List {
         let now = Instant::now();
         while self.versions.get(1).is_some_and(|(at, _)| *at <= now) {
             self.versions.pop_front();
         }
         let first = self.versions.front();
-        let seen = first.filter(|(at, _)| *at <= now);
-        seen.map(|(_, list)| list.clone()).unwrap_or_default()
+        let visible = first.filter(|(at, _)| *at <= now);
+        visible.map(|(_, list)| list.clone()).unwrap_or_default()
     }
 }
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -26,7 +26,7 @@
 
 /// A write whose condition did not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Failed;
+pub struct ConditionFailed;
 
 /// All objects in the order of their keys.
 #[derive(Debug, Default)]
@@ -54,21 +54,21 @@
     ///
     /// # Errors
     ///
-    /// [`Failed`] when the condition does not hold. Nothing is changed.
+    /// [`ConditionFailed`] when the condition does not hold. Nothing is changed.
     pub fn put(
         &mut self,
         key: &str,
         bytes: Bytes,
         condition: &Condition,
-    ) -> Result<String, Failed> {
-        let present = self.objects.get(key);
+    ) -> Result<String, ConditionFailed> {
+        let current = self.objects.get(key);
         let holds = match condition {
             Condition::Always => true,
-            Condition::Absent => present.is_none(),
-            Condition::Tag(tag) => present.is_some_and(|object| object.tag == *tag),
+            Condition::Absent => current.is_none(),
+            Condition::Tag(tag) => current.is_some_and(|object| object.tag == *tag),
         };
         if !holds {
-            return Err(Failed);
+            return Err(ConditionFailed);
         }
         self.writes += 1;
         let tag = format!("\"{}\"", self.writes);
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -72,16 +72,16 @@
     }
 
     /// Switches a fault that the connection `from` asks for.
-    pub(super) fn switch(&self, fault: Fault, from: Option<server::Connection>) {
+    pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
             Fault::Crash => self.control.crash(),
             Fault::SilentConnections => self.control.silence(from),
-            lasting => *lock(&self.fault) = lasting,
+            other => *lock(&self.fault) = other,
         }
     }
 
     /// Whether the answer to a write is to be lost.
-    fn loses_answer(&self) -> bool {
+    fn drops_response(&self) -> bool {
         let mut fault = lock(&self.fault);
         let Fault::LoseAnswer { count } = &mut *fault else {
             return false;
@@ -96,7 +96,7 @@
         }
     }
 
-    fn count(&self, method: &Method) {
+    fn count_request(&self, method: &Method) {
         let mut counters = lock(&self.counters);
         if method == Method::GET {
             counters.reads += 1;
@@ -105,8 +105,8 @@
         }
     }
 
-    async fn transact(&self, request: http::Request) -> Result<http::Response, http::Cut> {
-        let transaction = match http::read::<Transaction>(request).await? {
+    async fn transact(&self, request: http::Request) -> Result<http::Response, http::Disconnected> {
+        let transaction = match http::read_json::<Transaction>(request).await? {
             Ok(transaction) => transaction,
             Err(malformed) => return Ok(malformed),
         };
@@ -118,9 +118,9 @@
     }
 
     fn scan(&self, request: &http::Request) -> http::Response {
-        let prefix = http::parameter(request, "prefix").unwrap_or_default();
-        let from = http::parameter(request, "from").unwrap_or_default();
-        let limit = http::number(request, "limit", DEFAULT_LIMIT);
+        let prefix = http::query_parameter(request, "prefix").unwrap_or_default();
+        let from = http::query_parameter(request, "from").unwrap_or_default();
+        let limit = http::numeric_parameter(request, "limit", DEFAULT_LIMIT);
         let rows = lock(&self.table).scan(&prefix, &from, limit);
         http::json(StatusCode::OK, &Rows { rows })
     }
@@ -137,7 +137,7 @@
             return http::error(StatusCode::NOT_FOUND, "no such object");
         };
         let mut response = http::Response::new(http::Body::Full(Some(object.bytes)));
-        tag(&mut response, &object.tag);
+        set_etag(&mut response, &object.tag);
         response
     }
 
@@ -145,14 +145,14 @@
         &self,
         key: &str,
         request: http::Request,
-    ) -> Result<http::Response, http::Cut> {
+    ) -> Result<http::Response, http::Disconnected> {
         let absent = http::header(&request, "if-none-match") == Some("*");
         let condition = match http::header(&request, "if-match") {
             Some(wanted) => Condition::Tag(String::from(wanted)),
             None if absent => Condition::Absent,
             None => Condition::Always,
         };
-        let bytes = http::bytes(request).await?;
+        let bytes = http::read_body(request).await?;
         let outcome = lock(&self.objects).put(key, bytes, &condition);
         let Ok(written) = outcome else {
             return Ok(http::error(
@@ -161,12 +161,15 @@
             ));
         };
         let mut response = http::json(StatusCode::OK, &serde_json::json!({}));
-        tag(&mut response, &written);
+        set_etag(&mut response, &written);
         Ok(response)
     }
 
-    async fn put_hosts(&self, request: http::Request) -> Result<http::Response, http::Cut> {
-        match http::read::<List>(request).await? {
+    async fn put_hosts(
+        &self,
+        request: http::Request,
+    ) -> Result<http::Response, http::Disconnected> {
+        match http::read_json::<List>(request).await? {
             Ok(list) => lock(&self.hosts).set(list.hosts),
             Err(malformed) => return Ok(malformed),
         }
@@ -176,28 +179,28 @@
     async fn put_fault(
         &self,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
-        match http::read::<Fault>(request).await? {
-            Ok(fault) => self.switch(fault, Some(connection)),
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
+        match http::read_json::<Fault>(request).await? {
+            Ok(fault) => self.set_fault(fault, Some(connection)),
             Err(malformed) => return Ok(malformed),
         }
         Ok(http::json(StatusCode::OK, &serde_json::json!({})))
     }
 
     /// The calls of the platform itself, which the faults hit.
-    async fn route(&self, request: http::Request) -> Result<http::Response, http::Cut> {
+    async fn route(&self, request: http::Request) -> Result<http::Response, http::Disconnected> {
         let method = request.method().clone();
-        let path = http::decoded(request.uri().path());
+        let path = http::percent_decode(request.uri().path());
         match (method, path.as_str()) {
             (Method::GET, "/hosts") => {
-                let list = lock(&self.hosts).seen();
-                Ok(http::json_if_changed(&request, &list))
+                let list = lock(&self.hosts).visible();
+                Ok(http::json_with_etag(&request, &list))
             }
             (Method::GET, "/table/scan") => Ok(self.scan(&request)),
             (Method::POST, "/table/transact") => self.transact(request).await,
             (Method::GET, "/objects") => {
-                let prefix = http::parameter(&request, "prefix").unwrap_or_default();
+                let prefix = http::query_parameter(&request, "prefix").unwrap_or_default();
                 let keys = lock(&self.objects).keys(&prefix);
                 Ok(http::json(StatusCode::OK, &Keys { keys }))
             }
@@ -216,11 +219,11 @@
 }
 
 impl server::Application for Application {
-    async fn answer(
+    async fn handle(
         self: Arc<Self>,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/fault") => return self.put_fault(request, connection).await,
             (&Method::PUT, "/hosts") => return self.put_hosts(request).await,
@@ -230,7 +233,7 @@
             _ => {}
         }
         let is_write = request.method() != Method::GET;
-        self.count(request.method());
+        self.count_request(request.method());
         let fault = *lock(&self.fault);
         match fault {
             Fault::Down => {
@@ -241,14 +244,14 @@
             _ => {}
         }
         let response = self.route(request).await?;
-        if is_write && self.loses_answer() {
-            return Err(http::Cut);
+        if is_write && self.drops_response() {
+            return Err(http::Disconnected);
         }
         Ok(response)
     }
 }
 
-fn tag(response: &mut http::Response, tag: &str) {
+fn set_etag(response: &mut http::Response, tag: &str) {
     if let Ok(value) = header::HeaderValue::from_str(tag) {
         response.headers_mut().insert(header::ETAG, value);
     }
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -92,14 +92,14 @@
     }
 
     fn conflicts(&self, checks: &[Check]) -> Vec<Check> {
-        let present = checks.iter().map(|check| Check {
+        let current = checks.iter().map(|check| Check {
             key: check.key.clone(),
             generation: self.rows.get(&check.key).map_or(0, |row| row.1),
         });
-        let pairs = present.zip(checks);
+        let pairs = current.zip(checks);
         pairs
-            .filter(|(present, wanted)| present != *wanted)
-            .map(|(present, _)| present)
+            .filter(|(current, wanted)| current != *wanted)
+            .map(|(current, _)| current)
             .collect()
     }
 
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -26,7 +26,7 @@
 /// # Errors
 ///
 /// The error of the registration of a handler.
-pub async fn terminated() -> io::Result<()> {
+pub async fn wait_for_signal() -> io::Result<()> {
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
     tokio::select! {
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -33,27 +33,27 @@
 }
 
 /// The number of a connection, in the order of arrival.
-pub type Connection = u64;
+pub type ConnectionId = u64;
 
 /// What answers the requests.
 pub trait Application: Send + Sync + 'static {
     /// Answers one request; an error cuts the connection.
-    fn answer(
+    fn handle(
         self: Arc<Self>,
         request: http::Request,
-        connection: Connection,
-    ) -> impl Future<Output = Result<http::Response, http::Cut>> + Send;
+        connection: ConnectionId,
+    ) -> impl Future<Output = Result<http::Response, http::Disconnected>> + Send;
 }
 
 /// Switches for the faults of connections and for work in the background.
 #[derive(Debug, Default)]
 pub struct Control {
     crash: Crash,
-    accepting: Mutex<Option<AbortHandle>>,
-    work: Mutex<JoinSet<()>>,
-    accepted: AtomicU64,
+    accept_task: Mutex<Option<AbortHandle>>,
+    tasks: Mutex<JoinSet<()>>,
+    next_connection: AtomicU64,
     silent_below: AtomicU64,
-    spared: AtomicU64,
+    exempt: AtomicU64,
 }
 
 impl Control {
@@ -66,10 +66,10 @@
     }
 
     /// Runs `work` until it ends or the stand-in crashes.
-    pub fn spawn(&self, work: impl Future<Output = ()> + Send + 'static) {
-        let mut set = lock(&self.work);
-        while set.try_join_next().is_some() {}
-        set.spawn(work);
+    pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
+        let mut tasks = lock(&self.tasks);
+        while tasks.try_join_next().is_some() {}
+        tasks.spawn(task);
     }
 
     /// Crashes: nobody listens, and all connections and work end at once.
@@ -78,23 +78,23 @@
             logging::event!(warn, "crashed");
             std::process::exit(1);
         }
-        if let Some(task) = lock(&self.accepting).take() {
+        if let Some(task) = lock(&self.accept_task).take() {
             task.abort();
         }
-        lock(&self.work).abort_all();
+        lock(&self.tasks).abort_all();
     }
 
     /// Makes all present connections but `spared` go silent for good.
-    pub fn silence(&self, spared: Option<Connection>) {
-        self.spared
-            .store(spared.unwrap_or(Connection::MAX), Ordering::SeqCst);
-        let next = self.accepted.load(Ordering::SeqCst);
+    pub fn silence(&self, exempt: Option<ConnectionId>) {
+        self.exempt
+            .store(exempt.unwrap_or(ConnectionId::MAX), Ordering::SeqCst);
+        let next = self.next_connection.load(Ordering::SeqCst);
         self.silent_below.store(next, Ordering::SeqCst);
     }
 
-    fn is_silent(&self, connection: Connection) -> bool {
+    fn is_silent(&self, connection: ConnectionId) -> bool {
         connection < self.silent_below.load(Ordering::SeqCst)
-            && connection != self.spared.load(Ordering::SeqCst)
+            && connection != self.exempt.load(Ordering::SeqCst)
     }
 }
 
@@ -160,10 +160,10 @@
 
     /// Stops listening and ends all connections.
     pub fn stop(&self) {
-        if let Some(task) = lock(&self.control.accepting).take() {
+        if let Some(task) = lock(&self.control.accept_task).take() {
             task.abort();
         }
-        lock(&self.control.work).abort_all();
+        lock(&self.control.tasks).abort_all();
     }
 
     fn accept(&self, listener: TcpListener) {
@@ -172,19 +172,19 @@
             Arc::clone(&self.application),
             Arc::clone(&self.control),
         ));
-        let earlier = lock(&self.control.accepting).replace(task.abort_handle());
-        if let Some(earlier) = earlier {
-            earlier.abort();
+        let previous = lock(&self.control.accept_task).replace(task.abort_handle());
+        if let Some(previous) = previous {
+            previous.abort();
         }
     }
 }
 
 impl<A> Drop for Server<A> {
     fn drop(&mut self) {
-        if let Some(task) = lock(&self.control.accepting).take() {
+        if let Some(task) = lock(&self.control.accept_task).take() {
             task.abort();
         }
-        lock(&self.control.work).abort_all();
+        lock(&self.control.tasks).abort_all();
     }
 }
 
@@ -195,45 +195,45 @@
         tokio::select! {
             accepted = listener.accept() => {
                 let Ok((stream, _)) = accepted else { continue };
-                let connection = control.accepted.fetch_add(1, Ordering::SeqCst);
-                let link = Link { stream, connection, control: Arc::clone(&control) };
-                connections.spawn(serve(link, Arc::clone(&application)));
+                let id = control.next_connection.fetch_add(1, Ordering::SeqCst);
+                let connection = Connection { stream, id, control: Arc::clone(&control) };
+                connections.spawn(serve(connection, Arc::clone(&application)));
             }
             Some(_) = connections.join_next() => {}
         }
     }
 }
 
-async fn serve<A: Application>(link: Link, application: Arc<A>) {
-    let connection = link.connection;
+async fn serve<A: Application>(connection: Connection, application: Arc<A>) {
+    let id = connection.id;
     // Without it, an event of a stream waits for the acknowledgement of the last one.
-    drop(link.stream.set_nodelay(true));
+    drop(connection.stream.set_nodelay(true));
     let service = service::service_fn(|request| {
         let application = Arc::clone(&application);
-        application.answer(request, connection)
+        application.handle(request, id)
     });
-    let served = http1::Builder::new()
-        .serve_connection(TokioIo::new(link), service)
+    let result = http1::Builder::new()
+        .serve_connection(TokioIo::new(connection), service)
         .await;
-    if let Err(error) = served {
+    if let Err(error) = result {
         logging::event!(debug, "connection_ended", error = error);
     }
 }
 
 /// A connection that can go silent: it takes what is written to it and gives nothing.
-struct Link {
+struct Connection {
     stream: TcpStream,
-    connection: Connection,
+    id: ConnectionId,
     control: Arc<Control>,
 }
 
-impl Link {
+impl Connection {
     fn is_silent(&self) -> bool {
-        self.control.is_silent(self.connection)
+        self.control.is_silent(self.id)
     }
 }
 
-impl AsyncRead for Link {
+impl AsyncRead for Connection {
     fn poll_read(
         mut self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
@@ -246,7 +246,7 @@
     }
 }
 
-impl AsyncWrite for Link {
+impl AsyncWrite for Connection {
     fn poll_write(
         mut self: pin::Pin<&mut Self>,
         context: &mut task::Context<'_>,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -41,8 +41,8 @@
     }
 
     /// Switches a fault on, or all off with [`Fault::Normal`].
-    pub fn fault(&self, fault: Fault) {
-        self.server.application().switch(fault, None);
+    pub fn set_fault(&self, fault: Fault) {
+        self.server.application().set_fault(fault, None);
     }
 
     /// The bookings that ran, and how often.
--- a/crates/standin/src/service/ledger.rs
+++ b/crates/standin/src/service/ledger.rs
@@ -41,7 +41,7 @@
 
 impl Runs {
     /// Notes a run of the booking `id`.
-    pub(super) fn note(&mut self, id: &str) {
+    pub(super) fn record(&mut self, id: &str) {
         *self.by_id.entry(String::from(id)).or_default() += 1;
     }
 
--- a/crates/standin/src/service/routes.rs
+++ b/crates/standin/src/service/routes.rs
@@ -13,7 +13,7 @@
 use tokio::sync::{Semaphore, watch};
 
 use crate::{
-    answer, http, process,
+    http, payload, process,
     server::{self, lock},
     service::{Fault, Ledger, Settings, ledger::Runs},
 };
@@ -21,7 +21,7 @@
 /// The header that names the attempt, which the answer echoes.
 const ATTEMPT: &str = "x-weir-attempt";
 /// What a crossed answer echoes and confirms.
-const OTHER: &str = "ffffffffffffffff";
+const OTHER_ATTEMPT: &str = "ffffffffffffffff";
 
 #[derive(Deserialize)]
 struct Booking {
@@ -50,7 +50,7 @@
 pub struct Application {
     settings: Settings,
     slots: Semaphore,
-    present: AtomicU64,
+    in_flight: AtomicU64,
     calls: AtomicU64,
     reports: AtomicU64,
     boot: AtomicU64,
@@ -64,7 +64,7 @@
         Self {
             slots: Semaphore::new(settings.capacity as usize),
             settings,
-            present: AtomicU64::new(0),
+            in_flight: AtomicU64::new(0),
             calls: AtomicU64::new(0),
             reports: AtomicU64::new(0),
             boot: AtomicU64::new(rand::random()),
@@ -87,34 +87,34 @@
     }
 
     /// Switches a fault that the connection `from` asks for.
-    pub(super) fn switch(&self, fault: Fault, from: Option<server::Connection>) {
+    pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
             Fault::Crash => self.control.crash(),
             Fault::SilentConnections => self.control.silence(from),
-            lasting => drop(self.fault.send_replace(lasting)),
+            other => drop(self.fault.send_replace(other)),
         }
     }
 
     async fn put_fault(
         &self,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
-        match http::read::<Fault>(request).await? {
-            Ok(fault) => self.switch(fault, Some(connection)),
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
+        match http::read_json::<Fault>(request).await? {
+            Ok(fault) => self.set_fault(fault, Some(connection)),
             Err(malformed) => return Ok(malformed),
         }
         Ok(http::json(StatusCode::OK, &serde_json::json!({})))
     }
 
     fn load(&self) -> Load {
-        let present = self.present.load(Ordering::SeqCst);
-        let running = present.min(u64::from(self.settings.capacity));
+        let in_flight = self.in_flight.load(Ordering::SeqCst);
+        let running = in_flight.min(u64::from(self.settings.capacity));
         Load {
             boot: format!("{:016x}", self.boot.load(Ordering::SeqCst)),
             seq: self.reports.fetch_add(1, Ordering::SeqCst),
             running,
-            waiting: present - running,
+            waiting: in_flight - running,
             capacity: self.settings.capacity,
             cached_tokens: 0,
             models: [],
@@ -122,22 +122,22 @@
     }
 
     /// Waits until the service is not frozen.
-    async fn thawed(&self) {
+    async fn wait_until_unfrozen(&self) {
         let mut fault = self.fault.subscribe();
         // The sender lives as long as `self`, so the wait ends only with a thaw.
         drop(fault.wait_for(|fault| *fault != Fault::Freeze).await);
     }
 
     /// Runs one call, waiting for a slot first.
-    async fn run(&self, request: http::Request) -> Result<http::Response, http::Cut> {
-        let _slot = self.slots.acquire().await.map_err(|_| http::Cut)?;
-        process::pause(self.settings.work).await;
+    async fn run(&self, request: http::Request) -> Result<http::Response, http::Disconnected> {
+        let _slot = self.slots.acquire().await.map_err(|_| http::Disconnected)?;
+        process::pause(self.settings.call_duration).await;
         if request.method() == Method::GET {
-            let path = http::decoded(request.uri().path());
-            return Ok(confirmed(&path));
+            let path = http::percent_decode(request.uri().path());
+            return Ok(confirmation_response(&path));
         }
         let key = http::header(&request, "idempotency-key").map(String::from);
-        let booking = match http::read::<Booking>(request).await? {
+        let booking = match http::read_json::<Booking>(request).await? {
             Ok(booking) => booking,
             Err(malformed) => return Ok(malformed),
         };
@@ -145,19 +145,19 @@
             let message = "an id in the body or an idempotency-key is required";
             return Ok(http::error(StatusCode::BAD_REQUEST, message));
         };
-        lock(&self.runs).note(key.as_ref().unwrap_or(&id));
-        Ok(confirmed(&id))
+        lock(&self.runs).record(key.as_ref().unwrap_or(&id));
+        Ok(confirmation_response(&id))
     }
 
     /// Runs one call under the fault that hits it.
-    async fn answer_under_fault(
+    async fn handle_under_fault(
         &self,
         request: http::Request,
-    ) -> Result<http::Response, http::Cut> {
-        self.thawed().await;
+    ) -> Result<http::Response, http::Disconnected> {
+        self.wait_until_unfrozen().await;
         let mut fault = Fault::Normal;
-        self.fault.send_if_modified(|present| {
-            fault = present.next();
+        self.fault.send_if_modified(|current| {
+            fault = current.next();
             false
         });
         if fault == Fault::Down {
@@ -171,12 +171,12 @@
         if let Fault::LateAnswer { delay_ms } = fault {
             process::pause(Duration::from_millis(delay_ms)).await;
         }
-        self.thawed().await;
+        self.wait_until_unfrozen().await;
         let attempt = match fault {
-            Fault::LoseAnswer { .. } => return Err(http::Cut),
+            Fault::LoseAnswer { .. } => return Err(http::Disconnected),
             Fault::CrossedAnswer { .. } => {
-                response = confirmed(OTHER);
-                Some(header::HeaderValue::from_static(OTHER))
+                response = confirmation_response(OTHER_ATTEMPT);
+                Some(header::HeaderValue::from_static(OTHER_ATTEMPT))
             }
             _ => attempt,
         };
@@ -188,39 +188,39 @@
 }
 
 impl server::Application for Application {
-    async fn answer(
+    async fn handle(
         self: Arc<Self>,
         request: http::Request,
-        connection: server::Connection,
-    ) -> Result<http::Response, http::Cut> {
+        connection: server::ConnectionId,
+    ) -> Result<http::Response, http::Disconnected> {
         match (request.method(), request.uri().path()) {
             (&Method::POST, "/fault") => return self.put_fault(request, connection).await,
             (&Method::GET, "/ledger") => return Ok(http::json(StatusCode::OK, &self.ledger())),
             (&Method::GET, "/load") => {
-                self.thawed().await;
+                self.wait_until_unfrozen().await;
                 return Ok(http::json(StatusCode::OK, &self.load()));
             }
             _ => {}
         }
         self.calls.fetch_add(1, Ordering::SeqCst);
-        self.present.fetch_add(1, Ordering::SeqCst);
-        let present = Present(&self.present);
-        let response = self.answer_under_fault(request).await;
-        drop(present);
+        self.in_flight.fetch_add(1, Ordering::SeqCst);
+        let in_flight = InFlight(&self.in_flight);
+        let response = self.handle_under_fault(request).await;
+        drop(in_flight);
         response
     }
 }
 
 /// Counts a call out, also when its connection ends first.
-struct Present<'a>(&'a AtomicU64);
+struct InFlight<'a>(&'a AtomicU64);
 
-impl Drop for Present<'_> {
+impl Drop for InFlight<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
-fn confirmed(id: &str) -> http::Response {
-    let confirmation = answer::confirmation(id);
+fn confirmation_response(id: &str) -> http::Response {
+    let confirmation = payload::confirmation(id);
     http::json(StatusCode::OK, &Confirmation { id, confirmation })
 }
--- a/crates/standin/src/service/settings.rs
+++ b/crates/standin/src/service/settings.rs
@@ -10,7 +10,7 @@
     /// Address to listen on; port 0 takes a free one.
     pub listen: SocketAddr,
     /// How long a call takes.
-    pub work: Duration,
+    pub call_duration: Duration,
     /// How many calls it runs at once; the others wait.
     pub capacity: u32,
     /// What a crash does.
@@ -21,7 +21,7 @@
     fn default() -> Self {
         Self {
             listen: SocketAddr::from(([127, 0, 0, 1], 0)),
-            work: Duration::from_millis(2),
+            call_duration: Duration::from_millis(2),
             capacity: 32,
             crash: server::Crash::Abort,
         }
--- a/crates/standin/tests/standin/client.rs
+++ b/crates/standin/tests/standin/client.rs
@@ -11,14 +11,14 @@
 
 /// An answer read to its end, or to where its connection broke.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub text: String,
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
         serde_json::from_str(&self.text).expect("the answer is JSON")
     }
@@ -30,7 +30,7 @@
     }
 
     /// The text of the events that arrived.
-    pub fn streamed(&self) -> String {
+    pub fn streamed_text(&self) -> String {
         let events = self.text.split("\n\n").filter(|event| !event.is_empty());
         let events = events.map(|event| event.strip_prefix("data: ").expect("an event has data"));
         let pieces = events.filter(|data| *data != "[DONE]");
@@ -67,7 +67,7 @@
         path: &str,
         headers: &[(&'static str, &str)],
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let mut request = Request::builder().method(method).uri(path);
         for (name, value) in headers {
             request = request.header(*name, *value);
@@ -79,20 +79,20 @@
             .await;
         let (head, mut body) = response.ok()?.into_parts();
         let mut bytes = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => {
                     bytes.extend_from_slice(&frame.into_data().expect("no trailers are sent"))
                 }
-                Err(_) => is_whole = false,
+                Err(_) => is_complete = false,
             }
         }
-        Some(Answer {
+        Some(Response {
             status: head.status,
             headers: head.headers,
             text: String::from_utf8(bytes).expect("answers are text"),
-            is_whole,
+            is_complete,
         })
     }
 }
@@ -104,7 +104,7 @@
     path: &str,
     headers: &[(&'static str, &str)],
     body: &str,
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut connection = Connection::open(address).await?;
     connection.send(method, path, headers, body).await
 }
--- a/crates/standin/tests/standin/engine.rs
+++ b/crates/standin/tests/standin/engine.rs
@@ -4,13 +4,13 @@
 
 use serde_json::json;
 use standin::{
-    answer,
     engine::{self, Fault, Settings},
+    payload,
 };
 use tokio::task::JoinSet;
 use yare::parameterized;
 
-use crate::client::{self, Answer, Connection};
+use crate::client::{self, Connection, Response};
 
 const TOKENS: u32 = 8;
 const PATH: &str = "/v1/chat/completions";
@@ -24,74 +24,79 @@
     json!({"model": "m", "messages": messages, "stream": stream, "max_tokens": TOKENS}).to_string()
 }
 
-async fn ask(address: SocketAddr, chat: &str, messages: &[&str], stream: bool) -> Option<Answer> {
+async fn complete(
+    address: SocketAddr,
+    chat: &str,
+    messages: &[&str],
+    stream: bool,
+) -> Option<Response> {
     let headers = [("x-weir-chat", chat), ("x-weir-workspace", "w")];
     client::send(address, "POST", PATH, &headers, &body(messages, stream)).await
 }
 
-fn cached(answer: &Answer) -> u64 {
-    answer.json()["usage"]["cached_tokens"]
+fn cached_tokens(response: &Response) -> u64 {
+    response.json()["usage"]["cached_tokens"]
         .as_u64()
         .expect("the usage is there")
 }
 
 #[tokio::test]
-async fn answer_is_derived_from_the_request_in_both_forms() {
+async fn response_text_is_deterministic_with_and_without_streaming() {
     let engine = engine::start(Settings::default()).await.unwrap();
-    let expected = answer::text("hello there", TOKENS);
-    let whole = ask(engine.address(), "c", &["hello there"], false)
+    let expected = payload::text("hello there", TOKENS);
+    let whole = complete(engine.address(), "c", &["hello there"], false)
         .await
         .unwrap();
     assert_eq!(whole.json()["choices"][0]["message"]["content"], expected);
-    let stream = ask(engine.address(), "c", &["hello there"], true)
+    let stream = complete(engine.address(), "c", &["hello there"], true)
         .await
         .unwrap();
-    assert_eq!((stream.streamed(), stream.is_done()), (expected, true));
+    assert_eq!((stream.streamed_text(), stream.is_done()), (expected, true));
 }
 
 // A chat returns to an engine that has served many others since. Its prefix has
 // been evicted, and its user waits for the whole prompt to be computed again.
 #[parameterized(
-    room_for_both = { 1000, 10 },
-    room_for_one = { 12, 0 },
+    capacity_for_both_prefixes = { 1000, 10 },
+    capacity_for_one_prefix = { 12, 0 },
 )]
 #[test_macro(tokio::test)]
-async fn prefix_is_cached_while_there_is_room(cache_tokens: u64, expected: u64) {
+async fn prefix_stays_cached_within_capacity(cache_tokens: u64, expected: u64) {
     let settings = Settings {
         cache_tokens,
         ..Settings::default()
     };
     let engine = engine::start(settings).await.unwrap();
-    let first = ask(engine.address(), "one", &["a question"], false)
+    let first = complete(engine.address(), "one", &["a question"], false)
         .await
         .unwrap();
     let reply = first.json()["choices"][0]["message"]["content"].clone();
-    ask(engine.address(), "two", &["another question"], false)
+    complete(engine.address(), "two", &["another question"], false)
         .await
         .unwrap();
     let messages = ["a question", reply.as_str().unwrap(), "and more"];
-    let again = ask(engine.address(), "one", &messages, false)
+    let again = complete(engine.address(), "one", &messages, false)
         .await
         .unwrap();
-    assert_eq!(cached(&again), expected);
+    assert_eq!(cached_tokens(&again), expected);
 }
 
 // An engine turns cold without warning while it runs more than it then bears.
 // Nobody can know at once, so a few more requests do not bring it down yet.
 #[tokio::test(flavor = "multi_thread")]
-async fn a_few_requests_after_it_turned_cold_do_not_crash_it() {
+async fn overload_within_tolerance_after_turning_cold_does_not_crash_engine() {
     let settings = Settings {
-        cold_bears: 1,
-        cold_spare: 3,
+        cold_capacity: 1,
+        cold_overload_tolerance: 3,
         cold_requests: 100,
         ..Settings::default()
     };
     let engine = engine::start(settings).await.unwrap();
-    engine.fault(Fault::TurnCold);
+    engine.set_fault(Fault::TurnCold);
     let address = engine.address();
     let mut callers = JoinSet::new();
     for caller in 0..4 {
-        callers.spawn(async move { ask(address, &format!("{caller}"), &["x"], false).await });
+        callers.spawn(async move { complete(address, &format!("{caller}"), &["x"], false).await });
     }
     assert!(callers.join_all().await.iter().all(Option::is_some));
     assert_eq!(engine.counters().falls, 0);
@@ -100,23 +105,23 @@
 // An engine has just started and gets the load of a warm one. It falls over, and
 // every user whose answer it was making sees a broken connection.
 #[tokio::test(flavor = "multi_thread")]
-async fn overload_while_cold_crashes_it() {
+async fn overload_while_cold_crashes_engine() {
     let settings = Settings {
         cold_requests: 100,
-        cold_bears: 2,
+        cold_capacity: 2,
         ..Settings::default()
     };
     let engine = engine::start(settings).await.unwrap();
     let address = engine.address();
     let mut callers = JoinSet::new();
     for caller in 0..8 {
-        callers.spawn(async move { ask(address, &format!("{caller}"), &["x"], false).await });
+        callers.spawn(async move { complete(address, &format!("{caller}"), &["x"], false).await });
     }
-    let answers = callers.join_all().await;
-    assert!(answers.iter().any(Option::is_none));
+    let responses = callers.join_all().await;
+    assert!(responses.iter().any(Option::is_none));
     assert_eq!(engine.counters().falls, 1);
     engine.restart().await.unwrap();
-    assert!(ask(address, "c", &["x"], false).await.is_some());
+    assert!(complete(address, "c", &["x"], false).await.is_some());
 }
 
 // A stream's connection is cut in the middle. The user sees half an answer, and
@@ -124,27 +129,31 @@
 #[tokio::test]
 async fn cut_stream_can_be_resumed() {
     let engine = engine::start(Settings::default()).await.unwrap();
-    engine.fault(Fault::CutStream { count: 1 });
-    let cut = ask(engine.address(), "c", &["hello"], true).await.unwrap();
-    assert!(!cut.is_whole && !cut.is_done());
+    engine.set_fault(Fault::CutStream { count: 1 });
+    let cut = complete(engine.address(), "c", &["hello"], true)
+        .await
+        .unwrap();
+    assert!(!cut.is_complete && !cut.is_done());
     let received = cut.text.matches("data: ").count();
     let path = format!("/streams/{}?from={received}", cut.attempt());
     let rest = client::send(engine.address(), "GET", &path, &[], "")
         .await
         .unwrap();
     assert!(rest.is_done());
-    let text = cut.streamed() + &rest.streamed();
-    assert_eq!(text, answer::text("hello", TOKENS));
+    let text = cut.streamed_text() + &rest.streamed_text();
+    assert_eq!(text, payload::text("hello", TOKENS));
 }
 
 // A server ends a stream early, but properly. Whoever takes the end of the body
 // for the end of the answer shows the user half of it as if it were whole.
 #[tokio::test]
-async fn short_stream_ends_properly_but_without_its_last_event() {
+async fn truncated_stream_ends_cleanly_without_done_event() {
     let engine = engine::start(Settings::default()).await.unwrap();
-    engine.fault(Fault::ShortStream { count: 1 });
-    let short = ask(engine.address(), "c", &["hello"], true).await.unwrap();
-    assert!(short.is_whole && !short.is_done());
+    engine.set_fault(Fault::ShortStream { count: 1 });
+    let short = complete(engine.address(), "c", &["hello"], true)
+        .await
+        .unwrap();
+    assert!(short.is_complete && !short.is_done());
 }
 
 // Two answers are swapped, and a user reads what another one was told.
@@ -153,33 +162,33 @@
     whole = { false },
 )]
 #[test_macro(tokio::test)]
-async fn crossed_answer_echoes_another_attempt(stream: bool) {
+async fn crossed_response_echoes_another_attempt(stream: bool) {
     let engine = engine::start(Settings::default()).await.unwrap();
-    engine.fault(Fault::CrossedAnswer { count: 1 });
+    engine.set_fault(Fault::CrossedAnswer { count: 1 });
     let headers = [("x-weir-attempt", "0000000000000001")];
     let request = body(&["hello"], stream);
     let crossed = client::send(engine.address(), "POST", PATH, &headers, &request).await;
-    let own = client::send(engine.address(), "POST", PATH, &headers, &request).await;
+    let second = client::send(engine.address(), "POST", PATH, &headers, &request).await;
     assert_ne!(crossed.unwrap().attempt(), "0000000000000001");
-    assert_eq!(own.unwrap().attempt(), "0000000000000001");
+    assert_eq!(second.unwrap().attempt(), "0000000000000001");
 }
 
 // Something between two hosts has lost track of a connection. Requests on it are
 // never answered, although the engine is well and answers on new ones.
 #[tokio::test]
-async fn silent_connection_gives_nothing_while_new_ones_work() {
+async fn silent_connection_returns_nothing_while_new_connections_work() {
     let engine = engine::start(Settings::default()).await.unwrap();
     let mut old = Connection::open(engine.address()).await.unwrap();
     assert!(old.send("GET", "/load", &[], "").await.is_some());
-    engine.fault(Fault::SilentConnections);
+    engine.set_fault(Fault::SilentConnections);
     let on_old = old.send("GET", "/load", &[], "");
     tokio::pin!(on_old);
     for _ in 0..50 {
         tokio::select! {
             biased;
-            answer = &mut on_old => panic!("the silent connection answered {answer:?}"),
-            answer = client::send(engine.address(), "GET", "/load", &[], "") => {
-                assert!(answer.is_some());
+            response = &mut on_old => panic!("the silent connection answered {response:?}"),
+            response = client::send(engine.address(), "GET", "/load", &[], "") => {
+                assert!(response.is_some());
             }
         }
     }
@@ -188,21 +197,21 @@
 // One request crashes each engine that runs it. Everybody else's answers on that
 // engine break too.
 #[tokio::test]
-async fn poison_crashes_the_engine_that_runs_it() {
+async fn poison_request_crashes_engine() {
     let settings = Settings {
         poison: Some(String::from("poison")),
         ..Settings::default()
     };
     let engine = engine::start(settings).await.unwrap();
     assert!(
-        ask(engine.address(), "c", &["some poison here"], false)
+        complete(engine.address(), "c", &["some poison here"], false)
             .await
             .is_none()
     );
     assert!(Connection::open(engine.address()).await.is_none());
     engine.restart().await.unwrap();
     assert!(
-        ask(engine.address(), "c", &["harmless"], false)
+        complete(engine.address(), "c", &["harmless"], false)
             .await
             .is_some()
     );
@@ -215,9 +224,9 @@
     ignores = { false, 200, 2 },
 )]
 #[test_macro(tokio::test)]
-async fn old_fence_is_refused_where_it_is_checked(checks: bool, status: u16, orders: usize) {
+async fn stale_fencing_token_is_rejected_if_checked(checks: bool, status: u16, orders: usize) {
     let settings = Settings {
-        checks_fence: checks,
+        checks_fencing_token: checks,
         ..Settings::default()
     };
     let engine = engine::start(settings).await.unwrap();
@@ -226,11 +235,11 @@
     client::send(engine.address(), "POST", "/orders", &[], &order(2))
         .await
         .unwrap();
-    let old = client::send(engine.address(), "POST", "/orders", &[], &order(1))
+    let stale = client::send(engine.address(), "POST", "/orders", &[], &order(1))
         .await
         .unwrap();
     assert_eq!(
-        (old.status.as_u16(), engine.orders().len()),
+        (stale.status.as_u16(), engine.orders().len()),
         (status, orders)
     );
 }
--- a/crates/standin/tests/standin/platform.rs
+++ b/crates/standin/tests/standin/platform.rs
@@ -9,7 +9,7 @@
 
 use crate::client;
 
-async fn transact(address: SocketAddr, transaction: serde_json::Value) -> Option<client::Answer> {
+async fn transact(address: SocketAddr, transaction: serde_json::Value) -> Option<client::Response> {
     let body = transaction.to_string();
     client::send(address, "POST", "/table/transact", &[], &body).await
 }
@@ -25,7 +25,7 @@
 // Two operators change the same resource at once, each having read the same
 // generation. If both writes took effect, one change would vanish unseen.
 #[tokio::test(flavor = "multi_thread")]
-async fn of_racing_transactions_exactly_one_takes_effect() {
+async fn exactly_one_of_concurrent_transactions_commits() {
     const WRITERS: usize = 16;
     let platform = platform::start(Settings::default()).await.unwrap();
     let address = platform.address();
@@ -52,7 +52,7 @@
 // A row is deleted and written again while somebody holds its old generation.
 // If generations started over, the old one would fit the new row.
 #[tokio::test]
-async fn generation_of_a_deleted_row_does_not_come_back() {
+async fn generation_of_deleted_row_is_not_reused() {
     let platform = platform::start(Settings::default()).await.unwrap();
     let address = platform.address();
     let put = json!({"puts": [{"key": "a", "value": 1}]});
@@ -67,27 +67,27 @@
 // and so does what became of the write.
 #[parameterized(
     down = { Fault::Down, Some(503), false },
-    answer_lost = { Fault::LoseAnswer { count: Some(1) }, None, true },
+    response_lost = { Fault::LoseAnswer { count: Some(1) }, None, true },
 )]
 #[test_macro(tokio::test)]
-async fn write_under_a_fault(fault: Fault, status: Option<u16>, takes_effect: bool) {
+async fn write_during_fault(fault: Fault, status: Option<u16>, takes_effect: bool) {
     let platform = platform::start(Settings::default()).await.unwrap();
     let address = platform.address();
-    platform.fault(fault);
+    platform.set_fault(fault);
     let put = json!({"puts": [{"key": "a", "value": 7}]});
-    let answer = transact(address, put).await;
-    assert_eq!(answer.map(|a| a.status.as_u16()), status);
-    platform.fault(Fault::Normal);
+    let response = transact(address, put).await;
+    assert_eq!(response.map(|a| a.status.as_u16()), status);
+    platform.set_fault(Fault::Normal);
     assert_eq!(value(address, "a").await, takes_effect.then(|| json!(7)));
 }
 
 // The list of hosts lags, so a router sees a host that is gone, or misses a new one.
 #[parameterized(
-    prompt = { Duration::ZERO, 1 },
-    lagging = { Duration::from_secs(3600), 0 },
+    no_lag = { Duration::ZERO, 1 },
+    long_lag = { Duration::from_secs(3600), 0 },
 )]
 #[test_macro(tokio::test)]
-async fn change_of_hosts_is_seen_after_the_lag(lag: Duration, seen: usize) {
+async fn host_list_change_is_visible_after_lag(lag: Duration, seen: usize) {
     let settings = Settings {
         hosts_lag: lag,
         ..Settings::default()
@@ -103,7 +103,7 @@
 }
 
 #[tokio::test]
-async fn object_is_written_under_its_condition() {
+async fn conditional_put_checks_etag() {
     let platform = platform::start(Settings::default()).await.unwrap();
     let address = platform.address();
     let absent = [("if-none-match", "*")];
@@ -116,6 +116,6 @@
     assert_eq!(put.unwrap().status, 200);
     let stale = client::send(address, "PUT", "/objects/a%2Fb", &matching, "four").await;
     assert_eq!(stale.unwrap().status, 412);
-    let got = client::send(address, "GET", "/objects/a%2Fb", &[], "").await;
-    assert_eq!(got.unwrap().text, "three");
+    let object = client::send(address, "GET", "/objects/a%2Fb", &[], "").await;
+    assert_eq!(object.unwrap().text, "three");
 }
--- a/crates/standin/tests/standin/service.rs
+++ b/crates/standin/tests/standin/service.rs
@@ -9,13 +9,13 @@
 // which the customer notices by the second truck; the ledger shows it.
 #[parameterized(
     down = { Fault::Down, Some(503), 0 },
-    answer_lost = { Fault::LoseAnswer { count: Some(1) }, None, 1 },
-    answer_crossed = { Fault::CrossedAnswer { count: Some(1) }, Some(200), 1 },
+    response_lost = { Fault::LoseAnswer { count: Some(1) }, None, 1 },
+    response_crossed = { Fault::CrossedAnswer { count: Some(1) }, Some(200), 1 },
 )]
 #[test_macro(tokio::test)]
-async fn booking_under_a_fault(fault: Fault, status: Option<u16>, runs: u64) {
+async fn booking_during_fault(fault: Fault, status: Option<u16>, runs: u64) {
     let service = service::start(Settings::default()).await.unwrap();
-    service.fault(fault);
+    service.set_fault(fault);
     let headers = [
         ("idempotency-key", "b"),
         ("x-weir-attempt", "0000000000000001"),
@@ -29,10 +29,10 @@
             r#"{"id":"b"}"#,
         )
     };
-    let answer = send().await;
-    assert_eq!(answer.map(|a| a.status.as_u16()), status);
+    let response = send().await;
+    assert_eq!(response.map(|a| a.status.as_u16()), status);
     assert_eq!(service.ledger().runs("b"), runs);
-    service.fault(Fault::Normal);
+    service.set_fault(Fault::Normal);
     let again = send().await.unwrap();
     assert_eq!(again.attempt(), "0000000000000001");
     assert_eq!(service.ledger().runs("b"), runs + 1);
--- a/crates/storage/tests/client.rs
+++ b/crates/storage/tests/client.rs
@@ -125,7 +125,7 @@
     written: bool,
 ) {
     let (platform, table) = start().await;
-    platform.fault(fault);
+    platform.set_fault(fault);
     // Only with an unresponsive platform does the call last until its deadline.
     let millis = if fault == Fault::Silent { 300 } else { 10_000 };
     let failed = table.transact(&put("a", 0), deadline_in(millis)).await;
@@ -142,7 +142,7 @@
     if fault == Fault::Crash {
         platform.restart().await.expect("the platform restarts");
     }
-    platform.fault(Fault::Normal);
+    platform.set_fault(Fault::Normal);
     let row = table.read("a", deadline_in(10_000)).await.unwrap();
     assert_eq!(written, row.is_some());
 }
@@ -153,10 +153,10 @@
 #[tokio::test]
 async fn one_failed_call_replaces_all_unresponsive_connections() {
     let (platform, table) = start().await;
-    platform.fault(Fault::Slow { delay_ms: 50 });
+    platform.set_fault(Fault::Slow { delay_ms: 50 });
     let read = || table.read("a", deadline_in(10_000));
     drop(tokio::join!(read(), read(), read(), read(), read(), read()));
-    platform.fault(Fault::SilentConnections);
+    platform.set_fault(Fault::SilentConnections);
     let unresponsive = table.read("a", deadline_in(200)).await;
     assert!(
         matches!(unresponsive, Err(Error::MayHaveRun(_))),
--- a/crates/storage/tests/progress.rs
+++ b/crates/storage/tests/progress.rs
@@ -46,7 +46,7 @@
         .put("x", vec![7; LARGE].into(), absent, deadline_in(10_000))
         .await
         .expect("the object is written");
-    link.limit(LINK_BYTES_PER_S);
+    link.set_rate(LINK_BYTES_PER_S);
     let client = http::Client::new(link.address());
     (platform, link, client)
 }
@@ -76,7 +76,7 @@
     let (_platform, link, client) = large_object().await;
     let stall = async {
         tokio::time::sleep(Duration::from_millis(400)).await;
-        link.limit(0);
+        link.set_rate(0);
     };
     let start = Instant::now();
     let (response, ()) = tokio::join!(client.read(request(), deadline_in(300)), stall);
