--- a/crates/standin/src/arguments.rs
+++ b/crates/standin/src/arguments.rs
@@ -6,15 +6,15 @@
 use settings::{Faults, Raw, text};
 use standin::{engine, platform, server, service};
 
-/// What `--help` says first.
+/// The description at the top of the `--help` output.
 pub const ABOUT: &str = "A stand-in for an engine, a plain service or the platform";
 
-/// The longest time that a flag may give, in milliseconds.
+/// The maximum duration of a flag in milliseconds.
 const MAX_MS: u64 = 3_600_000;
-/// The longest time that a flag may give, in microseconds.
+/// The maximum duration of a flag in microseconds.
 const MAX_US: u64 = 10_000_000;
 
-/// Which stand-in runs, and how.
+/// The stand-in to run, with its settings.
 pub enum Role {
     /// A model engine.
     Engine(engine::Settings),
@@ -24,7 +24,7 @@
     Platform(platform::Settings),
 }
 
-/// The settings of a stand-in as they were given.
+/// The unvalidated settings of a stand-in.
 pub enum RawRole {
     /// A model engine.
     Engine(Box<RawEngine>),
@@ -34,7 +34,7 @@
     Platform(RawPlatform),
 }
 
-/// The settings of an engine as they were given.
+/// The unvalidated settings of an engine.
 pub struct RawEngine {
     listen: Raw,
     capacity: Raw,
@@ -55,20 +55,20 @@
     poison: Raw,
 }
 
-/// The settings of a plain service as they were given.
+/// The unvalidated settings of a plain service.
 pub struct RawService {
     listen: Raw,
     call_duration: Raw,
     capacity: Raw,
 }
 
-/// The settings of the platform as they were given.
+/// The unvalidated settings of the platform.
 pub struct RawPlatform {
     listen: Raw,
     hosts_lag: Raw,
 }
 
-/// Reads the command and its flags.
+/// The parser of the subcommand and its flags.
 pub fn parser() -> impl Parser<RawRole> {
     let engine = engine().map(Box::new).map(RawRole::Engine);
     let engine = engine
@@ -93,7 +93,7 @@
         "listen",
         "WEIR_LISTEN",
         "IP:PORT",
-        "Address to listen on; port 0 takes a free one [127.0.0.1:0]",
+        "Address to listen on; port 0 selects a free port [127.0.0.1:0]",
     )
 }
 
@@ -103,55 +103,55 @@
         "capacity",
         "WEIR_STANDIN_CAPACITY",
         "N",
-        "Requests run at once [16]",
+        "Maximum number of concurrent requests [16]",
     );
     let cache_tokens = text(
         "cache-tokens",
         "WEIR_STANDIN_CACHE_TOKENS",
         "N",
-        "Tokens that the prefix cache holds [20000]",
+        "Capacity of the prefix cache in tokens [20000]",
     );
     let prefill_per_token = text(
         "prefill-us",
         "WEIR_STANDIN_PREFILL_US",
         "MICROSECONDS",
-        "Time for a prompt token that is not cached [50]",
+        "Prefill time per uncached prompt token [50]",
     );
     let token_interval = text(
         "token-us",
         "WEIR_STANDIN_TOKEN_US",
         "MICROSECONDS",
-        "Time between two tokens [2000]",
+        "Time between two output tokens without concurrent requests [2000]",
     );
     let interval_per_concurrent_request = text(
         "neighbour-us",
         "WEIR_STANDIN_NEIGHBOUR_US",
         "MICROSECONDS",
-        "Time that each other request adds to it [200]",
+        "Time that each concurrent request adds to --token-us [200]",
     );
     let cold_requests = text(
         "cold-requests",
         "WEIR_STANDIN_COLD_REQUESTS",
         "N",
-        "Requests that a cold start lasts [0]",
+        "Number of completed requests after which a cold engine is warm [0]",
     );
     let cold_capacity = text(
         "cold-bears",
         "WEIR_STANDIN_COLD_BEARS",
         "N",
-        "Requests at once that it bears while cold [2]",
+        "Maximum number of concurrent requests while cold [2]",
     );
     let cold_overload_tolerance = text(
         "cold-spare",
         "WEIR_STANDIN_COLD_SPARE",
         "N",
-        "Requests above that it gets over when it turns cold without warning [4]",
+        "Requests above --cold-bears tolerated after a turn_cold fault before a crash [4]",
     );
     let cold_factor = text(
         "cold-factor",
         "WEIR_STANDIN_COLD_FACTOR",
         "N",
-        "How much slower it is while cold [4]",
+        "Factor by which a cold engine is slower [4]",
     );
     let load_lag = text(
         "load-lag-ms",
@@ -163,34 +163,34 @@
         "event-lag-ms",
         "WEIR_STANDIN_EVENT_LAG_MS",
         "MILLISECONDS",
-        "Age at which a cache event is published [200]",
+        "Delay before a cache event is published [200]",
     );
     let event_drop_interval = text(
         "event-gap",
         "WEIR_STANDIN_EVENT_GAP",
         "N",
-        "Every how many cache events one is missing; 0: none [16]",
+        "Drop every Nth cache event; 0 drops none [16]",
     );
     let ignores_fencing_token = bpaf::long("ignores-fence")
-        .help("Carry out orders with old fencing numbers")
+        .help("Execute orders with stale fencing tokens")
         .switch();
     let order_duration = text(
         "order-ms",
         "WEIR_STANDIN_ORDER_MS",
         "MILLISECONDS",
-        "Time that an order takes [0]",
+        "Duration of an order [0]",
     );
     let models = text(
         "models",
         "WEIR_STANDIN_MODELS",
         "NAME,...",
-        "Loaded models; without it, any is served",
+        "Loaded models; if not given, every model is served",
     );
     let poison = text(
         "poison",
         "WEIR_STANDIN_POISON",
         "TEXT",
-        "A message with this text crashes the engine",
+        "Message text that crashes the engine",
     );
     construct!(RawEngine {
         listen,
@@ -219,13 +219,13 @@
         "work-ms",
         "WEIR_STANDIN_WORK_MS",
         "MILLISECONDS",
-        "Time that a call takes [2]",
+        "Duration of a call [2]",
     );
     let capacity = text(
         "capacity",
         "WEIR_STANDIN_CAPACITY",
         "N",
-        "Calls run at once [32]",
+        "Maximum number of concurrent calls [32]",
     );
     construct!(RawService {
         listen,
@@ -240,12 +240,12 @@
         "hosts-lag-ms",
         "WEIR_STANDIN_HOSTS_LAG_MS",
         "MILLISECONDS",
-        "Time until a change of the list of hosts is seen [0]",
+        "Delay before a change of the host list is visible [0]",
     );
     construct!(RawPlatform { listen, hosts_lag })
 }
 
-/// Turns what was given into settings.
+/// Validates the raw settings and adds each invalid one to `faults`.
 pub fn check(raw: RawRole, faults: &mut Faults) -> Option<Role> {
     match raw {
         RawRole::Engine(raw) => check_engine(&raw, faults).map(Role::Engine),
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -23,7 +23,7 @@
 
 use simulator::Simulator;
 
-/// A running engine; it stops when this is dropped.
+/// A running engine, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Handle {
     server: server::Server<Simulator>,
@@ -33,7 +33,7 @@
 ///
 /// # Errors
 ///
-/// The error of the bind.
+/// Returns the error if the address cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let control = Arc::new(server::Control::new(settings.crash));
     let listen = settings.listen;
@@ -44,31 +44,31 @@
 }
 
 impl Handle {
-    /// The address that it listens on.
+    /// The address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches a fault on, or all off with [`Fault::Normal`].
+    /// Injects `fault`; [`Fault::Normal`] clears all faults.
     pub fn set_fault(&self, fault: Fault) {
         self.simulator().set_fault(fault, None);
     }
 
-    /// What it has done since the first start.
+    /// The counters since the first start; restarts don't reset them.
     pub fn counters(&self) -> Counters {
         self.simulator().counters()
     }
 
-    /// The orders that it carried out since the first start.
+    /// The orders executed since the first start.
     pub fn orders(&self) -> Vec<Fenced> {
         self.simulator().executed()
     }
 
-    /// Starts again after a crash: cold, with a new boot and an empty cache.
+    /// Restarts the engine after a crash: cold, with a new boot id and an empty cache.
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.simulator().reboot();
         self.server.restart().await?;
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Stops it.
+    /// Stops the engine.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine, and the events about it.
+//! The prefix cache of an engine and its cache events.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -8,17 +8,18 @@
 use serde::{Deserialize, Serialize};
 use units::chat;
 
-/// How many events are kept; older ones are gaps to whoever asks late.
+/// Maximum number of retained events. A client that polls too late misses older events
+/// and sees a gap in the sequence numbers.
 const MAX_EVENTS: usize = 4096;
 
-/// One message of a prefix: its hash and its tokens.
+/// One message of a prefix: its hash and its number of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Block {
     pub(super) hash: u64,
     pub(super) tokens: u64,
 }
 
-/// Whether a prefix came or went.
+/// Whether a prefix was stored or evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Kind {
@@ -26,7 +27,7 @@
     Evicted,
 }
 
-/// One event as it is published.
+/// A published cache event.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Event {
     seq: u64,
@@ -49,7 +50,7 @@
     }
 }
 
-/// Prefixes by chat in limited memory; the one used longest ago goes first.
+/// A cache of prefixes by chat with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
     capacity_tokens: u64,
@@ -62,8 +63,8 @@
 }
 
 impl Cache {
-    /// An empty cache of `limit` tokens, whose events come `lag` late and miss
-    /// one in `gap`.
+    /// An empty cache of `capacity_tokens`. Its events are published after `lag`, and every
+    /// `drop_interval`-th event is lost (none if 0).
     pub(super) fn new(capacity_tokens: u64, lag: Duration, drop_interval: u64) -> Self {
         Self {
             capacity_tokens,
@@ -76,7 +77,7 @@
         }
     }
 
-    /// How many tokens of `blocks` need no prefill.
+    /// The number of cached tokens at the start of `blocks`, which need no prefill.
     pub(super) fn lookup(&mut self, chat: chat::Key, blocks: &[Block]) -> u64 {
         self.use_count += 1;
         let Some(prefix) = self.prefixes.get_mut(&chat) else {
@@ -88,7 +89,7 @@
         common.map(|(_, requested)| requested.tokens).sum()
     }
 
-    /// Stores the prefix of `chat` and makes room for it.
+    /// Stores the prefix of `chat` and evicts other prefixes while the cache is over capacity.
     pub(super) fn store(&mut self, chat: chat::Key, blocks: Vec<Block>, now: Instant) {
         self.use_count += 1;
         let prefix = Prefix {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// The events after `seq` that are published by `now`.
+    /// The events after `seq` that are visible at `now`.
     pub(super) fn events(&self, seq: u64, now: Instant) -> Vec<Event> {
         let after = self.events.iter().filter(|event| event.seq > seq);
         after
@@ -138,12 +139,12 @@
             .collect()
     }
 
-    /// How many tokens it holds.
+    /// The number of cached tokens.
     pub(super) fn tokens(&self) -> u64 {
         self.prefixes.values().map(Prefix::tokens).sum()
     }
 
-    /// The prefix of `chat`.
+    /// The cached blocks of `chat`.
     pub(super) fn blocks_of(&self, chat: chat::Key) -> Option<Vec<Block>> {
         self.prefixes.get(&chat).map(|prefix| prefix.blocks.clone())
     }
--- a/crates/standin/src/engine/completion.rs
+++ b/crates/standin/src/engine/completion.rs
@@ -1,4 +1,4 @@
-//! A call for a chat completion, as the engine reads it.
+//! Parsing of chat completion requests.
 
 use serde::Deserialize;
 use units::{chat, request::Priority, workspace};
@@ -6,11 +6,11 @@
 
 use crate::{engine::cache::Block, http, payload};
 
-/// How many tokens an answer has if the caller does not say.
+/// The number of output tokens if the request has no `max_tokens`.
 const DEFAULT_TOKENS: u32 = 16;
-/// The most tokens that an answer has.
+/// The maximum number of output tokens.
 const MAX_TOKENS: u32 = 4096;
-/// How many characters of hexadecimal digits a key of a chat has.
+/// The number of hexadecimal digits of a chat key.
 const KEY_DIGITS: usize = 16;
 
 /// One message of the chat.
@@ -20,7 +20,7 @@
     content: String,
 }
 
-/// The body of the call.
+/// The body of a chat completion request.
 #[derive(Clone, Debug, Deserialize)]
 pub(super) struct Body {
     #[serde(default)]
@@ -31,7 +31,7 @@
     max_tokens: Option<u32>,
 }
 
-/// What the headers say.
+/// The headers of a chat completion request that the engine uses.
 #[derive(Clone, Debug)]
 pub(super) struct Headers {
     pub(super) attempt: String,
@@ -40,7 +40,7 @@
 }
 
 impl Headers {
-    /// Reads the headers; a call without an attempt gets one of its own.
+    /// Reads the headers of `request`. Without an attempt header, a random attempt id is used.
     pub(super) fn read(request: &http::Request) -> Self {
         let attempt = http::header(request, "x-weir-attempt").map(String::from);
         let chat = http::header(request, "x-weir-chat").unwrap_or_default();
@@ -58,7 +58,8 @@
     }
 }
 
-/// The key of a chat: the digits of one, or that of the caller's name for it.
+/// The chat key that `chat` encodes in hexadecimal, or else the key derived from `chat` as a
+/// client-chosen name.
 fn chat_key(workspace: &str, chat: &str) -> chat::Key {
     if let Some(key) = parse_key(chat) {
         return key;
@@ -69,37 +70,37 @@
     }
 }
 
-/// The key that `text` spells in hexadecimal digits.
+/// Parses a chat key of 16 hexadecimal digits.
 pub(super) fn parse_key(text: &str) -> Option<chat::Key> {
     let digits = Some(text).filter(|text| text.len() == KEY_DIGITS)?;
     u64::from_str_radix(digits, 16).ok().map(chat::Key)
 }
 
 impl Body {
-    /// How many tokens the answer has.
+    /// The number of output tokens.
     pub(super) fn output_tokens(&self) -> u32 {
         self.max_tokens.unwrap_or(DEFAULT_TOKENS).min(MAX_TOKENS)
     }
 
-    /// The message that the answer is derived from.
+    /// The last message, from which the response is computed.
     pub(super) fn prompt(&self) -> &str {
         self.messages.last().map_or("", |m| m.content.as_str())
     }
 
-    /// The messages as blocks of a prefix.
+    /// The messages as prefix blocks.
     pub(super) fn blocks(&self) -> Vec<Block> {
         let messages = self.messages.iter();
         messages.map(|m| block(&m.role, &m.content)).collect()
     }
 
-    /// The blocks of the chat with its answer, which the next call starts with.
+    /// The prefix blocks of the chat including the reply, with which the next request starts.
     pub(super) fn blocks_with_reply(&self, reply: &str) -> Vec<Block> {
         let mut blocks = self.blocks();
         blocks.push(block("assistant", reply));
         blocks
     }
 
-    /// Whether any message holds `marker`.
+    /// Whether any message contains `marker`.
     pub(super) fn has_marker(&self, marker: &str) -> bool {
         self.messages.iter().any(|m| m.content.contains(marker))
     }
--- a/crates/standin/src/engine/fault.rs
+++ b/crates/standin/src/engine/fault.rs
@@ -2,62 +2,62 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with an engine.
+/// A fault of an engine.
 ///
-/// Where there is a `count`, the fault hits so many requests and then ends.
+/// A fault with a `count` affects that many requests and then ends.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing: all faults end.
+    /// No fault: clears all faults.
     Normal,
-    /// The listener and all connections close, or the process ends.
+    /// The listener and all connections are closed, or the process exits.
     Crash,
-    /// Nothing is answered and no token made until the fault ends.
+    /// No request is answered and no token is generated until the fault is cleared.
     Freeze,
-    /// A stream's connection ends in the middle.
+    /// The connection of a stream is closed halfway through the response.
     CutStream {
-        /// How many streams it hits.
+        /// The number of affected streams.
         #[serde(default = "default_count")]
         count: u64,
     },
-    /// A stream ends in the middle as if it were whole, but for its last event.
+    /// A stream ends halfway with a valid end of body, but without its final `[DONE]` event.
     ShortStream {
-        /// How many streams it hits.
+        /// The number of affected streams.
         #[serde(default = "default_count")]
         count: u64,
     },
-    /// The engine is as after a start, with the same boot and without warning.
+    /// The engine is cold as after a start, but keeps its boot id, so that clients can't notice.
     TurnCold,
-    /// Connections that are open now go silent, while new ones work.
+    /// Currently open connections stop responding; new connections work.
     SilentConnections,
-    /// An answer waits before its first byte.
+    /// The first byte of a response is delayed.
     LateAnswer {
-        /// For how long, in milliseconds.
+        /// The delay in milliseconds.
         delay_ms: u64,
-        /// How many answers it hits.
+        /// The number of affected responses.
         #[serde(default = "default_count")]
         count: u64,
     },
-    /// An answer is another request's, and echoes its attempt.
+    /// The response is that of another request and echoes the attempt id of that request.
     CrossedAnswer {
-        /// How many answers it hits.
+        /// The number of affected responses.
         #[serde(default = "default_count")]
         count: u64,
     },
-    /// A request is answered 503 and does not run.
+    /// The request is answered with 503 and is not run.
     Refuse {
-        /// How many answers it hits.
+        /// The number of affected responses.
         #[serde(default = "default_count")]
         count: u64,
     },
-    /// Everything takes longer.
+    /// Prefill and decoding are slower.
     Slow {
-        /// How many times as long.
+        /// The factor by which durations grow.
         factor: u32,
     },
-    /// A message that holds the marker crashes the engine when it runs.
+    /// A request with a message that contains the marker crashes the engine when it runs.
     Poison {
-        /// The text.
+        /// The text that triggers the crash.
         marker: String,
     },
 }
@@ -66,7 +66,7 @@
     1
 }
 
-/// What hits one request.
+/// The effects of the pending faults on one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Effects {
     pub(super) cut: bool,
@@ -76,7 +76,7 @@
     pub(super) refused: bool,
 }
 
-/// Faults that wait for the requests which they hit.
+/// Faults that affect a limited number of future requests.
 #[derive(Debug, Default)]
 pub(super) struct Pending {
     cut: u64,
@@ -88,7 +88,7 @@
 }
 
 impl Pending {
-    /// Adds `fault`, if it is one that hits requests.
+    /// Adds `fault` if it affects single requests.
     pub(super) fn add(&mut self, fault: &Fault) {
         match *fault {
             Fault::CutStream { count } => self.cut = count,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// What hits the next request, which may be one for a stream.
+    /// Consumes and returns the effects on the next request.
     pub(super) fn next(&mut self, is_stream: bool) -> Effects {
         Effects {
             cut: is_stream && consume(&mut self.cut),
@@ -119,7 +119,7 @@
     }
 }
 
-/// Takes one of `count`, if any is left.
+/// Decrements `count` and returns whether it was above zero.
 fn consume(count: &mut u64) -> bool {
     let any = *count > 0;
     *count = count.saturating_sub(1);
--- a/crates/standin/src/engine/generation.rs
+++ b/crates/standin/src/engine/generation.rs
@@ -1,4 +1,4 @@
-//! An answer while it is made.
+//! A chat completion in progress.
 
 use bytes::Bytes;
 use serde::Serialize;
@@ -7,7 +7,7 @@
 
 use crate::http::Disconnected;
 
-/// The tokens of a request.
+/// The token counts of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(super) struct Usage {
     pub(super) prompt_tokens: u64,
@@ -15,7 +15,7 @@
     pub(super) completion_tokens: u64,
 }
 
-/// How far an answer is.
+/// The state of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Stage {
     #[default]
@@ -24,14 +24,14 @@
     Cancelled,
 }
 
-/// The words made so far.
+/// The words generated so far.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     pub(super) words: Vec<String>,
     pub(super) stage: Stage,
 }
 
-/// An answer that grows; whoever reads it can come back and read on.
+/// A chat completion in progress. Clients can reconnect and resume reading it.
 #[derive(Debug)]
 pub(super) struct Generation {
     pub(super) attempt: String,
@@ -39,13 +39,13 @@
     pub(super) progress: watch::Sender<Progress>,
 }
 
-/// Where a stream ends before its time, for a fault.
+/// How a stream ends, which a fault can make end early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
     Complete,
-    /// The connection ends after so many events.
+    /// The connection is closed after this many events.
     Disconnect(usize),
-    /// The stream ends after so many events as if it were whole.
+    /// The stream ends after this many events with a valid end of body.
     Truncated(usize),
 }
 
@@ -62,7 +62,7 @@
         self.progress.send_modify(|p| p.words.push(word));
     }
 
-    /// Ends it, unless it has ended.
+    /// Ends the generation in `stage`, unless it has already ended.
     pub(super) fn end(&self, stage: Stage) {
         self.progress.send_if_modified(|progress| {
             let runs = progress.stage == Stage::Running;
@@ -77,14 +77,14 @@
         self.progress.borrow().stage == Stage::Cancelled
     }
 
-    /// Waits for the first word or the end.
+    /// Waits for the first word or the end of the generation.
     pub(super) async fn wait_for_first_token(&self) {
         let mut progress = self.progress.subscribe();
         let has_begun = |p: &Progress| !p.words.is_empty() || p.stage != Stage::Running;
         drop(progress.wait_for(has_begun).await);
     }
 
-    /// Waits for the end and returns the whole text with its usage.
+    /// Waits for the end and returns the complete text with its usage.
     pub(super) async fn wait_for_completion(&self) -> Result<(String, Usage), Disconnected> {
         let mut progress = self.progress.subscribe();
         let ended = progress.wait_for(|p| p.stage != Stage::Running).await;
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Sends the events from number `from` on to `pieces`.
+    /// Sends the events to `chunks`, starting with event number `from`.
     pub(super) async fn send_to(
         &self,
         from: usize,
         end: End,
         chunks: mpsc::Sender<Result<Bytes, Disconnected>>,
     ) {
-        // An error means that the caller is gone; there is nobody to tell.
+        // If this send fails too, the client has disconnected and nobody reads the error.
         if let Err(Disconnected) = self.send_events(from, end, &chunks).await {
             drop(chunks.send(Err(Disconnected)).await);
         }
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Sends the usage, which is an event of its own, and the last event.
+    /// Sends the usage event, unless the client has already received it, and the final
+    /// `[DONE]` event.
     async fn send_end(
         &self,
         next: usize,
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,23 +1,23 @@
-//! Orders to load and unload models and to change role.
+//! Orders to load or unload a model and to change the engine's role.
 
 use serde::{Deserialize, Serialize};
 
-/// What an order does.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Loads a model, an adapter or a version.
+    /// Loads a model, an adapter or a version of one.
     Load,
-    /// Unloads it.
+    /// Unloads a model, an adapter or a version of one.
     Unload,
-    /// Changes the role.
+    /// Changes the role of the engine.
     Role,
 }
 
-/// One order.
+/// An order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What it does.
+    /// The kind of the order.
     pub kind: Kind,
     /// The model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -33,23 +33,23 @@
     pub role: Option<String>,
 }
 
-/// An order and the fencing number of whoever gives it.
+/// An order with the fencing token of its sender's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fenced {
-    /// The fencing number.
+    /// The fencing token.
     pub fence: u64,
     /// The order.
     pub order: Order,
 }
 
-/// An order whose fencing number is old.
+/// The rejection of an order with a stale fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Stale {
-    /// The highest number seen.
+    /// The highest fencing token of any executed order.
     pub(super) fence: u64,
 }
 
-/// The orders carried out, and the models that came of them.
+/// The executed orders and the models that are loaded after them.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
     highest_fence: u64,
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Takes an order, checking its fencing number if `checks`.
+    /// Executes an order; if `checks_fencing_token`, rejects one with a stale fencing token.
     pub(super) fn execute(
         &mut self,
         fenced: Fenced,
--- a/crates/standin/src/engine/report.rs
+++ b/crates/standin/src/engine/report.rs
@@ -1,4 +1,4 @@
-//! Load reports, which lag.
+//! Load reports, which are published with a lag.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::{engine::simulator::Simulator, server::lock};
 
-/// How many load reports are made in the time by which they are late.
+/// Number of load reports that are recorded per lag.
 const REPORTS_PER_LAG: u32 = 2;
 
 /// A load report.
@@ -23,7 +23,8 @@
 }
 
 impl Simulator {
-    /// The load report that is out now: one that is late by the lag.
+    /// The load report that is published now: the oldest retained one, which is about one lag
+    /// old.
     pub(super) fn load(&self) -> Load {
         let state = lock(&self.state);
         let reported = state.reports.front().cloned();
@@ -35,7 +36,7 @@
         })
     }
 
-    /// Makes load reports until the engine crashes or stops.
+    /// Records load reports until the engine crashes or stops.
     pub(super) fn report_load(self: Arc<Self>) {
         let simulator = Arc::downgrade(&self);
         let interval = self.settings.load_lag / REPORTS_PER_LAG;
--- a/crates/standin/src/engine/routes.rs
+++ b/crates/standin/src/engine/routes.rs
@@ -1,4 +1,4 @@
-//! The calls of an engine.
+//! The HTTP routes of an engine.
 
 use std::{sync::Arc, time::Duration};
 
@@ -18,14 +18,14 @@
     http, payload, process, server,
 };
 
-/// The header that names the attempt, which the answer echoes.
+/// The header with the attempt id, which the response echoes.
 const ATTEMPT: &str = "x-weir-attempt";
-/// The attempt that a crossed answer echoes.
+/// The attempt id that a crossed response echoes.
 const OTHER_ATTEMPT: &str = "ffffffffffffffff";
-/// How many events wait for a caller that reads slowly.
+/// Maximum number of events buffered for a slow client.
 const EVENT_BUFFER: usize = 16;
 
-/// The KV cache of a chat as it is exported.
+/// The exported KV cache of a chat.
 #[derive(Deserialize, Serialize)]
 struct ExportedPrefix {
     blocks: Vec<Block>,
@@ -71,7 +71,7 @@
         ))
     }
 
-    /// The answer to another request.
+    /// The response to another request.
     fn crossed_response(
         self: &Arc<Self>,
         tokens: u32,
@@ -184,7 +184,8 @@
         let (first, rest) = path[1..].split_once('/').unwrap_or((&path[1..], ""));
         match (request.method().as_str(), first, rest) {
             ("POST", "v1", "chat/completions") => self.complete(request).await,
-            // The load tool may play against an engine without a router between.
+            // The load tool may send requests directly to an engine, and first waits for
+            // readiness.
             ("GET", "readyz", "") => Ok(http::json(StatusCode::OK, &serde_json::json!({}))),
             ("GET", "load", "") => Ok(http::json(StatusCode::OK, &self.load())),
             ("GET", "cache", "events") => {
@@ -220,7 +221,7 @@
     }
 }
 
-/// Where a stream of `tokens` words ends under the faults that hit it.
+/// How a stream of `tokens` words ends under `effects`.
 fn stream_end(effects: Effects, tokens: u32) -> End {
     let middle = tokens as usize / 2;
     if effects.cut {
--- a/crates/standin/src/engine/settings.rs
+++ b/crates/standin/src/engine/settings.rs
@@ -4,45 +4,46 @@
 
 use crate::server;
 
-/// How an engine behaves while no fault is on.
+/// The behaviour of an engine without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// How many requests it runs at once; the others wait.
+    /// Maximum number of running requests; the others are queued.
     pub capacity: u32,
-    /// How many tokens of prefixes its memory holds.
+    /// Capacity of the prefix cache in tokens.
     pub cache_tokens: u64,
-    /// Time to compute one prompt token that is not cached.
+    /// Prefill time of one uncached prompt token.
     pub prefill_per_token: Duration,
-    /// Time between two tokens of an answer while nothing else runs.
+    /// Time between two output tokens while no other request runs.
     pub token_interval: Duration,
-    /// What each other running request adds to the time between two tokens.
+    /// Time that each other running request adds to `token_interval`.
     pub interval_per_concurrent_request: Duration,
-    /// How many requests a cold start lasts.
+    /// Number of completed requests after which a cold engine is warm.
     pub cold_requests: u32,
-    /// How many requests at once it bears while cold.
+    /// Maximum number of requests in flight while the engine is cold.
     pub cold_capacity: u32,
-    /// How many requests above that it gets over when it turns cold without
-    /// warning; one more makes it fall over. After a start it gets over none.
+    /// Number of requests above `cold_capacity` that the engine tolerates after
+    /// [`Fault::TurnCold`](super::Fault::TurnCold); one more crashes it. After a start it
+    /// tolerates none.
     pub cold_overload_tolerance: u32,
-    /// How much slower it is while cold.
+    /// Factor by which a cold engine is slower.
     pub cold_factor: u32,
-    /// How old a load report is.
+    /// Age of a published load report.
     pub load_lag: Duration,
-    /// How late a cache event is published.
+    /// Delay before a cache event is published.
     pub event_lag: Duration,
-    /// Every how many cache events one is missing; 0 means none.
+    /// Every `event_drop_interval`-th cache event is lost; 0 means none.
     pub event_drop_interval: u64,
-    /// Whether an order with an old fencing number is refused.
+    /// Whether an order with a stale fencing token is rejected.
     pub checks_fencing_token: bool,
-    /// How long an order takes.
+    /// Duration of an order.
     pub order_duration: Duration,
-    /// Models that are loaded; empty means that any is served.
+    /// Loaded models; empty means that every model is served.
     pub models: Vec<String>,
-    /// A message that holds this text crashes the engine when it runs.
+    /// A request with a message that contains this text crashes the engine when it runs.
     pub poison: Option<String>,
-    /// What a crash does.
+    /// The effect of a crash.
     pub crash: server::Crash,
 }
 
--- a/crates/standin/src/engine/simulator.rs
+++ b/crates/standin/src/engine/simulator.rs
@@ -1,4 +1,4 @@
-//! The engine itself: its batch, its cold start and its cache.
+//! The simulation of an engine: batching, cold starts, the prefix cache and faults.
 
 use std::{
     sync::{Arc, Mutex},
@@ -23,32 +23,32 @@
     server::{self, lock},
 };
 
-/// What an engine has done.
+/// Counters of an engine since its first start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Requests that reached it.
+    /// Received requests.
     pub requests: u64,
-    /// Requests that it began to run.
+    /// Requests whose prefill was completed.
     pub started: u64,
-    /// Requests that it ran to their end.
+    /// Requests that were completed.
     pub completed: u64,
-    /// Requests that were cancelled.
+    /// Requests that were cancelled while they were generating tokens.
     pub cancelled: u64,
-    /// The most requests at once.
+    /// Maximum number of requests in flight, queued ones included.
     pub most_at_once: u32,
-    /// The most requests at once while it was cold.
+    /// Maximum number of requests in flight while the engine was cold.
     pub most_while_cold: u32,
-    /// Requests above what it bears while cold.
+    /// Requests that exceeded the capacity of the cold engine.
     pub overloads_while_cold: u64,
-    /// Times that it fell over because of them.
+    /// Crashes because of such an overload.
     pub falls: u64,
-    /// Prompt tokens of the requests run.
+    /// Prompt tokens of the started requests.
     pub prompt_tokens: u64,
-    /// Those of them that were in the cache.
+    /// Prompt tokens of the started requests that were cached.
     pub cached_tokens: u64,
 }
 
-/// A switch that lasts until the faults end.
+/// Faults that last until all faults are cleared.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct ActiveFaults {
     is_frozen: bool,
@@ -60,7 +60,7 @@
     slowdown: 1,
 };
 
-/// An engine's state and what changes it.
+/// The state of an engine and the operations on it.
 #[derive(Debug)]
 pub struct Simulator {
     pub(super) settings: Settings,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// Begins anew, as after a start of the process.
+    /// Resets the state as a restart of the process would. Counters and executed orders stay.
     pub(super) fn reboot(&self) {
         *lock(&self.state) = State::new(&self.settings);
         lock(&self.orders).models = self.settings.models.clone();
@@ -102,7 +102,8 @@
         lock(&self.orders).executed.clone()
     }
 
-    /// Switches a fault that the connection `from` asks for.
+    /// Injects a fault. `from` is the connection of the request for it, which
+    /// [`Fault::SilentConnections`] does not affect.
     pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
             Fault::Normal => self.clear_faults(),
@@ -132,25 +133,25 @@
         self.active_faults.send_replace(NO_FAULTS);
     }
 
-    /// What hits the next request.
+    /// The effects of the pending faults on the next request.
     pub(super) fn next_effects(&self, is_stream: bool) -> Effects {
         lock(&self.pending).next(is_stream)
     }
 
-    /// Waits until the engine is not frozen.
+    /// Waits while the engine is frozen.
     pub(super) async fn wait_until_unfrozen(&self) {
         let mut active_faults = self.active_faults.subscribe();
-        // The sender lives as long as `self`, so the wait ends only with a thaw.
+        // `self` keeps the sender alive, so the wait can't fail.
         drop(active_faults.wait_for(|active| !active.is_frozen).await);
     }
 
-    /// Whether `model` can be served.
+    /// Whether `model` is loaded; without a list of models, every model is.
     pub(super) fn serves(&self, model: &str) -> bool {
         let orders = lock(&self.orders);
         orders.models.is_empty() || orders.models.iter().any(|loaded| loaded == model)
     }
 
-    /// Begins an answer, which goes on also when its caller is gone.
+    /// Starts a generation, which continues if the client disconnects.
     pub(super) fn start_generation(
         self: &Arc<Self>,
         headers: completion::Headers,
@@ -202,7 +203,8 @@
         self.finish(headers, body, generation, usage);
     }
 
-    /// Counts a request in; none: the engine is cold and falls over.
+    /// Counts a request as in flight. Returns `None` if it overloads the cold engine, which then
+    /// crashes.
     fn admit(&self) -> Option<InFlight<'_>> {
         let mut state = lock(&self.state);
         state.in_flight += 1;
@@ -228,7 +230,7 @@
         })
     }
 
-    /// Computes what of the prompt is not cached.
+    /// Simulates the prefill of the uncached part of the prompt.
     async fn prefill(&self, headers: &completion::Headers, body: &completion::Body) -> Usage {
         let blocks = body.blocks();
         let prompt_tokens = blocks.iter().map(|block| block.tokens).sum();
@@ -270,7 +272,7 @@
             .is_some_and(|marker| body.has_marker(marker))
     }
 
-    /// How many times as long everything takes now.
+    /// The current factor by which prefill and decoding are slower.
     fn slowdown_factor(&self) -> u32 {
         let slowdown = self.active_faults.borrow().slowdown;
         let is_cold = lock(&self.state).cold_remaining > 0;
@@ -280,38 +282,39 @@
         slowdown
     }
 
-    /// The time to the next token, which grows with the batch.
+    /// The time to the next token, which grows with the number of running requests.
     fn interval(&self, slots: &Slots) -> Duration {
         let concurrent = slots.counts().0.saturating_sub(1);
         let added = self.settings.interval_per_concurrent_request * concurrent;
         (self.settings.token_interval + added).saturating_mul(self.slowdown_factor())
     }
 
-    /// The answer of `attempt`, while it is kept.
+    /// The generation for `attempt`, if it is still retained.
     pub(super) fn stream(&self, attempt: &str) -> Option<Arc<Generation>> {
         lock(&self.state).streams.get(attempt).cloned()
     }
 
-    /// The events about the cache after `seq`, with the boot.
+    /// The cache events after `seq`, with the boot id.
     pub(super) fn cache_events(&self, seq: u64) -> serde_json::Value {
         let state = lock(&self.state);
         let events = state.cache.events(seq, Instant::now());
         serde_json::json!({ "boot": state.boot_id(), "events": events })
     }
 
-    /// Reads or changes the cache.
+    /// Calls `change` with the locked cache.
     pub(super) fn with_cache<T>(&self, change: impl FnOnce(&mut Cache) -> T) -> T {
         change(&mut lock(&self.state).cache)
     }
 
-    /// Carries out an order.
+    /// Executes an order after the configured duration.
     pub(super) async fn execute_order(&self, order: Fenced) -> Result<(), Stale> {
         process::pause(self.settings.order_duration).await;
         lock(&self.orders).execute(order, self.settings.checks_fencing_token)
     }
 }
 
-/// Counts a request out, unless the engine has started anew since.
+/// Decrements the number of requests in flight when dropped, unless the engine has restarted
+/// since.
 struct InFlight<'a> {
     simulator: &'a Simulator,
     boot: u64,
--- a/crates/standin/src/engine/slots.rs
+++ b/crates/standin/src/engine/slots.rs
@@ -1,4 +1,4 @@
-//! The places in an engine's batch, given out by priority.
+//! The slots of an engine's batch, granted by priority.
 
 use std::{
     cmp::Reverse,
@@ -18,14 +18,14 @@
     waiting: BTreeMap<(Reverse<Priority>, u64), oneshot::Sender<Slot>>,
 }
 
-/// The places in a batch.
+/// The slots of a batch.
 #[derive(Clone, Debug)]
 pub(super) struct Slots {
     capacity: u32,
     state: Arc<Mutex<State>>,
 }
 
-/// One place, given back when this is dropped.
+/// One slot, which is released when dropped.
 #[derive(Debug)]
 pub(super) struct Slot {
     slots: Option<Slots>,
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Takes a place, waiting for one; the highest priority goes first.
+    /// Waits for a free slot. Requests are served by priority, then in order of arrival.
     pub(super) async fn acquire(&self, priority: Priority) -> Option<Slot> {
         let granted = {
             let mut state = lock(&self.state);
@@ -53,7 +53,7 @@
         granted.await.ok()
     }
 
-    /// How many requests run and how many wait.
+    /// The numbers of running and of waiting requests.
     pub(super) fn counts(&self) -> (u32, u32) {
         let mut state = lock(&self.state);
         state.waiting.retain(|_, grant| !grant.is_closed());
@@ -61,7 +61,7 @@
         (state.running, waiting)
     }
 
-    /// Gives free places to those that wait.
+    /// Grants free slots to waiting requests.
     fn grant(&self) {
         let mut state = lock(&self.state);
         while state.running < self.capacity {
@@ -73,8 +73,8 @@
             };
             match grant.send(slot) {
                 Ok(()) => state.running += 1,
-                // The request is gone. Its slot was never counted, so it must
-                // not be given back when it is dropped.
+                // The request was dropped. Its slot was never counted as running, so
+                // dropping the slot must not release it.
                 Err(mut slot) => slot.slots = None,
             }
         }
--- a/crates/standin/src/engine/state.rs
+++ b/crates/standin/src/engine/state.rs
@@ -1,4 +1,4 @@
-//! What a start of an engine begins anew.
+//! The state of an engine that a restart resets.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,10 +7,10 @@
 
 use crate::engine::{Settings, cache::Cache, generation::Generation, report::Load, slots::Slots};
 
-/// How many answers are kept for callers that come back.
+/// Maximum number of generations retained for clients that resume a stream.
 const MAX_STREAMS: usize = 256;
 
-/// What a start begins anew.
+/// The state that a restart resets.
 #[derive(Debug)]
 pub(super) struct State {
     pub(super) boot: u64,
@@ -47,7 +47,8 @@
         }
     }
 
-    /// Keeps an answer for its caller to come back to.
+    /// Retains a generation so that its client can resume the stream, and drops the oldest one
+    /// above the maximum.
     pub(super) fn retain_stream(&mut self, generation: &Arc<Generation>) {
         let attempt = generation.attempt.clone();
         self.streams.insert(attempt.clone(), Arc::clone(generation));
@@ -60,7 +61,7 @@
         }
     }
 
-    /// The boot id as it is reported.
+    /// The boot id as reported to clients.
     pub(super) fn boot_id(&self) -> String {
         format!("{:016x}", self.boot)
     }
--- a/crates/standin/src/http.rs
+++ b/crates/standin/src/http.rs
@@ -1,4 +1,4 @@
-//! Requests, answers and bodies of the stand-ins.
+//! HTTP requests, responses and bodies of the stand-ins.
 
 use std::{
     error, fmt, pin, str,
@@ -11,30 +11,30 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::sync::mpsc;
 
-/// A request as hyper hands it over.
+/// A request as received by hyper.
 pub type Request = hyper::Request<body::Incoming>;
 
-/// An answer of a stand-in.
+/// A response of a stand-in.
 pub type Response = hyper::Response<Body>;
 
-/// The connection ends without an answer, or in the middle of one.
+/// The connection closes before the response is complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Disconnected;
 
 impl fmt::Display for Disconnected {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str("the connection was cut on purpose")
+        f.write_str("the connection closed before the response was complete")
     }
 }
 
 impl error::Error for Disconnected {}
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Debug)]
 pub enum Body {
-    /// All of it at once.
+    /// The complete body, until it has been sent.
     Full(Option<Bytes>),
-    /// Piece by piece; an error cuts the connection.
+    /// A body sent in chunks; an error closes the connection.
     Stream(mpsc::Receiver<Result<Bytes, Disconnected>>),
 }
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// An answer whose body is `value` as JSON.
+/// A response with `value` as its JSON body.
 pub fn json(status: StatusCode, value: &impl Serialize) -> Response {
     let text = serde_json::to_vec(value).expect("the stand-ins' own types have string keys");
     let mut response = Response::new(Body::Full(Some(Bytes::from(text))));
@@ -80,7 +80,7 @@
     response
 }
 
-/// An answer with a JSON body and its entity tag, or 304 when the caller has it.
+/// A response with a JSON body and its entity tag, or 304 if `if-none-match` has the same tag.
 pub fn json_with_etag(request: &Request, value: &impl Serialize) -> Response {
     let mut response = json(StatusCode::OK, value);
     let Body::Full(Some(body)) = response.body() else {
@@ -98,7 +98,7 @@
     response
 }
 
-/// An error answer.
+/// An error response with `message` in its JSON body.
 pub fn error(status: StatusCode, message: &str) -> Response {
     json(
         status,
@@ -106,7 +106,7 @@
     )
 }
 
-/// An answer of server-sent events.
+/// A response that streams server-sent events.
 pub fn event_stream(chunks: mpsc::Receiver<Result<Bytes, Disconnected>>) -> Response {
     let mut response = Response::new(Body::Stream(chunks));
     response.headers_mut().insert(
@@ -116,22 +116,22 @@
     response
 }
 
-/// Reads the whole body of `request`.
+/// Reads the complete body of `request`.
 ///
 /// # Errors
 ///
-/// [`Disconnected`] when the caller vanished.
+/// [`Disconnected`] if the client disconnects before the end of the body.
 pub async fn read_body(request: Request) -> Result<Bytes, Disconnected> {
     let body = request.into_body().collect().await;
     body.map(|collected| collected.to_bytes())
         .map_err(|_| Disconnected)
 }
 
-/// Reads the body of `request` as JSON; the inner error is the answer to a malformed one.
+/// Reads the body of `request` as JSON; the inner error is the response to a malformed body.
 ///
 /// # Errors
 ///
-/// [`Disconnected`] when the caller vanished.
+/// [`Disconnected`] if the client disconnects before the end of the body.
 pub async fn read_json<T: DeserializeOwned>(
     request: Request,
 ) -> Result<Result<T, Response>, Disconnected> {
@@ -140,12 +140,12 @@
     Ok(value.map_err(|e| error(StatusCode::BAD_REQUEST, &e.to_string())))
 }
 
-/// The value of the header `name`, if it is readable text.
+/// The value of the header `name`, if it is present and valid text.
 pub fn header<'a>(request: &'a Request, name: &str) -> Option<&'a str> {
     request.headers().get(name)?.to_str().ok()
 }
 
-/// The value of the parameter `name` in the query, with `%XX` decoded.
+/// The percent-decoded value of the query parameter `name`.
 pub fn query_parameter(request: &Request, name: &str) -> Option<String> {
     let pairs = request.uri().query()?.split('&');
     let value = pairs
@@ -155,14 +155,14 @@
     Some(percent_decode(value))
 }
 
-/// The parameter `name` as a number, or `default`.
+/// The query parameter `name` as a number, or `default` if it is absent or invalid.
 pub fn numeric_parameter<T: str::FromStr>(request: &Request, name: &str, default: T) -> T {
     query_parameter(request, name)
         .and_then(|text| text.parse().ok())
         .unwrap_or(default)
 }
 
-/// `text` with `%XX` decoded; what is not valid stays as it is.
+/// Percent-decodes `text`; invalid escapes are left unchanged.
 pub fn percent_decode(text: &str) -> String {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
--- a/crates/standin/src/lib.rs
+++ b/crates/standin/src/lib.rs
@@ -1,8 +1,8 @@
-//! Small stand-ins for engines, plain services and the platform.
+//! Test doubles (stand-ins) for engines, plain services and the platform.
 //!
-//! They are test scaffolding: just enough behaviour to route to, and faults that
-//! a test switches on and off. Each runs as a process (`weir-standin`) or inside
-//! a test:
+//! They implement just enough behaviour to route requests to, and faults that a
+//! test injects and clears. Each runs as a process (`weir-standin`) or inside a
+//! test:
 //!
 //! ```
 //! # async fn example() -> std::io::Result<()> {
@@ -14,8 +14,8 @@
 //! # }
 //! ```
 //!
-//! Every stand-in takes `POST /fault` with the fault as JSON, such as
-//! `{"kind":"freeze"}`; `{"kind":"normal"}` ends all faults.
+//! Every stand-in accepts `POST /fault` with the fault as JSON, such as
+//! `{"kind":"freeze"}`; `{"kind":"normal"}` clears all faults.
 
 pub mod engine;
 pub mod http;
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link to a server that can be shut or slowed down.
+//! A TCP proxy that simulates a network link, which can be closed or limited in rate.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -12,24 +12,24 @@
     time,
 };
 
-/// How much is carried at a time, in bytes.
+/// Size of the relay buffer. The rate limit applies to one buffer at a time.
 const BUFFER_BYTES: usize = 8 * 1024;
 
-/// A loopback address whose connections are carried to a server.
+/// A loopback listener whose connections are relayed to a server.
 #[derive(Clone, Debug)]
 pub struct Link {
     address: SocketAddr,
     open: watch::Sender<bool>,
-    /// Bytes a second that each connection carries from the server.
+    /// Maximum rate of each connection in the direction from the server, in bytes per second.
     rate: watch::Sender<u64>,
 }
 
 impl Link {
-    /// Starts a link to the server at `target` that does no harm.
+    /// Starts an open link without rate limit to the server at `target`.
     ///
     /// # Errors
     ///
-    /// When no port is free.
+    /// Returns the error if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
@@ -47,23 +47,23 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts all connections and refuses new ones.
+    /// Closes all connections, and each new connection as soon as it is accepted.
     pub fn close(&self) {
         self.open.send_replace(false);
     }
 
-    /// Lets connections through again.
+    /// Relays new connections again.
     pub fn reopen(&self) {
         self.open.send_replace(true);
     }
 
-    /// Lets so many bytes a second come from the server on each connection
-    /// from now on; with zero they fall silent.
+    /// Limits each connection to `bytes_per_s` in the direction from the server; with zero,
+    /// nothing more arrives from the server.
     pub fn set_rate(&self, bytes_per_s: u64) {
         self.rate.send_replace(bytes_per_s);
     }
@@ -88,19 +88,19 @@
     }
 }
 
-/// Carries bytes until both ends have closed.
+/// Relays bytes in both directions until both directions are closed.
 async fn relay(client: TcpStream, server: TcpStream, rates: watch::Receiver<u64>) {
     let (mut client_read, client_write) = client.into_split();
     let (server_read, mut server_write) = server.into_split();
     let upload = async {
-        // Either end may close.
+        // A connection error ends this direction just as a close does.
         drop(tokio::io::copy(&mut client_read, &mut server_write).await);
         drop(server_write);
     };
     tokio::join!(upload, relay_throttled(server_read, client_write, rates));
 }
 
-/// Carries bytes at the rate that is set, piece by piece.
+/// Relays bytes at the configured rate, one buffer at a time.
 async fn relay_throttled(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
--- a/crates/standin/src/main.rs
+++ b/crates/standin/src/main.rs
@@ -33,7 +33,7 @@
     }
 }
 
-/// Serves until a signal asks the process to end.
+/// Prints the address and serves until the process receives SIGINT or SIGTERM.
 async fn serve(address: SocketAddr) -> io::Result<()> {
     process::announce(address)?;
     process::wait_for_signal().await
--- a/crates/standin/src/payload.rs
+++ b/crates/standin/src/payload.rs
@@ -1,11 +1,11 @@
-//! Answers that a caller can derive from its own request.
+//! Deterministic response payloads, which a client can compute from its request.
 //!
-//! The load tool computes the same text and so notices an answer that is
-//! another caller's or that is cut short.
+//! The load tool computes the same text to detect responses that belong to
+//! another request or are truncated.
 
 use xxhash_rust::xxh3;
 
-/// The words that an engine answers to `prompt`, the last message of a chat.
+/// The words of an engine's response to `prompt`, the last message of a chat.
 pub fn words(prompt: &str, count: u32) -> impl Iterator<Item = String> {
     let seed = xxh3::xxh3_64(prompt.as_bytes());
     (0..count).map(move |index| {
@@ -14,17 +14,17 @@
     })
 }
 
-/// The whole text that an engine answers to `prompt`.
+/// The complete text of an engine's response to `prompt`.
 pub fn text(prompt: &str, count: u32) -> String {
     words(prompt, count).collect::<Vec<_>>().join(" ")
 }
 
-/// What a plain service answers to the call that `id` names.
+/// The confirmation code that a plain service returns for the request `id`.
 pub fn confirmation(id: &str) -> String {
     format!("{:016x}", xxh3::xxh3_64(id.as_bytes()))
 }
 
-/// How many tokens `text` has: its words.
+/// The number of tokens in `text`: one for each word.
 pub fn count_tokens(text: &str) -> u64 {
     text.split_whitespace().count() as u64
 }
--- a/crates/standin/src/platform.rs
+++ b/crates/standin/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: a transactional table, an object store and a list of hosts.
+//! The platform: a transactional table, an object store and the host list.
 
 mod fault;
 mod hosts;
@@ -17,16 +17,16 @@
 
 use routes::Application;
 
-/// How many calls reached the platform, refused ones included.
+/// Numbers of calls that reached the platform, failed ones included.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Counters {
-    /// Reads of rows, ranges, objects and the list of hosts.
+    /// Reads of rows, ranges, objects and the host list.
     pub reads: u64,
     /// Transactions and writes of objects.
     pub writes: u64,
 }
 
-/// A running platform; it stops when this is dropped.
+/// A running platform, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Handle {
     server: server::Server<Application>,
@@ -36,7 +36,7 @@
 ///
 /// # Errors
 ///
-/// The error of the bind.
+/// Returns the error if the address cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let control = Arc::new(server::Control::new(settings.crash));
     let listen = settings.listen;
@@ -46,36 +46,36 @@
 }
 
 impl Handle {
-    /// The address that it listens on.
+    /// The address that the platform listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches a fault on, or all off with [`Fault::Normal`].
+    /// Injects `fault` in place of the current one; [`Fault::Normal`] clears it.
     pub fn set_fault(&self, fault: Fault) {
         self.server.application().set_fault(fault, None);
     }
 
-    /// How many calls it has got.
+    /// The numbers of received calls.
     pub fn counters(&self) -> Counters {
         self.server.application().counters()
     }
 
-    /// Sets the list of hosts; callers see it after the lag.
+    /// Sets the host list, which callers see after the configured lag.
     pub fn set_hosts(&self, hosts: Vec<Host>) {
         lock(&self.server.application().hosts).set(hosts);
     }
 
-    /// Listens again after a crash. The table and the objects are kept.
+    /// Listens again after a crash. The table and the objects are preserved.
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.restart().await
     }
 
-    /// Stops it.
+    /// Stops the platform.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/standin/src/platform/fault.rs
+++ b/crates/standin/src/platform/fault.rs
@@ -2,30 +2,30 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with the platform.
+/// A fault of the platform.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     Normal,
-    /// Every call is answered 503 and changes nothing.
+    /// Every call is answered with 503 and changes nothing.
     Down,
-    /// No call is answered or changes anything; the connections stay open.
+    /// Calls are not answered and change nothing; the connections stay open.
     Silent,
-    /// Every call waits first.
+    /// Every call is delayed before it runs.
     Slow {
-        /// For how long, in milliseconds.
+        /// The delay in milliseconds.
         delay_ms: u64,
     },
-    /// Writes take effect, then the connection ends without an answer.
+    /// Writes take effect, then the connection closes without a response.
     LoseAnswer {
-        /// How many writes it hits; without it, all until the next fault.
+        /// The number of affected writes; if absent, all until the next fault.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         count: Option<u64>,
     },
-    /// The listener and all connections close, or the process ends.
+    /// The listener and all connections are closed, or the process exits.
     Crash,
-    /// Connections that are open now go silent, while new ones work.
+    /// Currently open connections stop responding; new connections work.
     SilentConnections,
 }
--- a/crates/standin/src/platform/hosts.rs
+++ b/crates/standin/src/platform/hosts.rs
@@ -1,4 +1,4 @@
-//! The lagging list of hosts.
+//! The host list, whose changes become visible after a lag.
 
 use std::{
     collections::VecDeque,
@@ -7,14 +7,14 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One entry of the list of hosts.
+/// An entry of the host list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name, unique in the deployment.
+    /// The name of the host, unique in the deployment.
     pub name: String,
-    /// Its availability zone.
+    /// The availability zone of the host.
     pub zone: String,
-    /// `IP:PORT`; the peer address of a router.
+    /// `IP:PORT`; for a router, its peer address.
     pub address: String,
     /// `router` or `backend`.
     pub role: String,
@@ -37,7 +37,7 @@
     pub hosts: Vec<Host>,
 }
 
-/// The versions of the list that callers may still see.
+/// The versions of the list that are visible now or later.
 #[derive(Debug)]
 pub struct Hosts {
     lag: Duration,
@@ -45,7 +45,7 @@
 }
 
 impl Hosts {
-    /// An empty list whose changes are seen after `lag`.
+    /// An empty list whose changes become visible after `lag`.
     pub fn new(lag: Duration) -> Self {
         Self {
             lag,
@@ -59,7 +59,7 @@
         self.versions.push_back((visible_at, List { hosts }));
     }
 
-    /// The list as callers see it now.
+    /// The list that is visible to callers now.
     pub fn visible(&mut self) -> List {
         let now = Instant::now();
         while self.versions.get(1).is_some_and(|(at, _)| *at <= now) {
--- a/crates/standin/src/platform/objects.rs
+++ b/crates/standin/src/platform/objects.rs
@@ -9,14 +9,14 @@
 pub struct Object {
     /// The content.
     pub bytes: Bytes,
-    /// Changes with each write.
+    /// The entity tag, which changes with each write.
     pub tag: String,
 }
 
 /// The condition of a write.
 #[derive(Clone, Debug)]
 pub enum Condition {
-    /// None.
+    /// No condition.
     Always,
     /// The object is absent.
     Absent,
@@ -24,11 +24,11 @@
     Tag(String),
 }
 
-/// A write whose condition did not hold.
+/// The condition of a write did not hold.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConditionFailed;
 
-/// All objects in the order of their keys.
+/// All objects, ordered by key.
 #[derive(Debug, Default)]
 pub struct Objects {
     objects: BTreeMap<String, Object>,
@@ -54,7 +54,7 @@
     ///
     /// # Errors
     ///
-    /// [`ConditionFailed`] when the condition does not hold. Nothing is changed.
+    /// [`ConditionFailed`] if the condition does not hold. Nothing is changed.
     pub fn put(
         &mut self,
         key: &str,
--- a/crates/standin/src/platform/routes.rs
+++ b/crates/standin/src/platform/routes.rs
@@ -1,4 +1,4 @@
-//! The platform's calls.
+//! The HTTP routes of the platform.
 
 use std::{
     future,
@@ -21,7 +21,7 @@
     server::{self, lock},
 };
 
-/// How many rows a scan returns if it does not say.
+/// The maximum number of rows of a scan without a limit.
 const DEFAULT_LIMIT: usize = 1000;
 
 #[derive(Serialize)]
@@ -44,7 +44,7 @@
     keys: Vec<String>,
 }
 
-/// The platform's state and its calls.
+/// The state of the platform and the handlers of its calls.
 #[derive(Debug)]
 pub struct Application {
     pub(super) hosts: Mutex<Hosts>,
@@ -71,7 +71,8 @@
         *lock(&self.counters)
     }
 
-    /// Switches a fault that the connection `from` asks for.
+    /// Injects a fault. `from` is the connection of the request for it, which
+    /// [`Fault::SilentConnections`] does not affect.
     pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
             Fault::Crash => self.control.crash(),
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Whether the answer to a write is to be lost.
+    /// Whether the response to the current write is to be dropped; counts it if so.
     fn drops_response(&self) -> bool {
         let mut fault = lock(&self.fault);
         let Fault::LoseAnswer { count } = &mut *fault else {
@@ -188,7 +189,7 @@
         Ok(http::json(StatusCode::OK, &serde_json::json!({})))
     }
 
-    /// The calls of the platform itself, which the faults hit.
+    /// Handles the calls that the faults affect.
     async fn route(&self, request: http::Request) -> Result<http::Response, http::Disconnected> {
         let method = request.method().clone();
         let path = http::percent_decode(request.uri().path());
--- a/crates/standin/src/platform/settings.rs
+++ b/crates/standin/src/platform/settings.rs
@@ -4,14 +4,14 @@
 
 use crate::server;
 
-/// How the platform behaves while no fault is on.
+/// The behaviour of the platform without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// How long a change of the list of hosts stays unseen.
+    /// Delay before a change of the host list is visible.
     pub hosts_lag: Duration,
-    /// What a crash does.
+    /// The effect of a crash.
     pub crash: server::Crash,
 }
 
--- a/crates/standin/src/platform/table.rs
+++ b/crates/standin/src/platform/table.rs
@@ -5,23 +5,23 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A row as it is read.
+/// A row as returned by reads.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// Its key.
+    /// The key of the row.
     pub key: String,
-    /// Its value.
+    /// The value of the row.
     pub value: Value,
-    /// Grows with each write of the row.
+    /// The generation, which increases with each write of the row.
     pub generation: u64,
 }
 
-/// What a row has to be for a transaction to take effect, or what it is.
+/// The generation that a transaction requires of a row, or, in a conflict, the current one.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Check {
     /// The key of the row.
     pub key: String,
-    /// Its generation; 0 means absent.
+    /// The generation of the row; 0 means absent.
     pub generation: u64,
 }
 
@@ -30,15 +30,15 @@
 pub struct Put {
     /// The key of the row.
     pub key: String,
-    /// Its new value.
+    /// The new value of the row.
     pub value: Value,
 }
 
-/// Checks and writes that take effect together or not at all.
+/// Checks and writes that are applied atomically.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct Transaction {
-    /// What must hold.
+    /// The checks that must hold.
     pub checks: Vec<Check>,
     /// Rows to write.
     pub puts: Vec<Put>,
@@ -46,10 +46,10 @@
     pub deletes: Vec<String>,
 }
 
-/// All rows in the order of their keys.
+/// All rows, ordered by key.
 ///
 /// Generations come from one counter, so that a row that is deleted and written
-/// again never shows a generation it had before.
+/// again never reuses an earlier generation.
 #[derive(Debug, Default)]
 pub struct Table {
     rows: BTreeMap<String, (Value, u64)>,
@@ -63,7 +63,7 @@
         Some(row(key, value, *generation))
     }
 
-    /// Up to `limit` rows whose keys start with `prefix` and are not before `from`.
+    /// The first `limit` rows whose keys start with `prefix` and are at least `from`.
     pub fn scan(&self, prefix: &str, from: &str, limit: usize) -> Vec<Row> {
         let first = if from > prefix { from } else { prefix };
         self.rows
@@ -74,11 +74,11 @@
             .collect()
     }
 
-    /// Carries out `transaction` and returns the generations of its puts.
+    /// Applies `transaction` and returns the generations of its puts.
     ///
     /// # Errors
     ///
-    /// The checks that failed, with the present generations. Nothing is changed.
+    /// The failed checks, with the current generations. Nothing is changed.
     pub fn transact(&mut self, transaction: Transaction) -> Result<Vec<u64>, Vec<Check>> {
         let conflicts = self.conflicts(&transaction.checks);
         if !conflicts.is_empty() {
--- a/crates/standin/src/process.rs
+++ b/crates/standin/src/process.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' processes have in common.
+//! Process handling shared by all stand-ins.
 
 use std::{
     io::{self, Write},
@@ -8,11 +8,11 @@
 
 use tokio::{signal::unix, time};
 
-/// Tells scripts the bound address, as one line on standard output.
+/// Prints the bound address as one line on standard output, for scripts to read.
 ///
 /// # Errors
 ///
-/// The error of the write.
+/// Returns the error if standard output cannot be written.
 pub fn announce(address: SocketAddr) -> io::Result<()> {
     let mut output = io::stdout().lock();
     writeln!(output, "listening={address}")?;
@@ -21,11 +21,11 @@
     Ok(())
 }
 
-/// Waits for a signal that asks the process to end.
+/// Waits for SIGINT or SIGTERM.
 ///
 /// # Errors
 ///
-/// The error of the registration of a handler.
+/// Returns the error if a signal handler cannot be registered.
 pub async fn wait_for_signal() -> io::Result<()> {
     let mut interrupt = unix::signal(unix::SignalKind::interrupt())?;
     let mut terminate = unix::signal(unix::SignalKind::terminate())?;
@@ -37,10 +37,10 @@
     Ok(())
 }
 
-/// Waits for `duration`, and not at all if it is zero.
+/// Sleeps for `duration`; returns at once if it is zero.
 ///
-/// The timer of `tokio` has whole milliseconds and rounds up, also from zero. An
-/// engine that is to take no time would take some for each token.
+/// The timer of `tokio` has a resolution of one millisecond and rounds up, even from zero, so
+/// an engine with a token interval of zero would otherwise wait for each token.
 pub(crate) async fn pause(duration: Duration) {
     if !duration.is_zero() {
         time::sleep(duration).await;
--- a/crates/standin/src/server.rs
+++ b/crates/standin/src/server.rs
@@ -1,4 +1,4 @@
-//! The listening side of a stand-in, and the faults of its connections.
+//! The HTTP server of a stand-in, with faults of its connections.
 
 use std::{
     future::Future,
@@ -22,22 +22,23 @@
 
 use crate::http;
 
-/// What a crash does.
+/// The effect of a crash.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Crash {
-    /// Closes the listener, all connections and all work, inside a test.
+    /// Closes the listener and all connections and aborts all background tasks; for stand-ins
+    /// inside a test.
     #[default]
     Abort,
-    /// Ends the process with exit code 1.
+    /// Exits the process with code 1.
     Exit,
 }
 
-/// The number of a connection, in the order of arrival.
+/// The number of a connection, in order of acceptance.
 pub type ConnectionId = u64;
 
-/// What answers the requests.
+/// The request handler of a stand-in.
 pub trait Application: Send + Sync + 'static {
-    /// Answers one request; an error cuts the connection.
+    /// Handles one request; an error closes the connection.
     fn handle(
         self: Arc<Self>,
         request: http::Request,
@@ -45,7 +46,7 @@
     ) -> impl Future<Output = Result<http::Response, http::Disconnected>> + Send;
 }
 
-/// Switches for the faults of connections and for work in the background.
+/// Controls the faults of connections and the background tasks.
 #[derive(Debug, Default)]
 pub struct Control {
     crash: Crash,
@@ -57,7 +58,7 @@
 }
 
 impl Control {
-    /// Switches of a stand-in that crashes as `crash` says.
+    /// Creates the control of a stand-in whose crashes have the effect `crash`.
     pub fn new(crash: Crash) -> Self {
         Self {
             crash,
@@ -65,14 +66,15 @@
         }
     }
 
-    /// Runs `work` until it ends or the stand-in crashes.
+    /// Spawns `task`, which is aborted if the stand-in crashes or stops.
     pub fn spawn(&self, task: impl Future<Output = ()> + Send + 'static) {
         let mut tasks = lock(&self.tasks);
         while tasks.try_join_next().is_some() {}
         tasks.spawn(task);
     }
 
-    /// Crashes: nobody listens, and all connections and work end at once.
+    /// Crashes the stand-in: closes the listener and all connections and aborts all background
+    /// tasks, or exits the process.
     pub fn crash(&self) {
         if self.crash == Crash::Exit {
             logging::event!(warn, "crashed");
@@ -84,7 +86,7 @@
         lock(&self.tasks).abort_all();
     }
 
-    /// Makes all present connections but `spared` go silent for good.
+    /// Makes all current connections except `exempt` silent for the rest of their lifetime.
     pub fn silence(&self, exempt: Option<ConnectionId>) {
         self.exempt
             .store(exempt.unwrap_or(ConnectionId::MAX), Ordering::SeqCst);
@@ -98,12 +100,13 @@
     }
 }
 
-/// Locks `mutex`, also after a panic elsewhere: a stand-in goes on.
+/// Locks `mutex` and ignores poisoning, so that a stand-in keeps running after a panic in one of
+/// its tasks.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A listening stand-in; it stops when this is dropped.
+/// The listener of a stand-in, which stops when dropped.
 #[derive(Debug)]
 pub struct Server<A> {
     address: SocketAddr,
@@ -112,11 +115,11 @@
 }
 
 impl<A: Application> Server<A> {
-    /// Starts to listen on `address`; port 0 takes a free one.
+    /// Starts to listen on `address`; port 0 selects a free port.
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn start(
         address: SocketAddr,
         application: Arc<A>,
@@ -132,33 +135,33 @@
         Ok(server)
     }
 
-    /// The address that it listens on.
+    /// The address that the server listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What answers the requests.
+    /// The request handler.
     pub fn application(&self) -> &Arc<A> {
         &self.application
     }
 
-    /// The switches for faults of connections.
+    /// The control of connection faults and background tasks.
     pub fn control(&self) -> &Control {
         &self.control
     }
 
-    /// Listens again on the same address, after a crash inside a test.
+    /// Listens again on the same address after a crash with [`Crash::Abort`].
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         let listener = TcpListener::bind(self.address).await?;
         self.accept(listener);
         Ok(())
     }
 
-    /// Stops listening and ends all connections.
+    /// Closes the listener and all connections and aborts all background tasks.
     pub fn stop(&self) {
         if let Some(task) = lock(&self.control.accept_task).take() {
             task.abort();
@@ -188,7 +191,7 @@
     }
 }
 
-/// Accepts connections until it is aborted, which drops all of them too.
+/// Accepts connections until the task is aborted, which also drops all connections.
 async fn accept<A: Application>(listener: TcpListener, application: Arc<A>, control: Arc<Control>) {
     let mut connections = JoinSet::new();
     loop {
@@ -206,7 +209,8 @@
 
 async fn serve<A: Application>(connection: Connection, application: Arc<A>) {
     let id = connection.id;
-    // Without it, an event of a stream waits for the acknowledgement of the last one.
+    // Without TCP_NODELAY, each event of a stream waits for the acknowledgement of the previous
+    // one.
     drop(connection.stream.set_nodelay(true));
     let service = service::service_fn(|request| {
         let application = Arc::clone(&application);
@@ -220,7 +224,8 @@
     }
 }
 
-/// A connection that can go silent: it takes what is written to it and gives nothing.
+/// A connection that can be made silent: writes are accepted and discarded, and reads never
+/// complete.
 struct Connection {
     stream: TcpStream,
     id: ConnectionId,
--- a/crates/standin/src/service.rs
+++ b/crates/standin/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service with lookups, which are idempotent, and bookings, which are not.
+//! A plain service with idempotent lookups and non-idempotent bookings.
 
 mod fault;
 mod ledger;
@@ -15,7 +15,7 @@
 
 use routes::Application;
 
-/// A running plain service; it stops when this is dropped.
+/// A running plain service, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Handle {
     server: server::Server<Application>,
@@ -25,7 +25,7 @@
 ///
 /// # Errors
 ///
-/// The error of the bind.
+/// Returns the error if the address cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let control = Arc::new(server::Control::new(settings.crash));
     let listen = settings.listen;
@@ -35,37 +35,37 @@
 }
 
 impl Handle {
-    /// The address that it listens on.
+    /// The address that the service listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches a fault on, or all off with [`Fault::Normal`].
+    /// Injects `fault` in place of the current one; [`Fault::Normal`] clears it.
     pub fn set_fault(&self, fault: Fault) {
         self.server.application().set_fault(fault, None);
     }
 
-    /// The bookings that ran, and how often.
+    /// The executed bookings, with the number of runs of each.
     pub fn ledger(&self) -> Ledger {
         self.server.application().ledger()
     }
 
-    /// How many calls it has got, without those for the load report.
+    /// The number of received calls, except those for load reports, the ledger and faults.
     pub fn calls(&self) -> u64 {
         self.server.application().calls()
     }
 
-    /// Listens again after a crash, with a new boot and the ledger kept.
+    /// Listens again after a crash, with a new boot id. The ledger is preserved.
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.application().reboot();
         self.server.restart().await
     }
 
-    /// Stops it.
+    /// Stops the service.
     pub fn stop(&self) {
         self.server.stop();
     }
--- a/crates/standin/src/service/fault.rs
+++ b/crates/standin/src/service/fault.rs
@@ -2,47 +2,47 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What is wrong with a plain service.
+/// A fault of a plain service.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum Fault {
-    /// Nothing.
+    /// No fault.
     #[default]
     Normal,
-    /// Every call is answered 503 and runs nothing.
+    /// Every call is answered with 503 and is not run.
     Down,
-    /// No call is answered or run until the fault ends.
+    /// No call is run or answered until the fault is cleared.
     Freeze,
-    /// Every call waits first.
+    /// Every call is delayed before it runs.
     Slow {
-        /// For how long, in milliseconds.
+        /// The delay in milliseconds.
         delay_ms: u64,
     },
-    /// Answers are late: the call runs first and waits then.
+    /// Responses are delayed: the call runs first, then waits.
     LateAnswer {
-        /// For how long, in milliseconds.
+        /// The delay in milliseconds.
         delay_ms: u64,
     },
-    /// Calls run, then the connection ends without an answer.
+    /// Calls run, then the connection closes without a response.
     LoseAnswer {
-        /// How many calls it hits; without it, all until the next fault.
+        /// The number of affected calls; if absent, all until the next fault.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         count: Option<u64>,
     },
-    /// Answers are another call's, and echo its attempt.
+    /// Responses are those of another call and echo the attempt id of that call.
     CrossedAnswer {
-        /// How many calls it hits; without it, all until the next fault.
+        /// The number of affected calls; if absent, all until the next fault.
         #[serde(default, skip_serializing_if = "Option::is_none")]
         count: Option<u64>,
     },
-    /// The listener and all connections close, or the process ends.
+    /// The listener and all connections are closed, or the process exits.
     Crash,
-    /// Connections that are open now go silent, while new ones work.
+    /// Currently open connections stop responding; new connections work.
     SilentConnections,
 }
 
 impl Fault {
-    /// The fault that hits the next call, which is counted.
+    /// The fault that affects the next call. Decrements the number of remaining calls.
     pub(super) fn next(&mut self) -> Self {
         let hit = *self;
         let (Self::LoseAnswer { count } | Self::CrossedAnswer { count }) = self else {
--- a/crates/standin/src/service/ledger.rs
+++ b/crates/standin/src/service/ledger.rs
@@ -1,19 +1,19 @@
-//! The bookings that ran.
+//! The ledger of executed bookings.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How often one booking ran.
+/// The number of runs of one booking.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// The booking's idempotency key, or the `id` in its body.
     pub id: String,
-    /// How often it ran.
+    /// The number of runs.
     pub runs: u64,
 }
 
-/// The bookings that ran, in the order of their ids.
+/// The executed bookings, ordered by id.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// One entry for each booking.
@@ -21,12 +21,12 @@
 }
 
 impl Ledger {
-    /// The bookings that ran more than once.
+    /// The bookings that were executed more than once.
     pub fn duplicates(&self) -> impl Iterator<Item = &Entry> {
         self.entries.iter().filter(|entry| entry.runs > 1)
     }
 
-    /// How often the booking `id` ran.
+    /// The number of runs of the booking `id`.
     pub fn runs(&self, id: &str) -> u64 {
         let mut entries = self.entries.iter();
         entries.find(|entry| entry.id == id).map_or(0, |e| e.runs)
@@ -40,12 +40,12 @@
 }
 
 impl Runs {
-    /// Notes a run of the booking `id`.
+    /// Records a run of the booking `id`.
     pub(super) fn record(&mut self, id: &str) {
         *self.by_id.entry(String::from(id)).or_default() += 1;
     }
 
-    /// All runs so far.
+    /// The ledger of all runs so far.
     pub(super) fn ledger(&self) -> Ledger {
         let entries = self.by_id.iter().map(|(id, runs)| Entry {
             id: id.clone(),
--- a/crates/standin/src/service/routes.rs
+++ b/crates/standin/src/service/routes.rs
@@ -1,4 +1,4 @@
-//! The calls of a plain service.
+//! The HTTP routes of a plain service.
 
 use std::{
     sync::{
@@ -18,9 +18,9 @@
     service::{Fault, Ledger, Settings, ledger::Runs},
 };
 
-/// The header that names the attempt, which the answer echoes.
+/// The header with the attempt id, which the response echoes.
 const ATTEMPT: &str = "x-weir-attempt";
-/// What a crossed answer echoes and confirms.
+/// The attempt id that a crossed response echoes and the booking id that it confirms.
 const OTHER_ATTEMPT: &str = "ffffffffffffffff";
 
 #[derive(Deserialize)]
@@ -45,7 +45,7 @@
     models: [String; 0],
 }
 
-/// The service's state and its calls.
+/// The state of the service and the handlers of its calls.
 #[derive(Debug)]
 pub struct Application {
     settings: Settings,
@@ -86,7 +86,8 @@
         self.boot.store(rand::random(), Ordering::SeqCst);
     }
 
-    /// Switches a fault that the connection `from` asks for.
+    /// Injects a fault. `from` is the connection of the request for it, which
+    /// [`Fault::SilentConnections`] does not affect.
     pub(super) fn set_fault(&self, fault: Fault, from: Option<server::ConnectionId>) {
         match fault {
             Fault::Crash => self.control.crash(),
@@ -121,14 +122,14 @@
         }
     }
 
-    /// Waits until the service is not frozen.
+    /// Waits while the service is frozen.
     async fn wait_until_unfrozen(&self) {
         let mut fault = self.fault.subscribe();
-        // The sender lives as long as `self`, so the wait ends only with a thaw.
+        // `self` keeps the sender alive, so the wait can't fail.
         drop(fault.wait_for(|fault| *fault != Fault::Freeze).await);
     }
 
-    /// Runs one call, waiting for a slot first.
+    /// Waits for a slot and runs one call.
     async fn run(&self, request: http::Request) -> Result<http::Response, http::Disconnected> {
         let _slot = self.slots.acquire().await.map_err(|_| http::Disconnected)?;
         process::pause(self.settings.call_duration).await;
@@ -149,7 +150,7 @@
         Ok(confirmation_response(&id))
     }
 
-    /// Runs one call under the fault that hits it.
+    /// Runs one call under the fault that affects it.
     async fn handle_under_fault(
         &self,
         request: http::Request,
@@ -211,7 +212,7 @@
     }
 }
 
-/// Counts a call out, also when its connection ends first.
+/// Decrements the number of calls in flight when dropped, also if the connection closes first.
 struct InFlight<'a>(&'a AtomicU64);
 
 impl Drop for InFlight<'_> {
--- a/crates/standin/src/service/settings.rs
+++ b/crates/standin/src/service/settings.rs
@@ -4,16 +4,16 @@
 
 use crate::server;
 
-/// How a plain service behaves while no fault is on.
+/// The behaviour of a plain service without faults.
 #[derive(Clone, Debug)]
 pub struct Settings {
-    /// Address to listen on; port 0 takes a free one.
+    /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// How long a call takes.
+    /// Duration of a call.
     pub call_duration: Duration,
-    /// How many calls it runs at once; the others wait.
+    /// Maximum number of concurrent calls; the others are queued.
     pub capacity: u32,
-    /// What a crash does.
+    /// The effect of a crash.
     pub crash: server::Crash,
 }
 
--- a/crates/standin/tests/standin/client.rs
+++ b/crates/standin/tests/standin/client.rs
@@ -1,4 +1,4 @@
-//! A connection to a stand-in.
+//! An HTTP client for requests to a stand-in.
 
 use std::net::SocketAddr;
 
@@ -9,7 +9,7 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// An answer read to its end, or to where its connection broke.
+/// A response, read to its end or up to a connection error.
 #[derive(Debug)]
 pub struct Response {
     pub status: StatusCode,
@@ -20,22 +20,22 @@
 
 impl Response {
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.text).expect("the answer is JSON")
+        serde_json::from_str(&self.text).expect("the response body is JSON")
     }
 
     pub fn attempt(&self) -> &str {
         self.headers["x-weir-attempt"]
             .to_str()
-            .expect("an attempt is ASCII")
+            .expect("the attempt id is ASCII")
     }
 
-    /// The text of the events that arrived.
+    /// The completion text in the received events.
     pub fn streamed_text(&self) -> String {
         let events = self.text.split("\n\n").filter(|event| !event.is_empty());
-        let events = events.map(|event| event.strip_prefix("data: ").expect("an event has data"));
+        let events = events.map(|event| event.strip_prefix("data: ").expect("SSE data prefix"));
         let pieces = events.filter(|data| *data != "[DONE]");
         let pieces =
-            pieces.map(|data| serde_json::from_str::<Value>(data).expect("an event is JSON"));
+            pieces.map(|data| serde_json::from_str::<Value>(data).expect("valid JSON data"));
         let deltas = pieces.map(|p| p["choices"][0]["delta"]["content"].clone());
         deltas
             .filter_map(|d| d.as_str().map(String::from))
@@ -47,7 +47,7 @@
     }
 }
 
-/// One connection.
+/// A connection to a stand-in.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
@@ -60,7 +60,7 @@
         Some(Self { sender })
     }
 
-    /// Sends a request; none: the connection ended without an answer.
+    /// Sends a request. Returns `None` if the connection closed without a response.
     pub async fn send(
         &mut self,
         method: &str,
@@ -91,7 +91,7 @@
         Some(Response {
             status: head.status,
             headers: head.headers,
-            text: String::from_utf8(bytes).expect("answers are text"),
+            text: String::from_utf8(bytes).expect("response bodies are UTF-8"),
             is_complete,
         })
     }
--- a/crates/standin/tests/standin/engine.rs
+++ b/crates/standin/tests/standin/engine.rs
@@ -1,4 +1,4 @@
-//! Engines.
+//! Tests of the engine stand-in.
 
 use std::net::SocketAddr;
 
@@ -37,7 +37,7 @@
 fn cached_tokens(response: &Response) -> u64 {
     response.json()["usage"]["cached_tokens"]
         .as_u64()
-        .expect("the usage is there")
+        .expect("the response has a usage")
 }
 
 #[tokio::test]
@@ -54,8 +54,8 @@
     assert_eq!((stream.streamed_text(), stream.is_done()), (expected, true));
 }
 
-// A chat returns to an engine that has served many others since. Its prefix has
-// been evicted, and its user waits for the whole prompt to be computed again.
+// A chat returns to an engine that has served another chat since. If the cache has no capacity
+// for both prefixes, the first one was evicted and the whole prompt is computed again.
 #[parameterized(
     capacity_for_both_prefixes = { 1000, 10 },
     capacity_for_one_prefix = { 12, 0 },
@@ -81,8 +81,8 @@
     assert_eq!(cached_tokens(&again), expected);
 }
 
-// An engine turns cold without warning while it runs more than it then bears.
-// Nobody can know at once, so a few more requests do not bring it down yet.
+// An engine turns cold without notice while it has more requests in flight than a cold engine
+// can run. Routers can't react at once, so a few excess requests must not crash it.
 #[tokio::test(flavor = "multi_thread")]
 async fn overload_within_tolerance_after_turning_cold_does_not_crash_engine() {
     let settings = Settings {
@@ -102,8 +102,8 @@
     assert_eq!(engine.counters().falls, 0);
 }
 
-// An engine has just started and gets the load of a warm one. It falls over, and
-// every user whose answer it was making sees a broken connection.
+// An engine gets the load of a warm one right after its start. It crashes, and the connections
+// of all requests in flight are closed.
 #[tokio::test(flavor = "multi_thread")]
 async fn overload_while_cold_crashes_engine() {
     let settings = Settings {
@@ -124,8 +124,8 @@
     assert!(complete(address, "c", &["x"], false).await.is_some());
 }
 
-// A stream's connection is cut in the middle. The user sees half an answer, and
-// the rest is still there for whoever asks with the number of events received.
+// The connection of a stream closes halfway. The client can resume the stream with the number
+// of events received so far and gets the rest.
 #[tokio::test]
 async fn cut_stream_can_be_resumed() {
     let engine = engine::start(Settings::default()).await.unwrap();
@@ -144,8 +144,8 @@
     assert_eq!(text, payload::text("hello", TOKENS));
 }
 
-// A server ends a stream early, but properly. Whoever takes the end of the body
-// for the end of the answer shows the user half of it as if it were whole.
+// A server ends a stream early with a valid end of body. A client that takes the end of the
+// body for the end of the response would present a truncated response as complete.
 #[tokio::test]
 async fn truncated_stream_ends_cleanly_without_done_event() {
     let engine = engine::start(Settings::default()).await.unwrap();
@@ -156,7 +156,8 @@
     assert!(short.is_complete && !short.is_done());
 }
 
-// Two answers are swapped, and a user reads what another one was told.
+// Two responses are swapped, and a user would read the response to another user. The echoed
+// attempt id reveals the mismatch.
 #[parameterized(
     streamed = { true },
     whole = { false },
@@ -173,8 +174,8 @@
     assert_eq!(second.unwrap().attempt(), "0000000000000001");
 }
 
-// Something between two hosts has lost track of a connection. Requests on it are
-// never answered, although the engine is well and answers on new ones.
+// A middlebox between two hosts has dropped the state of a connection. Requests on it are never
+// answered, although the engine is healthy and answers requests on new connections.
 #[tokio::test]
 async fn silent_connection_returns_nothing_while_new_connections_work() {
     let engine = engine::start(Settings::default()).await.unwrap();
@@ -186,7 +187,7 @@
     for _ in 0..50 {
         tokio::select! {
             biased;
-            response = &mut on_old => panic!("the silent connection answered {response:?}"),
+            response = &mut on_old => panic!("the silent connection returned {response:?}"),
             response = client::send(engine.address(), "GET", "/load", &[], "") => {
                 assert!(response.is_some());
             }
@@ -194,8 +195,8 @@
     }
 }
 
-// One request crashes each engine that runs it. Everybody else's answers on that
-// engine break too.
+// A poison request crashes each engine that runs it, which also breaks all other requests on
+// that engine.
 #[tokio::test]
 async fn poison_request_crashes_engine() {
     let settings = Settings {
@@ -217,8 +218,8 @@
     );
 }
 
-// A controller that was paused wakes up and gives an order under its old lease.
-// An engine that checks refuses it; one that does not loads the wrong model.
+// A paused controller resumes and sends an order with the fencing token of its expired lease.
+// An engine that checks the token rejects the order; one that doesn't loads the wrong model.
 #[parameterized(
     checks = { true, 409, 1 },
     ignores = { false, 200, 2 },
--- a/crates/standin/tests/standin/main.rs
+++ b/crates/standin/tests/standin/main.rs
@@ -1,5 +1,5 @@
-//! The stand-ins behave as the platform, engines and services that they stand for,
-//! and their faults do what their names say.
+//! The stand-ins behave like the platform, engines and services that they replace, and each
+//! fault has the documented effect.
 
 mod client;
 mod engine;
--- a/crates/standin/tests/standin/platform.rs
+++ b/crates/standin/tests/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform.
+//! Tests of the platform stand-in.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -18,12 +18,12 @@
     let path = format!("/table/rows/{key}");
     let row = client::send(address, "GET", &path, &[], "")
         .await
-        .expect("the platform answers");
+        .expect("the platform responds");
     (row.status == 200).then(|| row.json()["value"].clone())
 }
 
-// Two operators change the same resource at once, each having read the same
-// generation. If both writes took effect, one change would vanish unseen.
+// Several operators write the same resource concurrently after reading the same generation. If
+// more than one transaction committed, updates would be lost silently.
 #[tokio::test(flavor = "multi_thread")]
 async fn exactly_one_of_concurrent_transactions_commits() {
     const WRITERS: usize = 16;
@@ -43,14 +43,14 @@
     let won = statuses.iter().filter(|status| **status == 200).count();
     let lost = statuses.iter().filter(|status| **status == 409).count();
     assert_eq!((won, lost), (1, WRITERS - 1));
-    // The losers' other puts have not taken effect either.
+    // The other puts of the rejected transactions have not taken effect either.
     let scan = client::send(address, "GET", "/table/scan?prefix=by%2F", &[], "").await;
     let rows = scan.unwrap().json()["rows"].as_array().unwrap().len();
     assert_eq!(rows, 1);
 }
 
-// A row is deleted and written again while somebody holds its old generation.
-// If generations started over, the old one would fit the new row.
+// A row is deleted and written again while a client still has its old generation. If
+// generations started over, a check with the old generation would pass on the new row.
 #[tokio::test]
 async fn generation_of_deleted_row_is_not_reused() {
     let platform = platform::start(Settings::default()).await.unwrap();
@@ -63,8 +63,8 @@
     assert_eq!(transact(address, stale).await.unwrap().status, 409);
 }
 
-// The platform fails while a write is under way. What the caller sees differs,
-// and so does what became of the write.
+// The platform fails during a write. The fault decides which response the caller gets and
+// whether the write takes effect.
 #[parameterized(
     down = { Fault::Down, Some(503), false },
     response_lost = { Fault::LoseAnswer { count: Some(1) }, None, true },
@@ -81,7 +81,8 @@
     assert_eq!(value(address, "a").await, takes_effect.then(|| json!(7)));
 }
 
-// The list of hosts lags, so a router sees a host that is gone, or misses a new one.
+// With a lag, callers read an outdated host list: a router sees a removed host or misses a new
+// one.
 #[parameterized(
     no_lag = { Duration::ZERO, 1 },
     long_lag = { Duration::from_secs(3600), 0 },
--- a/crates/standin/tests/standin/service.rs
+++ b/crates/standin/tests/standin/service.rs
@@ -1,12 +1,12 @@
-//! Plain services.
+//! Tests of the plain service stand-in.
 
 use standin::service::{self, Fault, Settings};
 use yare::parameterized;
 
 use crate::client;
 
-// A booking runs and its answer is lost. Whoever sends it again books twice,
-// which the customer notices by the second truck; the ledger shows it.
+// A booking runs and its response is lost. A retry executes the booking a second time, and the
+// ledger must show the duplicate.
 #[parameterized(
     down = { Fault::Down, Some(503), 0 },
     response_lost = { Fault::LoseAnswer { count: Some(1) }, None, 1 },
