--- a/crates/router/tests/fleet/golden.rs
+++ b/crates/router/tests/fleet/golden.rs
@@ -125,7 +125,7 @@
     for service in &cluster.services {
         service
             .handle
-            .fault(service::Fault::LoseAnswer { count: Some(1) });
+            .set_fault(service::Fault::LoseAnswer { count: Some(1) });
     }
     session += &step(&cluster, 7, Call::booking("lost")).await;
     wait_until("the outcome is recorded as unknown", async || {
--- a/crates/router/tests/fleet/shutdown.rs
+++ b/crates/router/tests/fleet/shutdown.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use standin::{answer, engine};
+use standin::{engine, payload};
 
 use crate::{
     client::Call,
@@ -42,7 +42,7 @@
         let response = caller.await.expect("no panic").expect("a response");
         if response.status == 200 {
             assert!(response.complete, "{}", response.body);
-            assert_eq!(response.streamed_text(), answer::text("hello", 100));
+            assert_eq!(response.streamed_text(), payload::text("hello", 100));
             served += 1;
         } else {
             assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
@@ -83,7 +83,7 @@
         let response = caller.await.expect("no panic").expect("a response");
         if response.status == 200 {
             assert!(response.complete, "{}", response.body);
-            assert_eq!(response.streamed_text(), answer::text("hello", 150));
+            assert_eq!(response.streamed_text(), payload::text("hello", 150));
         } else {
             assert_eq!(response.error("verdict"), "not_run", "{}", response.body);
         }
@@ -119,7 +119,7 @@
     let response = cluster
         .send_until_served(next, &Call::chat("c", "hello", 3))
         .await;
-    assert_eq!(response.text(), answer::text("hello", 3));
+    assert_eq!(response.text(), payload::text("hello", 3));
     assert!(
         cluster.routers[leaving].wait(),
         "the process must exit with success"
--- a/crates/router/tests/fleet/zones.rs
+++ b/crates/router/tests/fleet/zones.rs
@@ -1,7 +1,7 @@
 //! Availability zones and backend servers that leave and return.
 
 use serde_json::json;
-use standin::answer;
+use standin::payload;
 
 use crate::{
     client::Call,
@@ -13,7 +13,7 @@
         let call = Call::chat(&format!("c{number}"), "hello", 2);
         let response = cluster.send(number % cluster.routers.len(), &call).await;
         assert_eq!(response.status, 200, "{}", response.body);
-        assert_eq!(response.text(), answer::text("hello", 2));
+        assert_eq!(response.text(), payload::text("hello", 2));
     }
 }
 
--- a/crates/standin/src/engine.rs
+++ b/crates/standin/src/engine.rs
@@ -1,14 +1,14 @@
 //! A model engine: chat completions, a prefix cache and orders.
 
 mod cache;
-mod call;
+mod completion;
 mod fault;
 mod generation;
-mod machine;
 mod orders;
 mod report;
 mod routes;
 mod settings;
+mod simulator;
 mod slots;
 mod state;
 
@@ -17,71 +17,71 @@
 use crate::server;
 
 pub use fault::Fault;
-pub use machine::Counters;
 pub use orders::{Fenced, Kind, Order};
 pub use settings::Settings;
+pub use simulator::Counters;
 
-use machine::Machine;
+use simulator::Simulator;
 
-/// A running engine; it stops when this is dropped.
+/// A running engine, which stops when the handle is dropped.
 #[derive(Debug)]
 pub struct Handle {
-    server: server::Server<Machine>,
+    server: server::Server<Simulator>,
 }
 
 /// Starts an engine.
 ///
 /// # Errors
 ///
-/// The error of the bind.
+/// Returns the error if the address cannot be bound.
 pub async fn start(settings: Settings) -> io::Result<Handle> {
     let control = Arc::new(server::Control::new(settings.crash));
     let listen = settings.listen;
-    let machine = Arc::new(Machine::new(settings, Arc::clone(&control)));
-    let server = server::Server::start(listen, Arc::clone(&machine), control).await?;
-    Arc::clone(&machine).report_load();
+    let simulator = Arc::new(Simulator::new(settings, Arc::clone(&control)));
+    let server = server::Server::start(listen, Arc::clone(&simulator), control).await?;
+    Arc::clone(&simulator).report_load();
     Ok(Handle { server })
 }
 
 impl Handle {
-    /// The address that it listens on.
+    /// The address that the engine listens on.
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Switches a fault on, or all off with [`Fault::Normal`].
-    pub fn fault(&self, fault: Fault) {
-        self.machine().switch(fault, None);
+    /// Injects `fault`; [`Fault::Normal`] clears all faults.
+    pub fn set_fault(&self, fault: Fault) {
+        self.simulator().set_fault(fault, None);
     }
 
-    /// What it has done since the first start.
+    /// The counters since the first start; restarts don't reset them.
     pub fn counters(&self) -> Counters {
-        self.machine().counters()
+        self.simulator().counters()
     }
 
-    /// The orders that it carried out since the first start.
+    /// The orders executed since the first start.
     pub fn orders(&self) -> Vec<Fenced> {
-        self.machine().carried_out()
+        self.simulator().executed()
     }
 
-    /// Starts again after a crash: cold, with a new boot and an empty cache.
+    /// Restarts the engine after a crash: cold, with a new boot id and an empty cache.
     ///
     /// # Errors
     ///
-    /// The error of the bind.
+    /// Returns the error if the address cannot be bound.
     pub async fn restart(&self) -> io::Result<()> {
-        self.machine().reboot();
+        self.simulator().reboot();
         self.server.restart().await?;
-        Arc::clone(self.machine()).report_load();
+        Arc::clone(self.simulator()).report_load();
         Ok(())
     }
 
-    /// Stops it.
+    /// Stops the engine.
     pub fn stop(&self) {
         self.server.stop();
     }
 
-    fn machine(&self) -> &Arc<Machine> {
+    fn simulator(&self) -> &Arc<Simulator> {
         self.server.application()
     }
 }
--- a/crates/standin/src/engine/cache.rs
+++ b/crates/standin/src/engine/cache.rs
@@ -1,4 +1,4 @@
-//! The prefix cache of an engine, and the events about it.
+//! The prefix cache of an engine and its cache events.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -8,17 +8,18 @@
 use serde::{Deserialize, Serialize};
 use units::chat;
 
-/// How many events are kept; older ones are gaps to whoever asks late.
-const KEPT_EVENTS: usize = 4096;
+/// Maximum number of retained events. A client that polls too late misses older events
+/// and sees a gap in the sequence numbers.
+const MAX_EVENTS: usize = 4096;
 
-/// One message of a prefix: its hash and its tokens.
+/// One message of a prefix: its hash and its number of tokens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(super) struct Block {
     pub(super) hash: u64,
     pub(super) tokens: u64,
 }
 
-/// Whether a prefix came or went.
+/// Whether a prefix was stored or evicted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Kind {
@@ -26,7 +27,7 @@
     Evicted,
 }
 
-/// One event as it is published.
+/// A published cache event.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Event {
     seq: u64,
@@ -49,56 +50,56 @@
     }
 }
 
-/// Prefixes by chat in limited memory; the one used longest ago goes first.
+/// A cache of prefixes by chat with least-recently-used eviction.
 #[derive(Debug)]
 pub(super) struct Cache {
-    limit: u64,
+    capacity_tokens: u64,
     lag: Duration,
-    gap: u64,
-    uses: u64,
+    drop_interval: u64,
+    use_count: u64,
     last_seq: u64,
     prefixes: BTreeMap<chat::Key, Prefix>,
     events: VecDeque<Event>,
 }
 
 impl Cache {
-    /// An empty cache of `limit` tokens, whose events come `lag` late and miss
-    /// one in `gap`.
-    pub(super) fn new(limit: u64, lag: Duration, gap: u64) -> Self {
+    /// An empty cache of `capacity_tokens`. Its events are published after `lag`, and every
+    /// `drop_interval`-th event is lost (none if 0).
+    pub(super) fn new(capacity_tokens: u64, lag: Duration, drop_interval: u64) -> Self {
         Self {
-            limit,
+            capacity_tokens,
             lag,
-            gap,
-            uses: 0,
+            drop_interval,
+            use_count: 0,
             last_seq: 0,
             prefixes: BTreeMap::new(),
             events: VecDeque::new(),
         }
     }
 
-    /// How many tokens of `blocks` need no prefill.
-    pub(super) fn cached(&mut self, chat: chat::Key, blocks: &[Block]) -> u64 {
-        self.uses += 1;
+    /// The number of cached tokens at the start of `blocks`, which need no prefill.
+    pub(super) fn lookup(&mut self, chat: chat::Key, blocks: &[Block]) -> u64 {
+        self.use_count += 1;
         let Some(prefix) = self.prefixes.get_mut(&chat) else {
             return 0;
         };
-        prefix.last_use = self.uses;
+        prefix.last_use = self.use_count;
         let pairs = prefix.blocks.iter().zip(blocks);
-        let common = pairs.take_while(|(held, asked)| held == asked);
-        common.map(|(_, asked)| asked.tokens).sum()
+        let common = pairs.take_while(|(stored, requested)| stored == requested);
+        common.map(|(_, requested)| requested.tokens).sum()
     }
 
-    /// Stores the prefix of `chat` and makes room for it.
+    /// Stores the prefix of `chat` and evicts other prefixes while the cache is over capacity.
     pub(super) fn store(&mut self, chat: chat::Key, blocks: Vec<Block>, now: Instant) {
-        self.uses += 1;
+        self.use_count += 1;
         let prefix = Prefix {
             blocks,
-            last_use: self.uses,
+            last_use: self.use_count,
         };
         let tokens = prefix.tokens();
         self.prefixes.insert(chat, prefix);
         self.publish(chat, tokens, Kind::Stored, now);
-        while self.tokens() > self.limit {
+        while self.tokens() > self.capacity_tokens {
             self.evict(now);
         }
     }
@@ -114,7 +115,7 @@
 
     fn publish(&mut self, chat: chat::Key, tokens: u64, kind: Kind, now: Instant) {
         self.last_seq += 1;
-        if self.gap > 0 && self.last_seq.is_multiple_of(self.gap) {
+        if self.drop_interval > 0 && self.last_seq.is_multiple_of(self.drop_interval) {
             return;
         }
         self.events.push_back(Event {
@@ -124,12 +125,12 @@
             kind,
             visible_at: Some(now + self.lag),
         });
-        if self.events.len() > KEPT_EVENTS {
+        if self.events.len() > MAX_EVENTS {
             self.events.pop_front();
         }
     }
 
-    /// The events after `seq` that are published by `now`.
+    /// The events after `seq` that are visible at `now`.
     pub(super) fn events(&self, seq: u64, now: Instant) -> Vec<Event> {
         let after = self.events.iter().filter(|event| event.seq > seq);
         after
@@ -138,13 +139,13 @@
             .collect()
     }
 
-    /// How many tokens it holds.
+    /// The number of cached tokens.
     pub(super) fn tokens(&self) -> u64 {
         self.prefixes.values().map(Prefix::tokens).sum()
     }
 
-    /// The prefix of `chat`.
-    pub(super) fn export(&self, chat: chat::Key) -> Option<Vec<Block>> {
+    /// The cached blocks of `chat`.
+    pub(super) fn blocks_of(&self, chat: chat::Key) -> Option<Vec<Block>> {
         self.prefixes.get(&chat).map(|prefix| prefix.blocks.clone())
     }
 }
--- a/crates/standin/src/engine/generation.rs
+++ b/crates/standin/src/engine/generation.rs
@@ -1,13 +1,13 @@
-//! An answer while it is made.
+//! A chat completion in progress.
 
 use bytes::Bytes;
 use serde::Serialize;
 use serde_json::json;
 use tokio::sync::{mpsc, watch};
 
-use crate::http::Cut;
+use crate::http::Disconnected;
 
-/// The tokens of a request.
+/// The token counts of a request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub(super) struct Usage {
     pub(super) prompt_tokens: u64,
@@ -15,7 +15,7 @@
     pub(super) completion_tokens: u64,
 }
 
-/// How far an answer is.
+/// The state of a generation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) enum Stage {
     #[default]
@@ -24,14 +24,14 @@
     Cancelled,
 }
 
-/// The words made so far.
+/// The words generated so far.
 #[derive(Debug, Default)]
 pub(super) struct Progress {
     pub(super) words: Vec<String>,
     pub(super) stage: Stage,
 }
 
-/// An answer that grows; whoever reads it can come back and read on.
+/// A chat completion in progress. Clients can reconnect and resume reading it.
 #[derive(Debug)]
 pub(super) struct Generation {
     pub(super) attempt: String,
@@ -39,14 +39,14 @@
     pub(super) progress: watch::Sender<Progress>,
 }
 
-/// Where a stream ends before its time, for a fault.
+/// How a stream ends, which a fault can make end early.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum End {
-    Whole,
-    /// The connection ends after so many events.
-    Cut(usize),
-    /// The stream ends after so many events as if it were whole.
-    Short(usize),
+    Complete,
+    /// The connection is closed after this many events.
+    Disconnect(usize),
+    /// The stream ends after this many events with a valid end of body.
+    Truncated(usize),
 }
 
 impl Generation {
@@ -62,7 +62,7 @@
         self.progress.send_modify(|p| p.words.push(word));
     }
 
-    /// Ends it, unless it has ended.
+    /// Ends the generation in `stage`, unless it has already ended.
     pub(super) fn end(&self, stage: Stage) {
         self.progress.send_if_modified(|progress| {
             let runs = progress.stage == Stage::Running;
@@ -77,88 +77,89 @@
         self.progress.borrow().stage == Stage::Cancelled
     }
 
-    /// Waits for the first word or the end.
-    pub(super) async fn begun(&self) {
+    /// Waits for the first word or the end of the generation.
+    pub(super) async fn wait_for_first_token(&self) {
         let mut progress = self.progress.subscribe();
-        let begun = |p: &Progress| !p.words.is_empty() || p.stage != Stage::Running;
-        drop(progress.wait_for(begun).await);
+        let has_begun = |p: &Progress| !p.words.is_empty() || p.stage != Stage::Running;
+        drop(progress.wait_for(has_begun).await);
     }
 
-    /// Waits for the end and returns the whole text with its usage.
-    pub(super) async fn whole(&self) -> Result<(String, Usage), Cut> {
+    /// Waits for the end and returns the complete text with its usage.
+    pub(super) async fn wait_for_completion(&self) -> Result<(String, Usage), Disconnected> {
         let mut progress = self.progress.subscribe();
         let ended = progress.wait_for(|p| p.stage != Stage::Running).await;
-        let progress = ended.map_err(|_| Cut)?;
+        let progress = ended.map_err(|_| Disconnected)?;
         match progress.stage {
             Stage::Done(usage) => Ok((progress.words.join(" "), usage)),
-            _ => Err(Cut),
+            _ => Err(Disconnected),
         }
     }
 
-    /// Sends the events from number `from` on to `pieces`.
-    pub(super) async fn pump(
+    /// Sends the events to `chunks`, starting with event number `from`.
+    pub(super) async fn send_to(
         &self,
         from: usize,
         end: End,
-        pieces: mpsc::Sender<Result<Bytes, Cut>>,
+        chunks: mpsc::Sender<Result<Bytes, Disconnected>>,
     ) {
-        // An error means that the caller is gone; there is nobody to tell.
-        if let Err(Cut) = self.pump_events(from, end, &pieces).await {
-            drop(pieces.send(Err(Cut)).await);
+        // If this send fails too, the client has disconnected and nobody reads the error.
+        if let Err(Disconnected) = self.send_events(from, end, &chunks).await {
+            drop(chunks.send(Err(Disconnected)).await);
         }
     }
 
-    async fn pump_events(
+    async fn send_events(
         &self,
         from: usize,
         end: End,
-        pieces: &mpsc::Sender<Result<Bytes, Cut>>,
-    ) -> Result<(), Cut> {
+        chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    ) -> Result<(), Disconnected> {
         let mut progress = self.progress.subscribe();
         let mut next = from;
         loop {
             let (words, stage) = {
                 let more = |p: &Progress| p.words.len() > next || p.stage != Stage::Running;
-                let seen = progress.wait_for(more).await.map_err(|_| Cut)?;
-                let words = seen.words.get(next..).unwrap_or_default().to_vec();
-                (words, seen.stage)
+                let snapshot = progress.wait_for(more).await.map_err(|_| Disconnected)?;
+                let words = snapshot.words.get(next..).unwrap_or_default().to_vec();
+                (words, snapshot.stage)
             };
             for word in words {
                 match end {
-                    End::Cut(at) if next >= at => return Err(Cut),
-                    End::Short(at) if next >= at => return Ok(()),
+                    End::Disconnect(at) if next >= at => return Err(Disconnected),
+                    End::Truncated(at) if next >= at => return Ok(()),
                     _ => {}
                 }
-                send(pieces, &self.chunk(next, &word)).await?;
+                send(chunks, &self.chunk_json(next, &word)).await?;
                 next += 1;
             }
             match stage {
                 Stage::Running => {}
-                Stage::Cancelled => return Err(Cut),
-                Stage::Done(usage) => return self.send_end(next, usage, pieces).await,
+                Stage::Cancelled => return Err(Disconnected),
+                Stage::Done(usage) => return self.send_end(next, usage, chunks).await,
             }
         }
     }
 
-    /// Sends the usage, which is an event of its own, and the last event.
+    /// Sends the usage event, unless the client has already received it, and the final
+    /// `[DONE]` event.
     async fn send_end(
         &self,
         next: usize,
         usage: Usage,
-        pieces: &mpsc::Sender<Result<Bytes, Cut>>,
-    ) -> Result<(), Cut> {
+        chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    ) -> Result<(), Disconnected> {
         let words = self.progress.borrow().words.len();
         if next == words {
             let event = json!({
                 "id": self.attempt, "object": "chat.completion.chunk", "model": self.model,
                 "choices": [], "usage": usage,
             });
-            send(pieces, &event.to_string()).await?;
+            send(chunks, &event.to_string()).await?;
         }
-        send(pieces, "[DONE]").await
+        send(chunks, "[DONE]").await
     }
 
-    fn chunk(&self, index: usize, word: &str) -> String {
+    fn chunk_json(&self, index: usize, word: &str) -> String {
         let space = if index == 0 { "" } else { " " };
         let event = json!({
             "id": self.attempt, "object": "chat.completion.chunk", "model": self.model,
@@ -172,7 +173,10 @@
     }
 }
 
-async fn send(pieces: &mpsc::Sender<Result<Bytes, Cut>>, data: &str) -> Result<(), Cut> {
+async fn send(
+    chunks: &mpsc::Sender<Result<Bytes, Disconnected>>,
+    data: &str,
+) -> Result<(), Disconnected> {
     let event = Bytes::from(format!("data: {data}\n\n"));
-    pieces.send(Ok(event)).await.map_err(|_| Cut)
+    chunks.send(Ok(event)).await.map_err(|_| Disconnected)
 }
--- a/crates/standin/src/engine/orders.rs
+++ b/crates/standin/src/engine/orders.rs
@@ -1,23 +1,23 @@
-//! Orders to load and unload models and to change role.
+//! Orders to load or unload a model and to change the engine's role.
 
 use serde::{Deserialize, Serialize};
 
-/// What an order does.
+/// The kind of an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Loads a model, an adapter or a version.
+    /// Loads a model, an adapter or a version of one.
     Load,
-    /// Unloads it.
+    /// Unloads a model, an adapter or a version of one.
     Unload,
-    /// Changes the role.
+    /// Changes the role of the engine.
     Role,
 }
 
-/// One order.
+/// An order.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Order {
-    /// What it does.
+    /// The kind of the order.
     pub kind: Kind,
     /// The model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
@@ -33,28 +33,28 @@
     pub role: Option<String>,
 }
 
-/// An order and the fencing number of whoever gives it.
+/// An order with the fencing token of its sender's lease.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fenced {
-    /// The fencing number.
+    /// The fencing token.
     pub fence: u64,
     /// The order.
     pub order: Order,
 }
 
-/// An order whose fencing number is old.
+/// The rejection of an order with a stale fencing token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 pub(super) struct Stale {
-    /// The highest number seen.
+    /// The highest fencing token of any executed order.
     pub(super) fence: u64,
 }
 
-/// The orders carried out, and the models that came of them.
+/// The executed orders and the models that are loaded after them.
 #[derive(Debug, Default)]
 pub(super) struct Orders {
-    highest: u64,
+    highest_fence: u64,
     pub(super) models: Vec<String>,
-    pub(super) carried_out: Vec<Fenced>,
+    pub(super) executed: Vec<Fenced>,
 }
 
 impl Orders {
@@ -65,16 +65,20 @@
         }
     }
 
-    /// Takes an order, checking its fencing number if `checks`.
-    pub(super) fn take(&mut self, given: Fenced, checks: bool) -> Result<(), Stale> {
-        if checks && given.fence < self.highest {
+    /// Executes an order; if `checks_fencing_token`, rejects one with a stale fencing token.
+    pub(super) fn execute(
+        &mut self,
+        fenced: Fenced,
+        checks_fencing_token: bool,
+    ) -> Result<(), Stale> {
+        if checks_fencing_token && fenced.fence < self.highest_fence {
             return Err(Stale {
-                fence: self.highest,
+                fence: self.highest_fence,
             });
         }
-        self.highest = self.highest.max(given.fence);
-        self.apply(&given.order);
-        self.carried_out.push(given);
+        self.highest_fence = self.highest_fence.max(fenced.fence);
+        self.apply(&fenced.order);
+        self.executed.push(fenced);
         Ok(())
     }
 
--- a/crates/standin/src/link.rs
+++ b/crates/standin/src/link.rs
@@ -1,4 +1,4 @@
-//! A link to a server that can be shut or slowed down.
+//! A TCP proxy that simulates a network link, which can be closed or limited in rate.
 
 use std::{io, net::SocketAddr, time::Duration};
 
@@ -12,32 +12,32 @@
     time,
 };
 
-/// How much is carried at a time, in bytes.
-const PIECE: usize = 8 * 1024;
+/// Size of the relay buffer. The rate limit applies to one buffer at a time.
+const BUFFER_BYTES: usize = 8 * 1024;
 
-/// A loopback address whose connections are carried to a server.
+/// A loopback listener whose connections are relayed to a server.
 #[derive(Clone, Debug)]
 pub struct Link {
     address: SocketAddr,
     open: watch::Sender<bool>,
-    /// Bytes a second that each connection carries from the server.
+    /// Maximum rate of each connection in the direction from the server, in bytes per second.
     rate: watch::Sender<u64>,
 }
 
 impl Link {
-    /// Starts a link to the server at `target` that does no harm.
+    /// Starts an open link without rate limit to the server at `target`.
     ///
     /// # Errors
     ///
-    /// When no port is free.
+    /// Returns the error if no port can be bound.
     pub async fn start(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let (open, is_open) = watch::channel(true);
         let (rate, rates) = watch::channel(u64::MAX);
         tokio::spawn(async move {
-            while let Ok((near, _)) = listener.accept().await {
-                tokio::spawn(connection(near, target, is_open.clone(), rates.clone()));
+            while let Ok((client, _)) = listener.accept().await {
+                tokio::spawn(connection(client, target, is_open.clone(), rates.clone()));
             }
         });
         Ok(Self {
@@ -47,30 +47,30 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that the link listens on.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Cuts all connections and refuses new ones.
-    pub fn shut(&self) {
+    /// Closes all connections, and each new connection as soon as it is accepted.
+    pub fn close(&self) {
         self.open.send_replace(false);
     }
 
-    /// Lets connections through again.
+    /// Relays new connections again.
     pub fn reopen(&self) {
         self.open.send_replace(true);
     }
 
-    /// Lets so many bytes a second come from the server on each connection
-    /// from now on; with zero they fall silent.
-    pub fn limit(&self, bytes_per_s: u64) {
+    /// Limits each connection to `bytes_per_s` in the direction from the server; with zero,
+    /// nothing more arrives from the server.
+    pub fn set_rate(&self, bytes_per_s: u64) {
         self.rate.send_replace(bytes_per_s);
     }
 }
 
 async fn connection(
-    near: TcpStream,
+    client: TcpStream,
     target: SocketAddr,
     mut is_open: watch::Receiver<bool>,
     rates: watch::Receiver<u64>,
@@ -78,45 +78,45 @@
     if !*is_open.borrow() {
         return;
     }
-    let Ok(far) = TcpStream::connect(target).await else {
+    let Ok(server) = TcpStream::connect(target).await else {
         return;
     };
-    let shut = is_open.wait_for(|open| !open);
+    let close = is_open.wait_for(|open| !open);
     tokio::select! {
-        () = carry(near, far, rates) => {}
-        shut = shut => drop(shut),
+        () = relay(client, server, rates) => {}
+        close = close => drop(close),
     }
 }
 
-/// Carries bytes until both ends have closed.
-async fn carry(near: TcpStream, far: TcpStream, rates: watch::Receiver<u64>) {
-    let (mut near_read, near_write) = near.into_split();
-    let (far_read, mut far_write) = far.into_split();
-    let there = async {
-        // Either end may close.
-        drop(tokio::io::copy(&mut near_read, &mut far_write).await);
-        drop(far_write);
+/// Relays bytes in both directions until both directions are closed.
+async fn relay(client: TcpStream, server: TcpStream, rates: watch::Receiver<u64>) {
+    let (mut client_read, client_write) = client.into_split();
+    let (server_read, mut server_write) = server.into_split();
+    let upload = async {
+        // A connection error ends this direction just as a close does.
+        drop(tokio::io::copy(&mut client_read, &mut server_write).await);
+        drop(server_write);
     };
-    tokio::join!(there, carry_back(far_read, near_write, rates));
+    tokio::join!(upload, relay_throttled(server_read, client_write, rates));
 }
 
-/// Carries bytes at the rate that is set, piece by piece.
-async fn carry_back(
+/// Relays bytes at the configured rate, one buffer at a time.
+async fn relay_throttled(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     mut rates: watch::Receiver<u64>,
 ) {
-    let mut piece = [0; PIECE];
+    let mut buffer = [0; BUFFER_BYTES];
     let mut free_at = time::Instant::now();
-    while let Ok(length @ 1..) = from.read(&mut piece).await {
+    while let Ok(length @ 1..) = from.read(&mut buffer).await {
         let rate = match rates.wait_for(|rate| *rate > 0).await {
             Ok(rate) => *rate,
             Err(_) => return,
         };
-        let taken = Duration::from_secs_f64(length as f64 / rate as f64);
-        free_at = free_at.max(time::Instant::now()) + taken;
+        let transfer_time = Duration::from_secs_f64(length as f64 / rate as f64);
+        free_at = free_at.max(time::Instant::now()) + transfer_time;
         time::sleep_until(free_at).await;
-        if to.write_all(&piece[..length]).await.is_err() {
+        if to.write_all(&buffer[..length]).await.is_err() {
             return;
         }
     }
--- a/crates/standin/tests/standin/client.rs
+++ b/crates/standin/tests/standin/client.rs
@@ -1,4 +1,4 @@
-//! A connection to a stand-in.
+//! An HTTP client for requests to a stand-in.
 
 use std::net::SocketAddr;
 
@@ -9,33 +9,33 @@
 use serde_json::Value;
 use tokio::net::TcpStream;
 
-/// An answer read to its end, or to where its connection broke.
+/// A response, read to its end or up to a connection error.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub text: String,
-    pub is_whole: bool,
+    pub is_complete: bool,
 }
 
-impl Answer {
+impl Response {
     pub fn json(&self) -> Value {
-        serde_json::from_str(&self.text).expect("the answer is JSON")
+        serde_json::from_str(&self.text).expect("the response body is JSON")
     }
 
     pub fn attempt(&self) -> &str {
         self.headers["x-weir-attempt"]
             .to_str()
-            .expect("an attempt is ASCII")
+            .expect("the attempt id is ASCII")
     }
 
-    /// The text of the events that arrived.
-    pub fn streamed(&self) -> String {
+    /// The completion text in the received events.
+    pub fn streamed_text(&self) -> String {
         let events = self.text.split("\n\n").filter(|event| !event.is_empty());
-        let events = events.map(|event| event.strip_prefix("data: ").expect("an event has data"));
+        let events = events.map(|event| event.strip_prefix("data: ").expect("SSE data prefix"));
         let pieces = events.filter(|data| *data != "[DONE]");
         let pieces =
-            pieces.map(|data| serde_json::from_str::<Value>(data).expect("an event is JSON"));
+            pieces.map(|data| serde_json::from_str::<Value>(data).expect("valid JSON data"));
         let deltas = pieces.map(|p| p["choices"][0]["delta"]["content"].clone());
         deltas
             .filter_map(|d| d.as_str().map(String::from))
@@ -47,7 +47,7 @@
     }
 }
 
-/// One connection.
+/// A connection to a stand-in.
 pub struct Connection {
     sender: http1::SendRequest<Full<Bytes>>,
 }
@@ -60,14 +60,14 @@
         Some(Self { sender })
     }
 
-    /// Sends a request; none: the connection ended without an answer.
+    /// Sends a request. Returns `None` if the connection closed without a response.
     pub async fn send(
         &mut self,
         method: &str,
         path: &str,
         headers: &[(&'static str, &str)],
         body: &str,
-    ) -> Option<Answer> {
+    ) -> Option<Response> {
         let mut request = Request::builder().method(method).uri(path);
         for (name, value) in headers {
             request = request.header(*name, *value);
@@ -79,20 +79,20 @@
             .await;
         let (head, mut body) = response.ok()?.into_parts();
         let mut bytes = Vec::new();
-        let mut is_whole = true;
+        let mut is_complete = true;
         while let Some(frame) = body.frame().await {
             match frame {
                 Ok(frame) => {
                     bytes.extend_from_slice(&frame.into_data().expect("no trailers are sent"))
                 }
-                Err(_) => is_whole = false,
+                Err(_) => is_complete = false,
             }
         }
-        Some(Answer {
+        Some(Response {
             status: head.status,
             headers: head.headers,
-            text: String::from_utf8(bytes).expect("answers are text"),
-            is_whole,
+            text: String::from_utf8(bytes).expect("response bodies are UTF-8"),
+            is_complete,
         })
     }
 }
@@ -104,7 +104,7 @@
     path: &str,
     headers: &[(&'static str, &str)],
     body: &str,
-) -> Option<Answer> {
+) -> Option<Response> {
     let mut connection = Connection::open(address).await?;
     connection.send(method, path, headers, body).await
 }
