--- a/crates/gateway/src/load.rs
+++ b/crates/gateway/src/load.rs
@@ -30,6 +30,7 @@
     /// Requests in flight.
     pub running: u16,
     /// Recent outcomes of requests at the server.
+    #[serde(rename = "ends")]
     pub outcomes: OutcomeCounts,
 }
 
@@ -62,14 +63,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Report {
     /// All loads; other servers have no requests in flight and no recent outcomes.
+    #[serde(rename = "Whole")]
     Full(Vec<Load>),
     /// All requests in flight, and outcomes with new failures since the last report.
+    #[serde(rename = "Change")]
     Delta {
         /// The number of requests in flight by server; other servers have none.
         ///
         /// Sorted by server hash and delta-encoded, which takes fewer bytes.
         running: Vec<(u32, u16)>,
         /// Outcomes at servers with new failures.
+        #[serde(rename = "ends")]
         outcomes: Vec<(u32, OutcomeCounts)>,
     },
 }
--- a/crates/gateway/src/peers/digest.rs
+++ b/crates/gateway/src/peers/digest.rs
@@ -59,6 +59,7 @@
     /// The newest store versions that it holds.
     pub versions: Versions,
     /// The checksum over all rows that it holds.
+    #[serde(rename = "sum")]
     pub checksum: u64,
     /// Whether the store has answered this router, or a watcher known to it, for some time.
     #[serde(rename = "is_steady")]
@@ -70,6 +71,7 @@
     /// Requests that are suspected of having crashed servers recently.
     pub strikes: Vec<recovery::Strike>,
     /// Prompt prefixes that servers have cached recently.
+    #[serde(rename = "reads")]
     pub cached_prefixes: Vec<CachedPrefix>,
 }
 
@@ -83,9 +85,11 @@
         /// The loads.
         loads: Report,
         /// Prompt prefixes that servers have cached recently for the sender.
+        #[serde(rename = "reads")]
         cached_prefixes: Vec<CachedPrefix>,
     },
     /// The summed loads of the sender's zone, for the aggregators of other zones.
+    #[serde(rename = "Sum")]
     ZoneSum {
         /// The hash of the zone's name.
         zone: u32,
@@ -94,9 +98,11 @@
         /// The summed loads.
         loads: Report,
         /// Prompt prefixes that servers have cached recently for these routers.
+        #[serde(rename = "reads")]
         cached_prefixes: Vec<CachedPrefix>,
     },
     /// The loads of the whole fleet, for the routers of the aggregator's zone.
+    #[serde(rename = "Total")]
     FleetTotal(FleetTotal),
 }
 
@@ -110,8 +116,10 @@
     /// The summed loads.
     pub loads: Report,
     /// Prompt prefixes that servers have cached recently, for any router of the fleet.
+    #[serde(rename = "reads")]
     pub cached_prefixes: Vec<CachedPrefix>,
     /// The hashes of the routers to which the receiver relays the total.
+    #[serde(rename = "others")]
     pub relay_to: Vec<u32>,
 }
 
--- a/crates/gateway/src/peers/fetch.rs
+++ b/crates/gateway/src/peers/fetch.rs
@@ -29,6 +29,7 @@
     Topic {
         topic: Topic,
         version: u64,
+        #[serde(rename = "is_whole")]
         is_snapshot: bool,
     },
     /// A row; its value follows in data frames.
--- a/crates/gateway/src/peers/watchers.rs
+++ b/crates/gateway/src/peers/watchers.rs
@@ -38,6 +38,7 @@
     /// The hash of its host name.
     pub host: u32,
     /// Its heartbeat counter, which keeps growing across restarts.
+    #[serde(rename = "beat")]
     pub heartbeat: u64,
     /// Whether the store answers it.
     #[serde(rename = "is_served")]
